--- a/cmd/mintspring-xds/main_test.go
+++ b/cmd/mintspring-xds/main_test.go
@@ -22,6 +22,7 @@
 	"mintspring/internal/controlplane/snapshot"
 	"mintspring/internal/testbed/fakediscovery"
 	"mintspring/internal/testbed/fakeproxy"
+	"mintspring/internal/testbed/loopback"
 	"mintspring/internal/testbed/reservedport"
 )
 
@@ -258,7 +259,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	operator, err := config.Read(writeFile(t, filepath.Join(dir, "control.toml"), "listen = \"127.0.0.1:0\"\n"))
+	addr, err := loopback.AnyPort()
+	if err != nil {
+		t.Fatal(err)
+	}
+	operator, err := config.Read(writeFile(t, filepath.Join(dir, "control.toml"), fmt.Sprintf("listen = %q\n", addr)))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintspring/main_test.go
+++ b/cmd/mintspring/main_test.go
@@ -4,7 +4,6 @@
 	"fmt"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"strings"
@@ -14,6 +13,8 @@
 	"time"
 
 	"mintspring/internal/config/platform"
+	"mintspring/internal/testbed/loopback"
+	"mintspring/internal/testbed/loopbacktest"
 	"mintspring/internal/testbed/reservedport"
 )
 
@@ -44,9 +45,9 @@
 	}
 	requested := make(chan struct{})
 	var once sync.Once
-	first := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { members(w) }))
+	first := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { members(w) }))
 	defer first.Close()
-	second := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	second := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		once.Do(func() { close(requested) })
 		members(w)
 	}))
@@ -100,7 +101,11 @@
 
 // TestListenWaits: listen waits until an address is not in use any more.
 func TestListenWaits(t *testing.T) {
-	old, err := listen("127.0.0.1:0", 0)
+	anyPort, err := loopback.AnyPort()
+	if err != nil {
+		t.Fatal(err)
+	}
+	old, err := listen(anyPort, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintspring/nodeprocess_test.go
+++ b/cmd/mintspring/nodeprocess_test.go
@@ -5,7 +5,6 @@
 	"fmt"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"os/exec"
 	"path/filepath"
@@ -20,7 +19,9 @@
 	"github.com/tidwall/redcon"
 
 	"mintspring/internal/node/admin"
+	"mintspring/internal/testbed/fakes"
 	"mintspring/internal/testbed/logrecorder"
+	"mintspring/internal/testbed/loopbacktest"
 	"mintspring/internal/testbed/reservedport"
 	"mintspring/internal/testbed/syscalltrace"
 )
@@ -146,7 +147,7 @@
 		go n.serveCache(ln, &n.received[i])
 	}
 	list := fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`+"\n", strings.Join(members, ","))
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
+	service := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		_, _ = fmt.Fprint(w, list) // the node may have gone
 		w.(http.Flusher).Flush()
 		if req.URL.Query().Has("watch") {
@@ -158,10 +159,14 @@
 	return n
 }
 
-// serveCache serves a cache server that has every key, until its listener is closed.
+// serveCache serves a cache server that has every key, until its listener is closed. It refuses what is no request to a cache server.
 func (n *testNode) serveCache(ln net.Listener, received *atomic.Int64) {
 	// The error says that the listener is closed.
 	_ = redcon.Serve(ln, func(c redcon.Conn, cmd redcon.Command) {
+		if !fakes.IsCacheRequest(cmd.Args) {
+			c.WriteError("ERR not a request to a cache server")
+			return
+		}
 		received.Add(1)
 		count, _ := n.executions.LoadOrStore(string(cmd.Args[2]), new(atomic.Int64))
 		count.(*atomic.Int64).Add(1)
@@ -171,10 +176,7 @@
 }
 
 func (n *testNode) listen() net.Listener {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		n.t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(n.t)
 	n.t.Cleanup(func() { closeAll(ln) })
 	return ln
 }
@@ -191,7 +193,7 @@
 	*exec.Cmd
 	configFile string
 	adminAddr  string
-	exited     chan error
+	exited     chan error // receives its end once, and is closed then
 	log        *logrecorder.Recorder
 	t          *testing.T
 }
@@ -233,7 +235,10 @@
 		n.t.Fatal(err)
 	}
 	p := &nodeProcess{c, file, adminAddr, make(chan error, 1), log, n.t}
-	go func() { p.exited <- c.Wait() }()
+	go func() {
+		p.exited <- c.Wait()
+		close(p.exited)
+	}()
 	n.t.Cleanup(p.kill)
 	return p
 }
@@ -248,18 +253,20 @@
 	writeFile(p.t, p.configFile, strings.Replace(string(text), old, replacement, 1))
 }
 
-// kill ends the process at the end of a test, and logs what it has logged if the test has failed.
+// kill ends the process at the end of a test, before the addresses that it calls are free, and logs what it has logged if the test has failed.
 func (p *nodeProcess) kill() {
 	_ = p.Process.Kill() // it may have exited
-	if !p.t.Failed() {
-		return
-	}
 	select {
 	case err := <-p.exited:
-		p.t.Logf("process %d: %v", p.Process.Pid, err)
-	case <-time.After(time.Second):
+		if p.t.Failed() {
+			p.t.Logf("process %d: %v", p.Process.Pid, err)
+		}
+	case <-time.After(testTimeout):
+		p.t.Errorf("process %d has not ended %v after it was killed", p.Process.Pid, testTimeout)
+	}
+	if p.t.Failed() {
+		p.t.Logf("process %d:\n%s", p.Process.Pid, p.log)
 	}
-	p.t.Logf("process %d:\n%s", p.Process.Pid, p.log)
 }
 
 // waitForReply makes a call on the admin port until the reply has the prefix.
--- a/cmd/mintspring/rollingrestart_test.go
+++ b/cmd/mintspring/rollingrestart_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"os"
 	"path/filepath"
 	"slices"
@@ -18,6 +17,7 @@
 
 	"mintspring/internal/cluster/consensus/storage"
 	"mintspring/internal/config/operatorfile"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // serverList is a discovery service of two servers whose processes can be restarted.
@@ -178,7 +178,7 @@
 		addrs[serverID(i)], _, _ = strings.Cut(part, `"`)
 	}
 	f.list = newServerList(addrs)
-	service := httptest.NewServer(f.list)
+	service := loopbacktest.StartServer(f.t, f.list)
 	t.Cleanup(service.CloseClientConnections)
 	f.discovery = service.Listener.Addr().String()
 	for i := range 3 {
--- a/internal/cluster/consensus/replica/panic_test.go
+++ b/internal/cluster/consensus/replica/panic_test.go
@@ -12,6 +12,7 @@
 	"mintspring/internal/clock"
 	"mintspring/internal/cluster/consensus"
 	"mintspring/internal/cluster/consensus/storage"
+	"mintspring/internal/testbed/loopback"
 )
 
 // newReplicaWithPanickingCore returns a replica whose core panics at whatever is called of it, since it has no Raft node.
@@ -25,7 +26,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conn, err := listenUDP("127.0.0.1:0")
+	addr, err := loopback.AnyPort()
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn, err := listenUDP(addr)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/faultrelay/relay_test.go
+++ b/internal/cluster/faultrelay/relay_test.go
@@ -6,6 +6,8 @@
 	"net"
 	"testing"
 	"time"
+
+	"mintspring/internal/testbed/loopback"
 )
 
 var payload = []byte("twenty bytes of text")
@@ -69,10 +71,11 @@
 	t.Cleanup(relay.Close)
 	r := &relayTest{Relay: relay, t: t}
 	for i := range nodes {
-		conn, err := net.ListenUDP("udp4", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
+		packets, err := loopback.ListenPacket()
 		if err != nil {
 			t.Fatal(err)
 		}
+		conn := packets.(*net.UDPConn)
 		t.Cleanup(func() {
 			if err := conn.Close(); err != nil {
 				t.Error(err)
--- a/internal/controlplane/controller/controller_test.go
+++ b/internal/controlplane/controller/controller_test.go
@@ -4,7 +4,6 @@
 	"errors"
 	"io"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
@@ -15,6 +14,7 @@
 	"mintspring/internal/node/discovery"
 	"mintspring/internal/state/snapshotfile"
 	"mintspring/internal/testbed/fakediscovery"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // TestDataDirectoryIsTakenOver checks that a controller which starts while its predecessor holds the data directory writes there once
@@ -111,7 +111,7 @@
 // TestStopEndsTheWatch checks that no watch of discovery is left after Stop.
 func TestStopEndsTheWatch(t *testing.T) {
 	called, ended := make(chan struct{}, 1), make(chan struct{}, 1)
-	service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+	service := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.(http.Flusher).Flush()
 		called <- struct{}{}
 		<-r.Context().Done()
--- a/internal/controlplane/server/testbed_test.go
+++ b/internal/controlplane/server/testbed_test.go
@@ -1,7 +1,6 @@
 package server
 
 import (
-	"net"
 	"testing"
 	"time"
 
@@ -21,6 +20,7 @@
 	"mintspring/internal/testbed/fakediscovery"
 	"mintspring/internal/testbed/fakeproxy"
 	"mintspring/internal/testbed/logrecorder"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // testbed is a control plane on loopback, with a fake discovery service and fake proxies.
@@ -74,10 +74,7 @@
 		change(&config)
 	}
 	b.server = New(log, b.controller, config, creds)
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	listener := loopbacktest.Listen(t)
 	b.addr = listener.Addr().String()
 	served := make(chan error, 1)
 	go func() { served <- b.server.Serve(listener) }()
--- a/internal/node/admin/admin_test.go
+++ b/internal/node/admin/admin_test.go
@@ -8,6 +8,8 @@
 	"sync/atomic"
 	"testing"
 	"time"
+
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // testTimeout bounds each wait of a test.
@@ -45,10 +47,7 @@
 
 func startClosableServer(t testing.TB, h Handler) (addr string, s *Server) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	s = &Server{Handler: h, OnPanic: func(p any) { t.Errorf("panic: %v", p) }}
 	served := make(chan error, 1)
 	go func() { served <- s.Serve(ln) }()
--- a/internal/node/clients/eviction_test.go
+++ b/internal/node/clients/eviction_test.go
@@ -15,6 +15,7 @@
 	"mintspring/internal/node/fdlimit"
 	"mintspring/internal/node/lifecycle"
 	"mintspring/internal/node/sockstate"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // Where descriptors run out, connections without a request are evicted first, then the one idle longest.
@@ -155,11 +156,9 @@
 
 // unreadConn returns a connection on which an unread byte has arrived, without its goroutines, and its other end.
 func unreadConn(r *harness) (c *conn, theirs net.Conn) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		r.t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(r.t)
 	defer ln.Close() //nolint:errcheck // the listener is not used any more
+	var err error
 	if theirs, err = net.Dial("tcp", ln.Addr().String()); err != nil {
 		r.t.Fatal(err)
 	}
--- a/internal/node/clients/harness_test.go
+++ b/internal/node/clients/harness_test.go
@@ -16,6 +16,7 @@
 	"mintspring/internal/node/exchange"
 	"mintspring/internal/node/fdlimit"
 	"mintspring/internal/node/lifecycle"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // fakeHandler stands in for the node: it passes what it is called with to the test.
@@ -42,10 +43,7 @@
 
 func newHarness(t *testing.T, with ...func(*Server)) *harness {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	d := &fakeHandler{
 		taken: make(chan *exchange.Exchange, 1000), gone: make(chan *exchange.Exchange, 1000),
 		complete: make(chan *exchange.Exchange, 1000),
--- a/internal/node/clients/limits_test.go
+++ b/internal/node/clients/limits_test.go
@@ -12,6 +12,7 @@
 
 	"mintspring/internal/node/exchange"
 	"mintspring/internal/node/lifecycle"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // A value that is too large is refused while it arrives, and the next command is read after it.
@@ -329,10 +330,7 @@
 func checkDeadlineAfterOutage(t *testing.T, holdUp time.Duration) {
 	const outage = 200 * time.Millisecond
 	r := newHarness(t)
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	r.addr = ln.Addr().String()
 	failing := &failingListener{ln.(*net.TCPListener), time.Now().Add(outage), holdUp}
 	go func() { _ = r.server.Serve(failing) }() // it returns when the test ends
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -1,20 +1,20 @@
 package node
 
 import (
-	"net"
 	"testing"
 	"time"
 
 	"mintspring/internal/cluster/wire"
 	"mintspring/internal/config/operatorfile"
 	"mintspring/internal/config/tomlfile"
+	"mintspring/internal/testbed/loopback"
 	"mintspring/internal/testbed/reservedport"
 )
 
 // A node that waits for the address of the peers, which its predecessor still holds, has the initial part of the leased quota: it once
 // opened no connection until it had the address.
 func TestSuccessorHasInitialQuota(t *testing.T) {
-	taken, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	taken, err := loopback.ListenPacket()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -4,10 +4,11 @@
 	"fmt"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"testing"
 	"time"
+
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 func TestWatch(t *testing.T) {
@@ -52,7 +53,7 @@
 		}
 	}
 	c, events := newTestClient(t, service(900))
-	other := httptest.NewServer(service(7))
+	other := loopbacktest.StartServer(t, service(7))
 	t.Cleanup(other.CloseClientConnections)
 	c.SetRevision(800)
 	c.Watch()
--- a/internal/node/discovery/helpers_test.go
+++ b/internal/node/discovery/helpers_test.go
@@ -5,11 +5,12 @@
 	"fmt"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"sync"
 	"testing"
 	"time"
+
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // testTimeout bounds each wait of a test.
@@ -34,7 +35,7 @@
 // newTestClient returns a client of an HTTP server.
 func newTestClient(t *testing.T, serve http.HandlerFunc) (*Client, chan event) {
 	t.Helper()
-	s := httptest.NewServer(serve)
+	s := loopbacktest.StartServer(t, serve)
 	t.Cleanup(s.CloseClientConnections)
 	return newClient(strings.TrimPrefix(s.URL, "http://"))
 }
@@ -64,10 +65,7 @@
 // ends a call.
 func newRawClient(t *testing.T, serve func(conn net.Conn, path string)) (*Client, chan event) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	var mu sync.Mutex // guards open
 	var open []net.Conn
 	t.Cleanup(func() {
--- a/internal/node/hotrestart/helpers_test.go
+++ b/internal/node/hotrestart/helpers_test.go
@@ -5,6 +5,8 @@
 	"net"
 	"testing"
 	"time"
+
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // testTimeout bounds each wait of a test.
@@ -93,11 +95,9 @@
 // loopbackConn returns both ends of a connection on loopback.
 func loopbackConn(t *testing.T) (client, server net.Conn) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	defer closeAll(ln)
+	var err error
 	if client, err = net.Dial("tcp", ln.Addr().String()); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -3,7 +3,6 @@
 import (
 	"errors"
 	"maps"
-	"net"
 	"path/filepath"
 	"slices"
 	"testing"
@@ -12,6 +11,7 @@
 	"mintspring/internal/cluster/consensus/storage"
 	"mintspring/internal/cluster/lease"
 	"mintspring/internal/config/operatorfile"
+	"mintspring/internal/testbed/loopback"
 	"mintspring/internal/testbed/reservedport"
 )
 
@@ -71,7 +71,7 @@
 // silentConsensusGroup makes a node a client of a consensus group whose only member does not answer.
 func silentConsensusGroup(t *testing.T) func(*Config) {
 	t.Helper()
-	silent, err := net.ListenPacket("udp4", "127.0.0.1:0")
+	silent, err := loopback.ListenPacket()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -251,3 +251,15 @@
 	}
 	requests.Wait()
 }
+
+// A fake cache server refuses what is no request to a cache server, such as the poll of a node for which another server had the address
+// before, and does not count it. It once ended the program of all tests.
+func TestFakeCacheRefusesForeignCommands(t *testing.T) {
+	tc := newTestCluster(t, 1, serveHit, echoOrigin)
+	conn := dial(t, tc.cacheAddrs[0])
+	writeString(conn, "GET /catalog/members HTTP/1.1\r\nHost: "+tc.cacheAddrs[0]+"\r\n")
+	tc.expectPrefix(requestOn(conn, "KV.SET", "key", "id", "c=put"), "-ERR ")
+	if n := tc.cacheRequests.Load(); n != 0 {
+		t.Errorf("%d foreign commands were counted", n)
+	}
+}
--- a/internal/node/sockstate/sockstate_test.go
+++ b/internal/node/sockstate/sockstate_test.go
@@ -5,16 +5,16 @@
 	"net"
 	"testing"
 	"time"
+
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // pair returns both ends of a TCP connection on loopback.
 func pair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	defer func() { _ = ln.Close() }() // nothing is lost with it
+	var err error
 	client, err = net.Dial("tcp", ln.Addr().String())
 	if err != nil {
 		t.Fatal(err)
@@ -105,10 +105,7 @@
 
 // A connection waits from its being established until it is accepted.
 func TestHasPending(t *testing.T) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	defer ln.Close() //nolint:errcheck // the test is over
 	if HasPending(ln) {
 		t.Error("a connection waits before there was any")
--- a/internal/node/testcluster_test.go
+++ b/internal/node/testcluster_test.go
@@ -6,7 +6,6 @@
 	"io"
 	"net"
 	"net/http"
-	"net/http/httptest"
 	"strconv"
 	"strings"
 	"sync/atomic"
@@ -19,6 +18,8 @@
 	"mintspring/internal/config/settings"
 	"mintspring/internal/node/discovery"
 	"mintspring/internal/node/lifecycle"
+	"mintspring/internal/testbed/fakes"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 const settingsText = `{"Discovery":"subscribe","FamilyInfo":{"Mode":"aside","OriginKind":1},"Kinds":["box","origin"],
@@ -60,7 +61,7 @@
 		addr := tc.startCache()
 		entries = append(entries, entry(fmt.Sprint("s", i), addr, "box"))
 	}
-	origin := httptest.NewServer(serveOrigin)
+	origin := loopbacktest.StartServer(t, serveOrigin)
 	t.Cleanup(origin.CloseClientConnections)
 	tc.originAddr = strings.TrimPrefix(origin.URL, "http://")
 	entries = append(entries, entry("o", tc.originAddr, "origin"))
@@ -93,13 +94,17 @@
 	return tc
 }
 
-// startCache starts a fake cache server and returns its address.
+// startCache starts a fake cache server and returns its address. It refuses what is no request to a cache server.
 func (tc *testCluster) startCache() string {
 	ln := listen(tc.t)
 	addr := ln.Addr().String()
 	tc.cacheAddrs = append(tc.cacheAddrs, addr)
 	go func() {
 		err := redcon.Serve(ln, func(c redcon.Conn, cmd redcon.Command) {
+			if !fakes.IsCacheRequest(cmd.Args) {
+				c.WriteError("ERR not a request to a cache server")
+				return
+			}
 			tc.cacheRequests.Add(1)
 			tc.serveCache(c, string(cmd.Args[1]), string(cmd.Args[2]))
 		}, nil, nil)
@@ -110,7 +115,7 @@
 
 // startDiscovery starts a fake discovery service that sends a list and then the lines of listUpdates. It returns its address.
 func (tc *testCluster) startDiscovery(entries []string) string {
-	d := httptest.NewServer(http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) {
+	d := loopbacktest.StartServer(tc.t, http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) {
 		writeString(rw, fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`+"\n", strings.Join(entries, ",")))
 		for {
 			rw.(http.Flusher).Flush()
@@ -146,10 +151,7 @@
 
 func listen(t *testing.T) net.Listener {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	t.Cleanup(func() { closeQuietly(ln) })
 	return ln
 }
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -2,18 +2,18 @@
 
 import (
 	"net/http"
-	"net/http/httptest"
 	"strings"
 	"sync"
 	"testing"
 
 	"mintspring/internal/node/hotrestart"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // silentService is the address of a discovery service that accepts calls and sends nothing.
 func silentService(t *testing.T) string {
 	t.Helper()
-	service := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() }))
+	service := loopbacktest.StartServer(t, http.HandlerFunc(func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() }))
 	t.Cleanup(service.CloseClientConnections)
 	return strings.TrimPrefix(service.URL, "http://")
 }
--- a/internal/node/upstream/harness_test.go
+++ b/internal/node/upstream/harness_test.go
@@ -17,6 +17,7 @@
 	"mintspring/internal/node/exchange"
 	"mintspring/internal/node/fdlimit"
 	"mintspring/internal/node/memlimit"
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // lineProtocol is a protocol of one line each way. A response "boom" makes its parser panic.
@@ -73,10 +74,7 @@
 
 func newHarness(t *testing.T, serve func(c net.Conn)) *harness {
 	t.Helper()
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	ln := loopbacktest.Listen(t)
 	r := &harness{t: t, ended: make(chan Completion, 100), panics: make(chan any, 10), ln: ln, conns: make(chan net.Conn, 100)}
 	t.Cleanup(func() { closeConn(ln) })
 	go func() {
--- a/internal/testbed/controlplanebench/controlplanebench.go
+++ b/internal/testbed/controlplanebench/controlplanebench.go
@@ -6,7 +6,6 @@
 import (
 	"fmt"
 	"io"
-	"net"
 	"sync"
 	"time"
 
@@ -19,6 +18,7 @@
 	"mintspring/internal/fleet"
 	"mintspring/internal/node/discovery"
 	"mintspring/internal/testbed/fakediscovery"
+	"mintspring/internal/testbed/loopback"
 )
 
 // clusterName names the resources of the control plane.
@@ -75,7 +75,7 @@
 	for i := range serverCount {
 		endpoints = append(endpoints, endpointJSON(i, discovery.PhaseInService))
 	}
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := loopback.Listen()
 	if err != nil {
 		return nil, fmt.Errorf("listening for proxies: %w", err)
 	}
--- a/internal/testbed/fakediscovery/fakediscovery.go
+++ b/internal/testbed/fakediscovery/fakediscovery.go
@@ -5,11 +5,12 @@
 import (
 	"errors"
 	"fmt"
-	"net"
 	"net/http"
 	"strings"
 	"sync"
 	"time"
+
+	"mintspring/internal/testbed/loopback"
 )
 
 const (
@@ -48,7 +49,7 @@
 
 // Start starts a discovery service with a list of endpoints, each as EndpointJSON returns it. It runs until Close.
 func Start(endpoints []string) (*Server, error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := loopback.Listen()
 	if err != nil {
 		return nil, fmt.Errorf("starting a fake discovery service: %w", err)
 	}
--- a/internal/testbed/fakes/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -9,6 +9,7 @@
 	"sync"
 	"time"
 
+	"mintspring/internal/testbed/loopback"
 	"mintspring/internal/testbed/servermodel"
 )
 
@@ -70,7 +71,7 @@
 
 // listen serves a node at a new address. Called with the lock held, or before anybody else knows of d.
 func (d *Discovery) listen(node int) error {
-	l, err := net.Listen("tcp4", "127.0.0.1:0")
+	l, err := loopback.Listen()
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/fakes/protocol.go
+++ b/internal/testbed/fakes/protocol.go
@@ -60,6 +60,26 @@
 	}
 }
 
+// Commands of cache servers, and how many words each has at least: the name, the key, the request id, options, and the value of a write.
+const (
+	readCommand, readWords   = "KV.GET", 4
+	writeCommand, writeWords = "KV.SET", 5
+)
+
+// IsCacheRequest reports whether a command is a request to a cache server, with all words that it needs.
+func IsCacheRequest(words [][]byte) bool {
+	if len(words) == 0 {
+		return false
+	}
+	switch strings.ToUpper(string(words[0])) {
+	case readCommand:
+		return len(words) >= readWords
+	case writeCommand:
+		return len(words) >= writeWords
+	}
+	return false
+}
+
 // newRESPReader reads the commands of a cache server.
 func newRESPReader(in io.Reader) commandReader {
 	reader := redcon.NewReader(in)
@@ -74,12 +94,12 @@
 			return servermodel.Request{}, []byte("+PONG\r\n"), nil
 		case name == "CLIENT" || name == "SELECT":
 			return servermodel.Request{}, []byte("+OK\r\n"), nil
-		case name != "KV.GET" && name != "KV.SET":
+		case name != readCommand && name != writeCommand:
 			return servermodel.Request{}, []byte("-ERR unknown\r\n"), nil
-		case len(command.Args) < 4 || name == "KV.SET" && len(command.Args) < 5:
+		case !IsCacheRequest(command.Args):
 			return servermodel.Request{}, []byte("-SYNTAX\r\n"), nil
 		}
-		request := servermodel.Request{Key: string(command.Args[1]), RequestID: string(command.Args[2]), Write: name == "KV.SET"}
+		request := servermodel.Request{Key: string(command.Args[1]), RequestID: string(command.Args[2]), Write: name == writeCommand}
 		parseOptions(&request, string(command.Args[3]))
 		return request, nil, nil
 	}
--- a/internal/testbed/faultrounds/machine_test.go
+++ b/internal/testbed/faultrounds/machine_test.go
@@ -10,6 +10,7 @@
 	"strings"
 	"testing"
 
+	"mintspring/internal/testbed/loopback"
 	"mintspring/internal/testbed/processtest"
 )
 
@@ -31,13 +32,13 @@
 // Two processes whose ids agree in the bits that choose a network first have different addresses: the test programs of two packages run at once.
 func TestProcessesHaveDifferentAddresses(t *testing.T) {
 	const (
-		maxStarts = 20 * netCount
+		maxStarts = 20 * loopback.NetworkCount
 		// runIfSameNet becomes the test program if the id of the process has the remainder that is asked for.
 		runIfSameNet = `[ $(($$ % $1)) = "$2" ] && exec "$0" "$3" x; exit 7`
 	)
-	net := strconv.Itoa(os.Getpid() % netCount)
+	net := strconv.Itoa(os.Getpid() % loopback.NetworkCount)
 	for range maxStarts {
-		cmd := exec.CommandContext(t.Context(), "sh", "-c", runIfSameNet, os.Args[0], strconv.Itoa(netCount), net, printAddress)
+		cmd := exec.CommandContext(t.Context(), "sh", "-c", runIfSameNet, os.Args[0], strconv.Itoa(loopback.NetworkCount), net, printAddress)
 		stdin, err := cmd.StdinPipe()
 		if err != nil {
 			t.Fatal(err)
--- a/internal/testbed/faultrounds/round.go
+++ b/internal/testbed/faultrounds/round.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"mintspring/internal/cluster/faultrelay"
+	"mintspring/internal/testbed/loopback"
 )
 
 // Options configure a round.
@@ -49,7 +50,7 @@
 	Failures []string // nodes that exited by themselves
 
 	options   Options
-	net       int // loopback network of the process
+	network   byte // of loopback addresses, of the process
 	startedAt time.Time
 }
 
@@ -69,7 +70,7 @@
 
 func (r *Round[C]) open() error {
 	var err error
-	if r.net, err = ownNet(); err != nil {
+	if r.network, err = loopback.Network(); err != nil {
 		return err
 	}
 	if r.Dir, err = os.MkdirTemp("", r.options.Name+"-"); err != nil {
@@ -87,7 +88,7 @@
 }
 
 // Addr returns the address of the nth socket of the round: the nodes' own datagram sockets come first.
-func (r *Round[C]) Addr(n int) string { return addrInNet(r.net, r.options.Seed, n) }
+func (r *Round[C]) Addr(n int) string { return addrInNet(r.network, r.options.Seed, n) }
 
 // AddrsFrom returns the addresses at which a node reaches the first so many nodes: the others through the relay, and itself directly.
 func (r *Round[C]) AddrsFrom(node, count int) []string {
--- a/internal/testbed/idempotencytest/executor.go
+++ b/internal/testbed/idempotencytest/executor.go
@@ -8,6 +8,8 @@
 	"net"
 	"sync"
 	"time"
+
+	"mintspring/internal/testbed/loopback"
 )
 
 // executor executes operations, each as often as it is requested, and counts.
@@ -21,7 +23,7 @@
 
 // startExecutor listens on a loopback address, and serves until close.
 func startExecutor(seed uint64) (*executor, error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := loopback.Listen()
 	if err != nil {
 		return nil, fmt.Errorf("start executor: %w", err)
 	}
--- a/internal/testbed/leasetest/resource.go
+++ b/internal/testbed/leasetest/resource.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"mintspring/internal/cluster/lease"
+	"mintspring/internal/testbed/loopback"
 )
 
 // Lines between contenders and the resource: a request has a kind, the contender's number and its fencing token.
@@ -42,7 +43,7 @@
 }
 
 func startResource() (*fencedResource, error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := loopback.Listen()
 	if err != nil {
 		return nil, fmt.Errorf("start the resource: %w", err)
 	}
--- a/internal/testbed/leasetest/round.go
+++ b/internal/testbed/leasetest/round.go
@@ -15,6 +15,7 @@
 	"mintspring/internal/cluster/faultrelay"
 	"mintspring/internal/cluster/lease"
 	"mintspring/internal/testbed/faultrounds"
+	"mintspring/internal/testbed/loopback"
 )
 
 const (
@@ -100,7 +101,11 @@
 	for i := range r.config.Contenders {
 		r.addContender(r.config.replicaCount() + i)
 	}
-	if r.admin, err = replica.NewClient("127.0.0.1:0", replicaAddrs, 0, func(uint64, lease.Result) {}); err != nil {
+	adminAddr, err := loopback.AnyPort()
+	if err != nil {
+		return err
+	}
+	if r.admin, err = replica.NewClient(adminAddr, replicaAddrs, 0, func(uint64, lease.Result) {}); err != nil {
 		return err
 	}
 	return r.Start(r.Nodes...)
--- a/internal/testbed/reservedport/reservedport.go
+++ b/internal/testbed/reservedport/reservedport.go
@@ -1,11 +1,14 @@
-// Package reservedport reserves loopback addresses for processes that listen on them later, or again and again.
+// Package reservedport reserves addresses of the process's loopback network for processes that listen on them later, or again and again.
 package reservedport
 
 import (
 	"errors"
 	"fmt"
 	"net"
+	"net/netip"
 	"syscall"
+
+	"mintspring/internal/testbed/loopback"
 )
 
 // Port is a loopback address that the kernel assigns to no socket that does not name its number.
@@ -34,12 +37,16 @@
 	return &Port{addr: addr, fd: fd}, nil
 }
 
-// bindLoopback binds a socket to a port of the kernel's choice and returns its address as host:port.
+// bindLoopback binds a socket to a host of its own and a port of the kernel's choice and returns its address as host:port.
 func bindLoopback(fd int) (string, error) {
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return "", err
 	}
-	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: [4]byte{127, 0, 0, 1}}); err != nil {
+	host, err := loopback.NextHost()
+	if err != nil {
+		return "", err
+	}
+	if err := syscall.Bind(fd, &syscall.SockaddrInet4{Addr: host.As4()}); err != nil {
 		return "", err
 	}
 	bound, err := syscall.Getsockname(fd)
@@ -50,7 +57,7 @@
 	if !ok {
 		return "", fmt.Errorf("the socket is bound to a %T", bound)
 	}
-	return fmt.Sprint("127.0.0.1:", inet.Port), nil
+	return netip.AddrPortFrom(host, uint16(inet.Port)).String(), nil
 }
 
 // ReserveUDP reserves an address on loopback on which datagrams can be received too. Its number is reserved for TCP only: another
--- a/internal/testbed/reservedport/reservedport_test.go
+++ b/internal/testbed/reservedport/reservedport_test.go
@@ -4,10 +4,13 @@
 	"context"
 	"errors"
 	"net"
+	"net/netip"
 	"strconv"
 	"syscall"
 	"testing"
 	"time"
+
+	"mintspring/internal/testbed/loopbacktest"
 )
 
 // localPortRange is IP_LOCAL_PORT_RANGE of linux/in.h: the ports that the kernel may choose for a socket, the last one in the upper
@@ -51,18 +54,21 @@
 	}
 }
 
-// isGivenOut reports whether the kernel gives the address to a listener on port 0, and to an outgoing connection to peer.
+// isGivenOut reports whether the kernel gives the address to a listener on port 0 of its host, and to an outgoing connection to peer from
+// its host. A connection that names no host has the address of none of them: it goes out from 127.0.0.1.
 func isGivenOut(t *testing.T, addr, peer string) (listener, connection bool) {
 	t.Helper()
+	host := netip.MustParseAddrPort(addr).Addr()
+	anyPort := netip.AddrPortFrom(host, 0)
 	listenConfig := net.ListenConfig{Control: chooseOnly(t, addr)}
-	ln, err := listenConfig.Listen(context.Background(), "tcp4", "127.0.0.1:0")
+	ln, err := listenConfig.Listen(context.Background(), "tcp4", anyPort.String())
 	if errors.Is(err, syscall.ENOPROTOOPT) {
 		t.Skip("the kernel cannot be told which ports to choose from")
 	}
 	if listener = err == nil; listener {
 		closeOrFail(t, ln)
 	}
-	dialer := net.Dialer{Control: chooseOnly(t, addr), Timeout: time.Second}
+	dialer := net.Dialer{Control: chooseOnly(t, addr), LocalAddr: net.TCPAddrFromAddrPort(anyPort), Timeout: time.Second}
 	conn, err := dialer.Dial("tcp4", peer)
 	if connection = err == nil; connection {
 		closeOrFail(t, conn)
@@ -73,10 +79,7 @@
 // A reserved address is assigned to no socket that binds any port, to listen on or to connect from, also while a listener of its own
 // comes and goes; the same calls are given an address that is no longer reserved.
 func TestReservedAddressIsNotGivenOut(t *testing.T) {
-	peer, err := net.Listen("tcp4", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
+	peer := loopbacktest.Listen(t)
 	defer closeOrFail(t, peer)
 	released := reserve(t)
 	closeOrFail(t, released)
--- a/internal/testbed/syscalltrace/tracer_linux_amd64_test.go
+++ b/internal/testbed/syscalltrace/tracer_linux_amd64_test.go
@@ -13,6 +13,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"mintspring/internal/testbed/loopback"
 )
 
 // The test binary starts itself as the tracer, and as the program that is traced. Each role has its environment variable.
@@ -21,6 +23,9 @@
 	tracedAction = "SYSCALLTRACE_TEST_ACTION" // what the traced program does
 )
 
+// listenAddr names the address, on the loopback network of the tests' process, on which the traced program listens.
+const listenAddr = "SYSCALLTRACE_TEST_LISTEN"
+
 // faultsPrefix begins the mode of a tracer that fails calls by a plan.
 const faultsPrefix = "faults:"
 
@@ -42,6 +47,14 @@
 		}
 		os.Exit(0)
 	}
+	addr, err := loopback.AnyPort()
+	if err == nil {
+		err = os.Setenv(listenAddr, addr)
+	}
+	if err != nil {
+		fmt.Fprintln(os.Stderr, err)
+		os.Exit(1)
+	}
 	os.Exit(m.Run())
 }
 
@@ -163,7 +176,7 @@
 
 // connPair returns the ends of a TCP connection.
 func connPair() (dialed, accepted net.Conn, err error) {
-	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	listener, err := net.Listen("tcp4", os.Getenv(listenAddr))
 	if err != nil {
 		return nil, nil, err
 	}
@@ -218,8 +231,12 @@
 
 // A plan fails just the calls that it names: the program sees the errno, or goes on where the standard library deals with it.
 func TestFaults(t *testing.T) {
+	host, _, err := net.SplitHostPort(os.Getenv(listenAddr))
+	if err != nil {
+		t.Fatal(err)
+	}
 	for _, test := range []struct{ plan, action, result string }{
-		{"calls=connect,errno=EADDRNOTAVAIL", "tcp", actionFailed + ": dial tcp4 127.0.0.1"},
+		{"calls=connect,errno=EADDRNOTAVAIL", "tcp", actionFailed + ": dial tcp4 " + host + ":"},
 		{"calls=connect,errno=EADDRNOTAVAIL,from=1m", "tcp", actionWorked},
 		{"calls=connect,errno=EADDRNOTAVAIL,share=0", "tcp", actionWorked},
 		{"calls=accept,errno=ECONNABORTED,limit=1", "tcp", actionWorked},
