--- a/internal/cluster/participant/participant.go
+++ b/internal/cluster/participant/participant.go
@@ -228,14 +228,14 @@
 	return leases
 }
 
-// ServerChange is a change of what others say of a server, for the log.
-type ServerChange struct {
-	ID fleet.ServerID
+// EvidenceChange is a change of what others say of a server, for the log.
+type EvidenceChange struct {
+	ServerID fleet.ServerID
 	outlier.Change
 }
 
-// DrainChanges returns the changes since the last call. An age of -1 stands for no evidence.
-func (p *Participant) DrainChanges() (changes []ServerChange) {
+// DrainEvidenceChanges returns the changes since the last call. An age of -1 stands for no evidence.
+func (p *Participant) DrainEvidenceChanges() (changes []EvidenceChange) {
 	for _, change := range p.changes {
 		id, known := p.serversByHash[change.Server]
 		if !known {
@@ -244,7 +244,7 @@
 		if math.IsInf(change.AgeMs, 1) {
 			change.AgeMs = -1
 		}
-		changes = append(changes, ServerChange{ID: id, Change: change})
+		changes = append(changes, EvidenceChange{ServerID: id, Change: change})
 	}
 	p.changes = p.changes[:0]
 	return changes
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -217,8 +217,8 @@
 
 // logServerChanges logs what the evidence of other nodes says of a server, where that has changed.
 func (c *clusterMember) logServerChanges() {
-	for _, change := range c.participant.DrainChanges() {
-		log := c.node.log.WithField("server", c.node.servers[change.ID].entry.ID).WithField("sources", change.Sources).
+	for _, change := range c.participant.DrainEvidenceChanges() {
+		log := c.node.log.WithField("server", c.node.servers[change.ServerID].entry.ID).WithField("sources", change.Sources).
 			WithField("evidence_age_ms", int(change.AgeMs))
 		switch {
 		case change.Duplicating:
--- a/internal/testbed/simulator/clustermember.go
+++ b/internal/testbed/simulator/clustermember.go
@@ -64,7 +64,7 @@
 	if !p.node.frozen {
 		m.send(m.participant.Tick(p.localNow()))
 		m.participant.Gossip.DrainEvents()
-		m.participant.DrainChanges()
+		m.participant.DrainEvidenceChanges()
 		p.runDueWork()
 	}
 	p.sim.scheduleAfter(gossipInterval, actionFunc(m.tick))
