--- a/internal/cluster/lease/example_test.go
+++ b/internal/cluster/lease/example_test.go
@@ -6,14 +6,14 @@
 	"mintspring/internal/cluster/lease"
 )
 
-// Two processes want one lease. The state stands for a replica of the consensus group, which applies the commands in the order in
-// which they were committed.
+// Two processes compete for one lease. The state is that of one replica of the consensus group, which applies commands in the order in which they
+// were committed.
 func Example() {
 	state := lease.NewState()
 	tracker := lease.NewExpiryTracker()
 	a := lease.NewClient("rolling-restart", lease.Process{Node: 1, Incarnation: 10}, 1000)
 	b := lease.NewClient("rolling-restart", lease.Process{Node: 2, Incarnation: 20}, 1000)
-	// request sends the next command of a client at one time and hands it the result, as if both took no time.
+	// request applies the next command of a client at the given time and passes the result back without delay.
 	request := func(c *lease.Client, now float64) {
 		id, command := c.NextRequest(now)
 		c.HandleResult(id, state.Apply(command))
@@ -24,7 +24,7 @@
 	request(b, 0)
 	fmt.Println("a may act:", a.MayAct(0, 100), "token:", a.Token(), "- b may act:", b.MayAct(0, 100))
 
-	// a stops renewing. By its own clock it may not act any more long before the leader expires the lease.
+	// a stops renewing. By its own clock its lease ends at 1000 ms, before the leader expires it.
 	fmt.Println("at 1000 ms a may act:", a.MayAct(1000, 100), "- commands due:", len(tracker.DueCommands(1000, state)))
 	for _, command := range tracker.DueCommands(1050, state) {
 		fmt.Println("at 1050 ms the leader expires the lease:", state.Apply(command).OK)
@@ -32,7 +32,7 @@
 	request(b, 1060)
 	fmt.Println("b may act:", b.MayAct(1060, 100), "token:", b.Token())
 
-	// A resource that has seen the new token rejects what a still sends under its old one.
+	// A resource that has seen the new token rejects operations that a sends under its old token.
 	var fence lease.Fence
 	fmt.Println("operation of b:", fence.Allow("rolling-restart", b.Token()))
 	fmt.Println("late operation of a:", fence.Allow("rolling-restart", a.Token()))
@@ -45,8 +45,8 @@
 	// late operation of a: false
 }
 
-// Progress of a task is written under the fencing token and the revision that it was read at, so that it cannot be overwritten by
-// a holder that has lost the lease.
+// A write of a task's progress carries the fencing token and the revision that was read, so that a process that has lost the lease cannot
+// overwrite newer progress.
 func ExampleState_Apply() {
 	state := lease.NewState()
 	first, second := lease.Process{Node: 1, Incarnation: 10}, lease.Process{Node: 2, Incarnation: 20}
--- a/internal/cluster/lease/expiry.go
+++ b/internal/cluster/lease/expiry.go
@@ -5,28 +5,28 @@
 	"slices"
 )
 
-// expiryMargin is the share of its TTL that a lease stays held beyond the TTL. It covers the clocks of a holder and of a leader that run apart
-// by twice [MaxClockDrift].
+// expiryMargin is the time after the TTL at which the leader expires a lease, as a share of the TTL. It covers a holder's clock that is slow and
+// a leader's clock that is fast by [MaxClockDrift]: 1.024/0.976 = 1.049.
 const expiryMargin = 0.05
 
-// observation is what a replica saw of one lease when that last changed.
+// observation is the state of one lease at its last change that a replica has observed.
 type observation struct {
 	renewals    uint64
 	held        bool
 	firstWaiter Process
-	sinceMillis float64 // by the replica's own clock
+	sinceMillis float64 // time of the change, by the replica's own clock
 }
 
-// ExpiryTracker measures by a replica's own clock how long leases have not been renewed. Each replica keeps one for the state that it has
-// applied; the leader's counts. It is not safe for concurrent use.
+// ExpiryTracker measures by a replica's own clock the time since each lease last changed. Each replica has a tracker for the state that it has
+// applied; only the leader proposes the commands that its tracker reports as due. It is not safe for concurrent use.
 type ExpiryTracker struct {
-	observed map[string]observation // by name of the lease
+	observed map[string]observation // by lease name
 }
 
-// NewExpiryTracker returns a tracker that has observed nothing. For leases that are held by then, time counts from its first observation.
+// NewExpiryTracker returns a tracker that has observed no lease. The time of a lease that is already held counts from the first observation.
 func NewExpiryTracker() *ExpiryTracker { return &ExpiryTracker{observed: map[string]observation{}} }
 
-// Observe records the state that the replica has applied by now.
+// Observe records the changes of leases in the state that the replica has applied.
 func (t *ExpiryTracker) Observe(now float64, s *State) {
 	for name, l := range s.Leases {
 		var first Process
@@ -41,8 +41,8 @@
 	}
 }
 
-// DueCommands returns the commands that the leader is to propose now: to expire leases that were not renewed, and to skip waiters that do not
-// acquire a free lease.
+// DueCommands returns the commands for the leader to propose now. They expire leases that were not renewed in time, and skip waiters that did not
+// acquire a free lease in time.
 func (t *ExpiryTracker) DueCommands(now float64, s *State) []Command {
 	t.Observe(now, s)
 	var due []Command
--- a/internal/cluster/lease/explore_test.go
+++ b/internal/cluster/lease/explore_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-// exploredState is a state of a model and the event that led to it.
+// exploredState is a state of a model, with the event and the state that led to it.
 type exploredState struct {
 	model       *model
 	predecessor *exploredState
 	event       string
 }
 
-// path returns the events from the beginning to the state.
+// path returns the events that lead from the initial state to s.
 func (s *exploredState) path() []string {
 	var events []string
 	for ; s.predecessor != nil; s = s.predecessor {
@@ -24,14 +24,14 @@
 	return events
 }
 
-// explore tries every order of events of a model, breadth first. It returns the shortest path to a violation, if there is one, and how many
-// states it has seen.
+// explore visits the states that every order of events of a model leads to, breadth first. It returns the shortest path to a violation, if there
+// is one, and the number of states visited.
 func explore(options *modelOptions) (path []string, violation string, states int) {
 	seen, seed := map[uint64]struct{}{}, maphash.MakeSeed()
-	layer := []*exploredState{{model: newModel(options)}}
+	frontier := []*exploredState{{model: newModel(options)}}
 	for range options.maxEvents {
 		var next []*exploredState
-		for _, from := range layer {
+		for _, from := range frontier {
 			for _, e := range from.model.events() {
 				m := from.model.clone()
 				e.apply(m)
@@ -49,13 +49,14 @@
 				next = append(next, to)
 			}
 		}
-		layer = next
+		frontier = next
 	}
 	return nil, "", states
 }
 
-// Every order of events of two contenders and up to two replicas, with the clocks of contenders as slow and those of replicas as fast as is
-// allowed: no two contenders may act at the same moment, and none under a lower token than one before it.
+// In every order of events of two contenders and up to two replicas, no two contenders may act at the same moment, and none may act under a lower
+// token than a contender before it. In the case of clock drift the contenders' clocks run as slow, and the replicas' clocks as fast, as
+// MaxClockDrift allows.
 func TestEveryOrderOfEvents(t *testing.T) {
 	for name, options := range map[string]*modelOptions{
 		"clock drift": {
--- a/internal/cluster/lease/fence.go
+++ b/internal/cluster/lease/fence.go
@@ -1,11 +1,11 @@
 package lease
 
-// Fence is the check of fencing tokens by a resource that leases protect. The zero value has seen no token. It is not safe for concurrent use.
+// Fence checks fencing tokens for a resource that leases protect. The zero value has seen no token. It is not safe for concurrent use.
 type Fence struct {
-	highest map[string]Token // the highest token seen of each lease
+	highest map[string]Token // highest token seen, by lease name
 }
 
-// Allow reports whether an operation under a token may take effect, which it may unless a higher token of the lease was seen before.
+// Allow reports whether an operation under a token may take effect. It may not once a higher token of the same lease was seen.
 func (f *Fence) Allow(name string, t Token) bool {
 	if f.highest == nil {
 		f.highest = map[string]Token{}
--- a/internal/cluster/lease/golden_test.go
+++ b/internal/cluster/lease/golden_test.go
@@ -17,10 +17,10 @@
 	}}
 }
 
-// The encodings of commands, results and the state stand in logs, snapshots and datagrams of running fleets: these bytes must not change.
+// The encodings of commands, results and the state are in the logs, snapshots and datagrams of running fleets: these bytes must not change.
 func TestGoldenEncodings(t *testing.T) {
 	a, b := Process{Node: 1, Incarnation: 0x18bcfe56800abcd}, Process{Node: 2, Incarnation: 7}
-	for _, x := range []struct {
+	for _, test := range []struct {
 		file  string
 		value any
 	}{
@@ -35,14 +35,14 @@
 		{"result-held.json", Result{OK: true, Token: 9, Holder: a, Held: true, TTLMillis: 15000, Revision: 4, Progress: []byte("{}"), WaitersAhead: 2}},
 		{"result-none.json", Result{}},
 	} {
-		want := goldentest.Read(t, x.file)
-		got, err := json.Marshal(x.value)
+		want := goldentest.Read(t, test.file)
+		got, err := json.Marshal(test.value)
 		if err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: written as %s, %v; want %s", x.file, got, err, want)
+			t.Errorf("%s: written as %s, %v; want %s", test.file, got, err, want)
 		}
-		back := reflect.New(reflect.TypeOf(x.value))
-		if err := json.Unmarshal(want, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), x.value) {
-			t.Errorf("%s: read as %+v, %v; want %+v", x.file, back.Elem(), err, x.value)
+		decoded := reflect.New(reflect.TypeOf(test.value))
+		if err := json.Unmarshal(want, decoded.Interface()); err != nil || !reflect.DeepEqual(decoded.Elem().Interface(), test.value) {
+			t.Errorf("%s: read as %+v, %v; want %+v", test.file, decoded.Elem(), err, test.value)
 		}
 	}
 }
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -27,7 +27,7 @@
 	return c
 }
 
-// Tokens only rise, a held lease is granted to nobody else, and the state survives its encoding.
+// Tokens never decrease, a held lease is not granted again, and a state that is encoded and decoded encodes to the same bytes.
 func TestTokensAndGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := NewState()
@@ -49,13 +49,13 @@
 			}
 			lastToken = l.Token
 			if decoded, err := DecodeState(s.Encode()); err != nil || string(decoded.Encode()) != string(s.Encode()) {
-				t.Fatalf("the state does not survive its encoding: %v", err)
+				t.Fatalf("the decoded state encodes to other bytes: %v", err)
 			}
 		}
 	})
 }
 
-// checkGrant checks that a lease that was held before a command is still of the same holder after it, and was not granted anew.
+// checkGrant checks that a command did not grant a lease that was held before it, neither to another process nor to the holder.
 func checkGrant(t *rapid.T, before, after *Lease, lastGrant Token) {
 	if before == nil || !before.Held {
 		return
@@ -64,22 +64,22 @@
 		t.Fatalf("granted to %v while %v holds it", after.Holder, before.Holder)
 	}
 	if after.Token > lastGrant {
-		t.Fatal("granted while it is held")
+		t.Fatalf("granted again under token %d while it is held", after.Token)
 	}
 }
 
-// A fence allows nothing under a lower token than one before it.
+// A fence rejects operations under a token lower than one that it has seen for the same lease.
 func TestFence(t *testing.T) {
 	var f Fence
 	for _, c := range []struct {
 		token Token
 		want  bool
 	}{{3, true}, {3, true}, {2, false}, {5, true}, {4, false}} {
-		if f.Allow("a", c.token) != c.want {
-			t.Errorf("token %d", c.token)
+		if got := f.Allow("a", c.token); got != c.want {
+			t.Errorf("an operation under token %d is allowed: %v, want %v", c.token, got, c.want)
 		}
 	}
 	if !f.Allow("b", 1) {
-		t.Error("a token of another lease")
+		t.Error("a token of one lease makes the fence reject a lower token of another")
 	}
 }
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -9,20 +9,20 @@
 	"mintspring/internal/cluster"
 )
 
-// maxIncarnations of one contender in a model.
+// maxIncarnations is the number of incarnations that each contender may have, the first included.
 const maxIncarnations = 2
 
-// modelOptions bound the events of a model.
+// modelOptions limits the events of a model.
 type modelOptions struct {
 	contenders, replicas int
 
 	maxEvents   int
-	maxTicks    int     // events of these that pass time
-	tickMillis  float64 // that each of them passes
+	maxTicks    int     // events that advance the time
+	tickMillis  float64 // by which each tick advances the time
 	ttlMillis   float64
-	clockDrifts []float64 // of the contenders and then of the replicas; none: 0
+	clockDrifts []float64 // by process, contenders before replicas; 0 for the rest
 	maxMessages int       // in flight
-	maxRequests int       // of each contender; 0: any
+	maxRequests int       // of each contender; 0: unlimited
 
 	duplicates bool // messages may be delivered more than once
 	releases   bool // contenders may release the lease
@@ -46,8 +46,8 @@
 	expiry  *ExpiryTracker
 }
 
-// model is one state of contenders, replicas and the messages between them. Consensus is modelled as what it guarantees: one log of commands that
-// each replica applies at its own pace, to which any replica may append what its tracker finds due, as if it led.
+// model is one state of contenders, replicas and the messages between them. It models consensus by its guarantee: one log of commands that each
+// replica applies at its own pace. Any replica may append the commands that its tracker reports as due, as if it were the leader.
 type model struct {
 	options *modelOptions
 
@@ -60,11 +60,11 @@
 	replicas     []modelReplica
 	messages     []message
 
-	highestToken Token   // that anybody has acted under
-	lastActor    Process // who acted under it
+	highestToken Token   // under which a contender has acted
+	lastActor    Process // that acted under highestToken
 }
 
-// event is something that may happen next.
+// event is a transition from one state of the model to the next.
 type event struct {
 	description string
 	apply       func(m *model)
@@ -89,7 +89,7 @@
 	return NewClient(modelLease, p, m.options.ttlMillis)
 }
 
-// clockOf returns what the clock of a process shows. Contenders are numbered before replicas.
+// clockOf returns the time on the clock of a process. Processes are numbered with the contenders first, then the replicas.
 func (m *model) clockOf(process int) float64 {
 	drift := 0.0
 	if process < len(m.options.clockDrifts) {
@@ -114,7 +114,7 @@
 	return &ExpiryTracker{observed: maps.Clone(t.observed)}
 }
 
-// clone copies what an event may change in place. The log and messages are only ever replaced.
+// clone returns a copy that events may change. It shares the clients, states and trackers with m: events replace these by changed copies.
 func (m *model) clone() *model {
 	clone := *m
 	clone.clients = slices.Clone(m.clients)
@@ -125,7 +125,7 @@
 	return &clone
 }
 
-// mutableClient replaces a client by a copy that may be changed.
+// mutableClient replaces the client of a contender by a copy, and returns the copy for an event to change.
 func (m *model) mutableClient(contender int) *Client {
 	c := *m.clients[contender]
 	c.sentAt = maps.Clone(c.sentAt)
@@ -140,7 +140,7 @@
 	return m.state.Apply(c)
 }
 
-// key tells states apart.
+// key returns a string that differs between states from which different events can follow.
 func (m *model) key() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%v|%d|%v|", m.now, m.highestToken, m.lastActor)
@@ -160,16 +160,16 @@
 		fmt.Fprintf(&b, "|%d,%d,%v,%v", r.applied, o.renewals, o.held, o.sinceMillis)
 	}
 	messages := make([]string, 0, len(m.messages))
-	for _, x := range m.messages {
-		messages = append(messages, fmt.Sprint(x.isResult, x.contender, x.incarnation, x.requestID, x.command.Kind, x.command.Token,
-			x.result.OK, x.result.Token, x.result.Held, x.result.Holder))
+	for _, msg := range m.messages {
+		messages = append(messages, fmt.Sprint(msg.isResult, msg.contender, msg.incarnation, msg.requestID, msg.command.Kind, msg.command.Token,
+			msg.result.OK, msg.result.Token, msg.result.Held, msg.result.Holder))
 	}
 	slices.Sort(messages)
 	b.WriteString(strings.Join(messages, "&"))
 	return b.String()
 }
 
-// violation checks the state, records who acts, and returns what must never be the case, or "".
+// violation returns a description of the invariant that the state violates, or "". It records the highest token under which a contender acts.
 func (m *model) violation() string {
 	acting := -1
 	for i, c := range m.clients {
@@ -181,7 +181,7 @@
 		}
 		acting = i
 		if c.token < m.highestToken || c.token == m.highestToken && c.Process != m.lastActor {
-			return fmt.Sprintf("contender %d may act under token %d at %.0f ms, after another has under %d", i, c.token, m.now, m.highestToken)
+			return fmt.Sprintf("contender %d may act under token %d at %.0f ms, after another contender acted under token %d", i, c.token, m.now, m.highestToken)
 		}
 		m.highestToken, m.lastActor = c.token, c.Process
 	}
@@ -233,32 +233,32 @@
 	return all
 }
 
-// deliveryEvents are the deliveries of a message, after which it is gone or, with duplicates, may be delivered again.
+// deliveryEvents returns the deliveries of a message. With duplicates, one of them leaves the message in flight to be delivered again.
 func (m *model) deliveryEvents(k int) []event {
-	x := m.messages[k]
-	description := fmt.Sprintf("the group commits command %d of contender %d", x.command.Kind, x.contender)
-	if x.isResult {
-		description = fmt.Sprintf("contender %d receives the result of request %d", x.contender, x.requestID)
+	msg := m.messages[k]
+	description := fmt.Sprintf("the group commits command %d of contender %d", msg.command.Kind, msg.contender)
+	if msg.isResult {
+		description = fmt.Sprintf("contender %d receives the result of request %d", msg.contender, msg.requestID)
 	}
 	all := []event{{description, func(m *model) {
 		m.messages = slices.Delete(m.messages, k, k+1)
-		m.deliver(x)
+		m.deliver(msg)
 	}}}
 	if m.options.duplicates {
-		all = append(all, event{description + ", and the message stays in flight", func(m *model) { m.deliver(x) }})
+		all = append(all, event{description + ", and the message stays in flight", func(m *model) { m.deliver(msg) }})
 	}
 	return all
 }
 
-func (m *model) deliver(x message) {
-	if x.isResult {
-		// Also to a later incarnation: it has the same address, and may have a pending request of the same ID.
-		m.mutableClient(x.contender).HandleResult(x.requestID, x.result)
+func (m *model) deliver(msg message) {
+	if msg.isResult {
+		// A later incarnation receives it too: it has the same address, and may have a pending request with the same ID.
+		m.mutableClient(msg.contender).HandleResult(msg.requestID, msg.result)
 		return
 	}
-	r := m.commit(x.command)
-	if x.requestID > 0 && len(m.messages) < m.options.maxMessages+1 {
-		m.messages = append(m.messages, message{isResult: true, contender: x.contender, incarnation: x.incarnation, requestID: x.requestID, result: r})
+	r := m.commit(msg.command)
+	if msg.requestID > 0 && len(m.messages) < m.options.maxMessages+1 {
+		m.messages = append(m.messages, message{isResult: true, contender: msg.contender, incarnation: msg.incarnation, requestID: msg.requestID, result: r})
 	}
 }
 
@@ -276,7 +276,7 @@
 		}})
 	}
 	if due := cloneTracker(r.expiry).DueCommands(m.replicaClock(k), r.state); len(due) > 0 {
-		all = append(all, event{fmt.Sprintf("replica %d, which leads or believes so, commits %d due commands", k, len(due)), func(m *model) {
+		all = append(all, event{fmt.Sprintf("replica %d, as the leader or a former one, commits %d due commands", k, len(due)), func(m *model) {
 			r := &m.replicas[k]
 			r.expiry = cloneTracker(r.expiry)
 			for _, c := range r.expiry.DueCommands(m.replicaClock(k), r.state) {
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Bounds of the state. A snapshot of it has to fit one datagram.
+// Limits of the state. A snapshot of it has to fit in one datagram.
 const (
 	maxLeases        = 64
 	maxWaiters       = 1024
@@ -19,10 +19,10 @@
 	Held           bool      `json:"held"`
 	Holder         Process   `json:"holder"`   // the current holder, or the last one
 	Token          Token     `json:"token"`    // of the last grant
-	Renewals       uint64    `json:"renewals"` // grants and renewals since the lease exists
-	Waiters        []Process `json:"line"`     // in the order of their first request
-	Revision       uint64    `json:"rev"`      // grows with each write of the progress
-	ExpiredHolders []Process `json:"lost"`     // did not renew in time: they queue behind other waiters until a holder releases the lease
+	Renewals       uint64    `json:"renewals"` // number of grants and renewals since the lease was created
+	Waiters        []Process `json:"line"`     // in the order of their first requests
+	Revision       uint64    `json:"rev"`      // of the progress; each write increments it
+	ExpiredHolders []Process `json:"lost"`     // did not renew in time; other waiters go first until a holder releases the lease
 	Progress       []byte    `json:"progress,omitempty"`
 }
 
@@ -39,7 +39,7 @@
 func (s *State) Encode() []byte {
 	b, err := json.Marshal(s)
 	if err != nil {
-		panic(err) // plain values always encode
+		panic(err) // cannot happen: all fields can be encoded
 	}
 	return b
 }
@@ -53,8 +53,8 @@
 	return s, nil
 }
 
-// Apply applies a committed command and returns its result. It depends on the state and the command alone, and so is the same on each replica.
-// A command for a lease that neither exists nor can be created has the zero result.
+// Apply applies a committed command and returns its result. Both depend only on the state and the command, so that every replica computes the
+// same. The result is zero if the lease does not exist and the command cannot create it.
 func (s *State) Apply(c Command) Result {
 	l := s.leaseFor(c)
 	if l == nil {
@@ -73,7 +73,8 @@
 	}
 }
 
-// leaseFor returns the lease that a command is for. It is created by the first request to acquire it, or by operators who write its progress.
+// leaseFor returns the lease that a command names. The first request to acquire it, or operators who write its progress, create it. It returns
+// nil for a lease that does not exist otherwise.
 func (s *State) leaseFor(c Command) *Lease {
 	if l := s.Leases[c.Name]; l != nil {
 		return l
@@ -109,7 +110,8 @@
 	return false
 }
 
-// acquire grants a free lease to the first waiter that has not let it expire before, or enqueues the process.
+// acquire renews the lease if the process holds it. It enqueues any other process, and grants it the lease if that is free and the process is the
+// next waiter: the first that has not let the lease expire, or the first of all if each of them has.
 func (s *State) acquire(l *Lease, p Process) bool {
 	if l.Held && l.Holder == p {
 		l.Renewals++ // the response to an earlier request was lost
@@ -120,7 +122,7 @@
 	}
 	next := slices.IndexFunc(l.Waiters, func(w Process) bool { return !slices.Contains(l.ExpiredHolders, w) })
 	if next < 0 {
-		next = 0 // all of them have let it expire before
+		next = 0
 	}
 	if l.Held || len(l.Waiters) == 0 || l.Waiters[next] != p {
 		return false
@@ -132,7 +134,7 @@
 	return true
 }
 
-// isHeldUnder reports whether the sender of a command holds the lease under the command's token.
+// isHeldUnder reports whether the sender of a command holds the lease and the command has its current token.
 func (l *Lease) isHeldUnder(c Command) bool {
 	return l.Held && l.Holder == c.Process && l.Token == c.Token
 }
@@ -153,7 +155,7 @@
 	return true
 }
 
-// expire takes the lease from its holder, unless it was renewed since the leader proposed the command.
+// expire takes the lease from its holder, unless it was renewed after the leader proposed the command.
 func (l *Lease) expire(c Command) bool {
 	if !l.Held || l.Token != c.Token || l.Renewals != c.Renewals {
 		return false
@@ -165,7 +167,7 @@
 	return true
 }
 
-// skipWaiter removes the first waiter, unless the lease was granted since the leader proposed the command.
+// skipWaiter removes the first waiter, unless the lease was granted after the leader proposed the command.
 func (l *Lease) skipWaiter(c Command) bool {
 	if l.Held || l.Renewals != c.Renewals || len(l.Waiters) == 0 || l.Waiters[0] != c.Process {
 		return false
@@ -174,8 +176,8 @@
 	return true
 }
 
-// replaceProgress writes the progress if it was made from the current revision. The holder and the operators may write at the same time, and
-// neither may undo what the other has written.
+// replaceProgress writes the progress if the command was made from the current revision. The holder and operators may write at the same time;
+// the check prevents either from overwriting a change that it has not read.
 func (l *Lease) replaceProgress(c Command) bool {
 	if c.Revision != l.Revision || len(c.Progress) > maxProgressBytes {
 		return false
