--- a/internal/cluster/cluster.go
+++ b/internal/cluster/cluster.go
@@ -1,29 +1,31 @@
-// Package cluster holds what the parts of the inter-node protocols have in common. Its subpackages are what the nodes of a fleet do
-// together: they track which nodes are alive (membership), share budgets (quota), exchange evidence of failing servers (outlier) and counters
-// (counters). All of it travels in datagrams of at most 256 bytes (wire) and is tied together in gossip. Except for the socket in wire none
-// of them does I/O or reads a clock: a node on sockets and a simulated node drive the same code, with times in float64 milliseconds.
+// Package cluster defines the node id and the incarnation that the inter-node protocols share. Its subpackages implement the protocols.
 //
-// What each part guarantees when messages are lost:
+// The nodes of a fleet track which nodes are alive (membership), share budgets (quota), and exchange evidence of failing servers (outlier) and
+// counters (counters). Package gossip combines these four in datagrams of at most 256 bytes (wire). Except for the socket in wire none of them
+// does I/O or reads a clock: a node on sockets and a simulated node run the same code. Times are float64 milliseconds.
 //
-//   - membership: a node speaks only for itself. Silence makes it a suspect, and dead only after others had time to hear from it. A node that
-//     hears nobody considers itself isolated and declares nobody dead.
+// Guarantees when messages are lost:
 //
-//   - quota: a node leases out units of its own quota only. A lease expires by itself, at the borrower before it does at the lender. Without
-//     any message each node has its own quota; after a start, until all that it may have leased out has expired, it has the part that it
-//     never leases out.
+//   - membership: only a node itself refutes a suspicion of it. A silent node is suspected first, and declared dead after the other nodes had time
+//     to hear from it. A node that hears from nobody considers itself isolated and declares nobody dead.
 //
-//   - outlier: evidence of others raises or lowers the threshold for a node's own judgement. It ejects no server alone and expires unless it
-//     is renewed.
+//   - quota: a node leases out units of its own quota only. A lease expires without a message, for the borrower earlier than for the lender. A node
+//     that receives nothing may spend its own quota. A node that has just started may spend only the part that it never leases out, until all
+//     leases that its earlier process may have granted have expired.
 //
-//   - counters: a counter is as good as it is old, and its age is part of the message.
+//   - outlier: evidence from other nodes raises or lowers the threshold for a node's own observations. It never ejects a server by itself, and it
+//     expires unless it is renewed.
 //
-//   - idempotency: a replica answers only for records that its disk has, and what has been promised about a record, a majority of its replicas
-//     has. Without a majority no claim succeeds. Grants to a data directory that is lost do not count any more.
+//   - counters: a counter may be out of date; its age is part of the message.
 //
-// A node id does not identify a process: each start is a new incarnation, and state that belongs to an earlier one is ignored.
+//   - idempotency: a replica votes only for records that are synced to its disk, and every granted claim and recorded outcome is stored by a
+//     majority of the key's replicas. Without a majority no claim succeeds. Votes that were cast from a data directory that is now lost do not
+//     count.
+//
+// A node id does not identify a process: each start is a new incarnation, and state of an earlier incarnation is ignored.
 package cluster
 
-// NodeID is the number of a node among all nodes that the fleet may have; every node uses the same numbers.
+// NodeID is the number of a node in its fleet, from 0. All nodes use the same numbers.
 type NodeID uint16
 
 // Incarnation distinguishes the processes that run under one node id; a later process has a greater one.
--- a/internal/cluster/rollingrestart/plan.go
+++ b/internal/cluster/rollingrestart/plan.go
@@ -1,8 +1,8 @@
 // Package rollingrestart plans the restart of servers one after another.
 //
-// Each server is excluded by all nodes, its operators restart it, and the next one follows when it has warmed up. A [Plan] is stored as the progress
-// of a lease: the node that holds the lease advances it, and every node excludes the servers that it names. The package does no I/O and reads no
-// clock; times are Unix milliseconds.
+// All nodes exclude a server, its operators restart it, and the next server follows once this one has warmed up. A [Plan] is stored as the
+// progress of a lease: the node that holds the lease advances the plan, and every node excludes the servers that the plan lists as excluded. The
+// package does no I/O and reads no clock; times are Unix milliseconds.
 package rollingrestart
 
 import (
@@ -13,31 +13,31 @@
 	"strings"
 )
 
-// LeaseName is the name of the lease whose progress is the plan.
+// LeaseName is the name of the lease that has the plan as its progress.
 const LeaseName = "roll"
 
 // Restart is a server that is being restarted.
 type Restart struct {
 	Server        string  `json:"server"`
-	PreviousStart float64 `json:"started"` // of its process when it was excluded
-	Restarted     bool    `json:"back"`    // a later process has started: the server is used again and warms up
+	PreviousStart float64 `json:"started"` // start time of the process that was excluded
+	Restarted     bool    `json:"back"`    // a new process has started: the server is used again and warms up
 }
 
-// Plan is the state of a rolling restart. The zero value has nothing to restart. It is not safe for concurrent use.
+// Plan is the state of a rolling restart. The zero value has no servers to restart. It is not safe for concurrent use.
 type Plan struct {
-	Pending        []string  `json:"servers"` // not restarted yet, in order
-	MaxUnavailable int       `json:"most"`    // servers that may be excluded or warming up at once
+	Pending        []string  `json:"servers"` // not excluded yet, in the order of their restarts
+	MaxUnavailable int       `json:"most"`    // limit of servers that are excluded or warming up at once
 	InProgress     []Restart `json:"turns"`
 	Done           []string  `json:"done"`
-	Skipped        []string  `json:"gone"` // were not listed when their turn came
+	Skipped        []string  `json:"gone"` // were not in the endpoint list when they were next
 	Paused         bool      `json:"paused"`
 }
 
-// ServerStatus is what the endpoint list says of a server.
+// ServerStatus is the state of a server according to the endpoint list.
 type ServerStatus struct {
-	Listed      bool    // in service
-	ListedStart float64 // of its process, as the endpoint list gives it; 0: long ago
-	StartedAt   float64 // the same by this node's clock
+	Listed      bool    // the list has the server in service
+	ListedStart float64 // start time of its process, as listed; 0: unknown, long ago
+	StartedAt   float64 // start time of its process, by this node's clock
 }
 
 // NewPlan returns a plan to restart servers, of which at most maxUnavailable are excluded or warming up at once.
@@ -47,13 +47,13 @@
 	}
 	for i, s := range servers {
 		if s == "" || slices.Contains(servers[:i], s) {
-			return nil, fmt.Errorf("%q stands there twice, or is no server", s)
+			return nil, fmt.Errorf("server %q is empty or listed twice", s)
 		}
 	}
 	return &Plan{Pending: servers, MaxUnavailable: maxUnavailable}, nil
 }
 
-// DecodePlan reads a plan that Encode wrote. It returns nil for no bytes.
+// DecodePlan reads a plan that Encode wrote. It returns a nil plan for empty input.
 func DecodePlan(b []byte) (*Plan, error) {
 	if len(b) == 0 {
 		return nil, nil
@@ -69,12 +69,12 @@
 func (p *Plan) Encode() []byte {
 	b, err := json.Marshal(p)
 	if err != nil {
-		panic(err) // plain values always encode
+		panic(err) // cannot happen: all fields can be encoded
 	}
 	return b
 }
 
-// Finished reports whether there is nothing left to do.
+// Finished reports whether no server is left to restart or warm up.
 func (p *Plan) Finished() bool { return len(p.Pending) == 0 && len(p.InProgress) == 0 }
 
 // Excluded returns the servers that every node has to exclude. A nil plan excludes none.
@@ -86,7 +86,7 @@
 	return excluded
 }
 
-// splitInProgress returns the servers that are excluded and those that have restarted and warm up.
+// splitInProgress returns the servers in progress that are excluded, and those that have restarted and are warming up.
 func (p *Plan) splitInProgress() (excluded, warming []string) {
 	for _, r := range p.InProgress {
 		if r.Restarted {
@@ -98,9 +98,11 @@
 	return excluded, warming
 }
 
-// Advance takes the next step if one is due, and returns its description. The function status returns what the endpoint list says of a server;
-// a server has warmed up warmupMillis after its start. A server in progress that is not listed keeps its place among the MaxUnavailable, for good if it
-// is never listed again: it is missing, whether it comes back late or not at all, and only operators know which. They abort the plan in the latter case.
+// Advance takes the next step if one is due, and returns its description. The function status returns the state of a server; a server has warmed
+// up warmupMillis after its start.
+//
+// A server in progress that is no longer listed counts as unavailable until it is listed again. If it never is, the plan does not finish: the
+// package cannot tell a late server from one that is gone, so operators have to abort the plan.
 func (p *Plan) Advance(now, warmupMillis float64, status func(server string) ServerStatus) (step string, due bool) {
 	if step, due := p.advanceInProgress(now, warmupMillis, status); due {
 		return step, true
@@ -111,7 +113,7 @@
 	return p.startNext(status), true
 }
 
-// advanceInProgress notes that a server has restarted, or that it has warmed up.
+// advanceInProgress records that a server in progress has restarted or warmed up. It takes one step at most.
 func (p *Plan) advanceInProgress(now, warmupMillis float64, status func(server string) ServerStatus) (step string, due bool) {
 	for i := range p.InProgress {
 		r := &p.InProgress[i]
@@ -145,10 +147,10 @@
 	return server + " excluded, ready to be restarted"
 }
 
-// Abort gives up what is left of the plan. Servers that are excluded are used again.
+// Abort removes all servers that are pending or in progress. Excluded servers are used again.
 func (p *Plan) Abort() { p.Pending, p.InProgress = nil, nil }
 
-// String returns the plan in one line, as operators see it. A nil plan is none.
+// String returns the plan in one line, for operators. A nil plan stands for no rolling restart.
 func (p *Plan) String() string {
 	if p == nil {
 		return "no roll"
--- a/internal/cluster/rollingrestart/plan_test.go
+++ b/internal/cluster/rollingrestart/plan_test.go
@@ -17,7 +17,7 @@
 	maxSteps     = 400
 )
 
-// fleetModel is the servers that a plan restarts, with operators who restart those that are excluded.
+// fleetModel simulates the servers of a plan and the operators who restart the excluded ones.
 type fleetModel struct {
 	now     float64
 	servers map[string]ServerStatus
@@ -46,8 +46,8 @@
 	return count
 }
 
-// Whenever servers are restarted or are missing from the list, and whoever takes the next step from the stored plan: never more servers than allowed
-// are excluded or warming up, each is excluded at most once, and the plan finishes.
+// The plan finishes, with each server excluded at most once and never more servers excluded or warming up than allowed. Restarts come after
+// random delays, some servers are not listed, and the stored plan is decoded before each step, as by a new holder of the lease.
 func TestPlanFinishesWithinItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count, maxUnavailable := rapid.IntRange(1, 8).Draw(t, "servers"), rapid.IntRange(1, 3).Draw(t, "max unavailable")
@@ -62,7 +62,7 @@
 			before := p.Excluded()
 			fleet.restartSome(t, before)
 			p.Advance(fleet.now, warmupMillis, fleet.status)
-			if p, err = DecodePlan(p.Encode()); err != nil { // another holder continues
+			if p, err = DecodePlan(p.Encode()); err != nil { // another holder of the lease continues
 				t.Fatal(err)
 			}
 			countNew(exclusions, before, p.Excluded())
@@ -80,7 +80,7 @@
 	})
 }
 
-// drawFleet draws a fleet of servers, of which some may not be listed, and returns their names too.
+// drawFleet returns a fleet of servers, some of which may not be listed, and their names in order.
 func drawFleet(t *rapid.T, count int) (*fleetModel, []string) {
 	fleet := &fleetModel{now: 1e6, servers: map[string]ServerStatus{}}
 	var names []string
@@ -92,7 +92,7 @@
 	return fleet, names
 }
 
-// countNew counts the names that were not there before.
+// countNew increments the counts of the names that are in after but not in before.
 func countNew(counts map[string]int, before, after []string) {
 	for _, name := range after {
 		if !slices.Contains(before, name) {
@@ -122,16 +122,16 @@
 	p.Advance(10, warmup, startedAt(5))
 	p.Paused = true
 	if p.Advance(20, warmup, startedAt(15)); !p.InProgress[0].Restarted {
-		t.Error("paused, it does not use a restarted server again")
+		t.Error("a paused plan keeps a restarted server excluded")
 	}
 	p.Advance(30, warmup, startedAt(15))
 	if _, due := p.Advance(40, warmup, startedAt(5)); due || len(p.Done) != 1 {
-		t.Errorf("paused, it continues: %s", p)
+		t.Errorf("a paused plan excludes another server or does not finish the one in progress: %s", p)
 	}
 	p.Paused = false
 	p.Advance(50, warmup, startedAt(5))
 	if p.Abort(); len(p.Excluded()) > 0 || !p.Finished() {
-		t.Errorf("aborted, it is not finished: %s", p)
+		t.Errorf("an aborted plan excludes servers or is not finished: %s", p)
 	}
 }
 
@@ -143,8 +143,8 @@
 	}
 }
 
-// A server that is not listed any more, while it is excluded or while it warms up, keeps its place: no other is excluded, however long it takes, since
-// more than allowed would be missing. When it is listed again, the plan goes on.
+// A server that leaves the endpoint list while it is excluded or warming up still counts as unavailable: the plan excludes no other server,
+// however long that takes, since more servers than allowed would be missing. When the server is listed again, the plan continues.
 func TestUnlistedServerKeepsItsPlace(t *testing.T) {
 	const warmup, start, longAfter = 5.0, 10.0, 1e9
 	for _, restarted := range []bool{false, true} {
@@ -160,14 +160,14 @@
 		}
 		fleet.servers["a"] = ServerStatus{}
 		if step, due := p.Advance(longAfter, warmup, fleet.status); due || slices.Contains(p.Excluded(), "b") {
-			t.Errorf("restarted: %v: %q while a is missing: %s", restarted, step, p)
+			t.Errorf("restarted: %v: a step %q is taken while a is not listed: %s", restarted, step, p)
 		}
 		fleet.servers["a"] = ServerStatus{Listed: true, ListedStart: longAfter, StartedAt: longAfter}
 		for range 4 {
 			p.Advance(longAfter+warmup, warmup, fleet.status)
 		}
 		if !slices.Equal(p.Done, []string{"a"}) || !slices.Equal(p.Excluded(), []string{"b"}) {
-			t.Errorf("restarted: %v: a is listed again: %s", restarted, p)
+			t.Errorf("restarted: %v: the plan does not continue after a is listed again: %s", restarted, p)
 		}
 	}
 }
