--- a/internal/cluster/participant/golden_test.go
+++ b/internal/cluster/participant/golden_test.go
@@ -10,8 +10,8 @@
 	"mintspring/internal/testbed/wiretest"
 )
 
-// recordNodes returns the datagrams of two nodes with servers, budgets, tenants and keys, and the status of one of them as JSON.
-func recordNodes(t *testing.T) (datagrams [][]byte, status []byte) {
+// recordDatagrams returns the datagrams of two nodes with servers, budgets, tenants and keys, and the status of one of them as JSON.
+func recordDatagrams(t *testing.T) (datagrams [][]byte, status []byte) {
 	t.Helper()
 	const nodes = 2
 	network := simnet.New(nodes, 5)
@@ -40,9 +40,9 @@
 	return datagrams, status
 }
 
-// Two nodes send the same datagrams, byte for byte, and show the same status with the same names.
+// Two simulated nodes send the datagrams in the golden file, byte for byte, and report the status in the other one.
 func TestGoldenNodes(t *testing.T) {
-	datagrams, status := recordNodes(t)
+	datagrams, status := recordDatagrams(t)
 	wiretest.CheckDatagrams(t, "nodes.hex", datagrams)
 	if got, want := string(status)+"\n", string(goldentest.Read(t, "state.json")); got != want {
 		t.Errorf("the status is\n%s\nwant\n%s", got, want)
--- a/internal/cluster/participant/participant.go
+++ b/internal/cluster/participant/participant.go
@@ -1,6 +1,6 @@
-// Package participant connects a node to its fleet: it turns what the node observes of its servers into gossip, and what is known by gossip
-// into limits and evidence for the node's connection pools and decisions. It does no I/O and reads no clock; the node on sockets and the
-// simulated one are its hosts. One goroutine must own a Participant.
+// Package participant connects a node to its fleet. It publishes the node's observations of servers by gossip, and passes the quotas and evidence
+// received by gossip to the node's connection pools and decision module. It does no I/O and reads no clock; its hosts are the node on sockets and
+// the simulated node. One goroutine must own a Participant.
 package participant
 
 import (
@@ -16,22 +16,23 @@
 	"mintspring/internal/slowstart"
 )
 
-// pollIntervalMs is the time between two looks at the node's demand and counters.
+// pollIntervalMs is the interval at which the host's demands and counters are read.
 const pollIntervalMs = 200
 
-// trialSpread is the part of the lifetime of evidence over which nodes spread their trials of a server once one of them got a response.
+// trialSpread is the interval over which nodes spread their trial requests to a server after one of them received a response, as a share of the
+// lifetime of evidence.
 const trialSpread = 0.1
 
 // server is the state of one slot in the host's server table.
 type server struct {
 	nameHash        uint32
-	openBudget      uint32 // budget of connection openings
-	slowStartBudget uint32 // budget of work while the server is in slow start
-	startedAt       float64
+	openBudget      uint32  // id of the budget of connection openings
+	slowStartBudget uint32  // id of the budget of work while the server is in slow start
+	startedAt       float64 // start time of the process, Unix ms
 	listed          bool
 }
 
-// Participant is the participation of one node.
+// Participant connects one node to its fleet.
 type Participant struct {
 	Gossip *gossip.Node
 	host   Host
@@ -39,24 +40,24 @@
 	servers         []server // by slot
 	serversByHash   map[uint32]fleet.ServerID
 	serversByBudget map[uint32]fleet.ServerID
-	labels          map[uint32]string // the texts that hashes on the wire stand for, as far as this node knows them
+	namesByHash     map[uint32]string // names of servers, budgets and tenants, by their hashes on the wire
 	nextPollAt      float64
-	changes         []outlier.Change // not drained yet
+	evidenceChanges []outlier.Change // that DrainEvidenceChanges has not returned yet
 	traffic         trafficStats
 }
 
-// New returns the participation of a node that has just started.
+// New returns the Participant of a node that has just started.
 func New(now float64, config gossip.Config, incarnation cluster.Incarnation, host Host) *Participant {
 	return &Participant{
 		Gossip:          gossip.New(now, config, incarnation),
 		host:            host,
 		serversByHash:   map[uint32]fleet.ServerID{},
 		serversByBudget: map[uint32]fleet.ServerID{},
-		labels:          map[uint32]string{},
+		namesByHash:     map[uint32]string{},
 	}
 }
 
-// AddServer records that a cache server occupies a slot, and when its process started. Evidence of an earlier process is dropped.
+// AddServer records that a slot holds a cache server, whose process started at startedAt. It drops evidence of an earlier process.
 func (p *Participant) AddServer(now float64, id fleet.ServerID, name string, startedAt float64) {
 	for int(id) >= len(p.servers) {
 		p.servers = append(p.servers, server{})
@@ -79,15 +80,15 @@
 	p.serversByHash[s.nameHash] = id
 	p.serversByBudget[s.openBudget] = id
 	p.serversByBudget[s.slowStartBudget] = id
-	p.labels[s.nameHash] = name
-	p.labels[s.openBudget] = "opens at " + name
-	p.labels[s.slowStartBudget] = "work for " + name + " while it is cold"
+	p.namesByHash[s.nameHash] = name
+	p.namesByHash[s.openBudget] = "opens at " + name
+	p.namesByHash[s.slowStartBudget] = "work for " + name + " while it is cold"
 	p.Gossip.ForgetServer(s.nameHash)
 	p.Gossip.SetServerCount(len(p.serversByHash))
 	p.host.SetAllowance(now, id, p.Gossip.Allowance(now, s.openBudget))
 }
 
-// RemoveServer records that a slot is not occupied by a cache server any more.
+// RemoveServer records that a slot no longer holds a cache server.
 func (p *Participant) RemoveServer(id fleet.ServerID) {
 	if s := p.listedServer(id); s != nil {
 		p.unregister(s)
@@ -95,7 +96,7 @@
 	}
 }
 
-// listedServer returns the server in a slot; nil: there is none.
+// listedServer returns the server in a slot, or nil if there is none.
 func (p *Participant) listedServer(id fleet.ServerID) *server {
 	if int(id) < len(p.servers) && p.servers[id].listed {
 		return &p.servers[id]
@@ -110,12 +111,12 @@
 		delete(p.serversByBudget, hash)
 	}
 	for _, hash := range [...]uint32{s.nameHash, s.openBudget, s.slowStartBudget} {
-		delete(p.labels, hash)
+		delete(p.namesByHash, hash)
 	}
 	s.listed = false
 }
 
-// isServerFault reports whether a result counts against the server. A reset is more often the fault of its connection.
+// isServerFault reports whether a result counts as a failure of the server. A reset does not, since its cause is more often the connection.
 func isServerFault(r fleet.Result) bool {
 	return r == fleet.Failed || r == fleet.ConnectFailed || r == fleet.TimedOut
 }
@@ -138,7 +139,8 @@
 	}
 }
 
-// Tick does what is due, applies the changes to the host, and returns the messages to be sent after that.
+// Tick polls the host and runs the gossip protocol as far as they are due. It applies changes to the host, and returns the messages to send after
+// that.
 func (p *Participant) Tick(now float64) []*wire.Message {
 	if now >= p.nextPollAt {
 		p.nextPollAt = now + pollIntervalMs
@@ -146,11 +148,11 @@
 		p.publishCounters(now)
 	}
 	out := p.Gossip.Tick(now)
-	p.apply(now)
+	p.applyChanges(now)
 	return out
 }
 
-// pollDemands takes over the host's demands and the quotas that follow from its traffic.
+// pollDemands reads the host's demands and slow-start quotas.
 func (p *Participant) pollDemands(now float64) {
 	for i := range p.servers {
 		s, id := &p.servers[i], fleet.ServerID(i)
@@ -166,16 +168,15 @@
 	}
 }
 
-// HandleDatagram processes a datagram from the address of a node, applies the changes to the host, and returns the messages to be sent
-// after that.
+// HandleDatagram processes a datagram from the address of a node. It applies changes to the host, and returns the messages to send after that.
 func (p *Participant) HandleDatagram(now float64, from cluster.NodeID, b []byte) []*wire.Message {
 	out := p.Gossip.HandleDatagram(now, from, b)
-	p.apply(now)
+	p.applyChanges(now)
 	return out
 }
 
-// apply passes what has changed on to the host.
-func (p *Participant) apply(now float64) {
+// applyChanges applies changes of allowances and of evidence to the host.
+func (p *Participant) applyChanges(now float64) {
 	p.Gossip.DrainAllowances(now, func(budget uint32, allowance quota.Allowance) {
 		id, known := p.serversByBudget[budget]
 		switch {
@@ -194,19 +195,19 @@
 		p.host.SetIndirectEvidence(id, IndirectEvidence{
 			Bias:            change.Bias,
 			TrialIntervalMs: change.TrialIntervalMs,
-			TryBy:           p.tryBy(now, change),
+			TrialBy:         p.trialBy(now, change),
 		})
 		if change.Duplicating {
 			p.host.MarkDuplicating(now, id)
 		}
-		p.changes = append(p.changes, change)
+		p.evidenceChanges = append(p.evidenceChanges, change)
 	}
 }
 
-// tryBy returns the time by which a server that fails here is to be tried again. While others accuse it, their trials serve this node as well.
-// Once they receive responses, or do not accuse it any more, it is tried now. When the first of them receives a response it is tried soon, at
-// a time that differs by node, because hundreds of nodes learn of it together.
-func (p *Participant) tryBy(now float64, change outlier.Change) float64 {
+// trialBy returns the latest time of the next trial request to a server that fails here. It is +Inf while other nodes report only failures: their
+// trial requests serve this node as well. After one of them has received a response, each node tries the server soon, at a time that differs by
+// node, because hundreds of nodes learn of that response at once. When the reports of failures no longer prevail, this node tries it at once.
+func (p *Participant) trialBy(now float64, change outlier.Change) float64 {
 	switch {
 	case change.Bias <= 0:
 		return now
@@ -218,7 +219,7 @@
 	}
 }
 
-// slowStartLeases returns the leases of an allowance in the form of the slow-start meter.
+// slowStartLeases converts the leases of an allowance to those of package slowstart.
 func slowStartLeases(allowance quota.Allowance) slowstart.Leases {
 	leases := slowstart.Leases{Lent: float64(allowance.Lent) / quota.TotalUnits}
 	for _, lease := range allowance.Leases[:allowance.LeaseCount] {
@@ -228,15 +229,15 @@
 	return leases
 }
 
-// EvidenceChange is a change of what others say of a server, for the log.
+// EvidenceChange is a change of other nodes' evidence of a server, for the log.
 type EvidenceChange struct {
 	ServerID fleet.ServerID
 	outlier.Change
 }
 
-// DrainEvidenceChanges returns the changes since the last call. An age of -1 stands for no evidence.
+// DrainEvidenceChanges returns the changes since the last call. An AgeMs of -1 means that there is no evidence.
 func (p *Participant) DrainEvidenceChanges() (changes []EvidenceChange) {
-	for _, change := range p.changes {
+	for _, change := range p.evidenceChanges {
 		id, known := p.serversByHash[change.Server]
 		if !known {
 			continue
@@ -246,6 +247,6 @@
 		}
 		changes = append(changes, EvidenceChange{ServerID: id, Change: change})
 	}
-	p.changes = p.changes[:0]
+	p.evidenceChanges = p.evidenceChanges[:0]
 	return changes
 }
--- a/internal/cluster/participant/participant_test.go
+++ b/internal/cluster/participant/participant_test.go
@@ -17,7 +17,7 @@
 // DecisionAdapter finds the methods of the decision module at run time; a renamed method would go unnoticed.
 var _ decisionModule = (*decide.Node)(nil)
 
-// testHost is a node as its participant sees it.
+// testHost is a Host that returns the demands and quotas set by a test, and records the calls of its Participant.
 type testHost struct {
 	*Participant
 	demand          float64
@@ -30,7 +30,7 @@
 	leases      map[fleet.ServerID]slowstart.Leases
 }
 
-// newHost returns a node of a simulated fleet.
+// newHost returns a host with a Participant for a node of a simulated fleet.
 func newHost(network *simnet.Network, id, nodes int) *testHost {
 	h := &testHost{
 		slowStartQuota:  map[fleet.ServerID]float64{},
@@ -117,15 +117,15 @@
 	return network, hosts
 }
 
-// A node with demand borrows the openings of connections, and the slow-start quotas, that others do not need.
+// A node with demand borrows connection openings and slow-start quotas that other nodes do not need.
 func TestQuotasAreLeased(t *testing.T) {
-	const server, startedServer = 2, 7
+	const server, slowStartServer = 2, 7
 	network, hosts := newFleet()
 	hosts[0].demand = 0.8
 	for i, h := range hosts { // all nodes have a quota of a server in slow start, and one has demand
-		h.slowStartQuota[slot(i, startedServer)] = 0.01
+		h.slowStartQuota[slot(i, slowStartServer)] = 0.01
 	}
-	hosts[1].slowStartDemand[slot(1, startedServer)] = 0.05
+	hosts[1].slowStartDemand[slot(1, slowStartServer)] = 0.05
 	network.Run(5000)
 	if got := hosts[0].allowed[slot(0, server)]; got < 0.6 {
 		t.Errorf("the node with a demand of 0.8 may spend %.2f", got)
@@ -133,9 +133,9 @@
 	if got := hosts[1].allowed[slot(1, server)]; got > 0.3 {
 		t.Errorf("a node without demand holds %.2f", got)
 	}
-	lent := hosts[0].leases[slot(0, startedServer)].Lent + hosts[2].leases[slot(2, startedServer)].Lent
+	lent := hosts[0].leases[slot(0, slowStartServer)].Lent + hosts[2].leases[slot(2, slowStartServer)].Lent
 	borrowed := 0.0
-	for _, lease := range hosts[1].leases[slot(1, startedServer)].Borrowed {
+	for _, lease := range hosts[1].leases[slot(1, slowStartServer)].Borrowed {
 		borrowed += lease.Rate
 	}
 	if lent > 0.0101 || lent < 0.007 || borrowed > lent || borrowed < 0.007 {
@@ -143,7 +143,8 @@
 	}
 }
 
-// What two nodes observe of a server reaches the third, in the third's own slot for it, and is dropped when the server's process is replaced.
+// Evidence of two nodes about a server reaches the third node, which has the server in another slot. It is dropped when a new process of the
+// server starts.
 func TestEvidenceIsShared(t *testing.T) {
 	const failing, reset, duplicating = 4, 5, 6
 	network, hosts := newFleet()
@@ -153,7 +154,7 @@
 			hosts[i].Observe(network.Now, slot(i, failing), fleet.TimedOut)
 		}
 		hosts[i].ObserveDuplicate(network.Now, slot(i, duplicating))
-		hosts[i].Observe(network.Now, slot(i, reset), fleet.Reset) // more often the fault of the connection
+		hosts[i].Observe(network.Now, slot(i, reset), fleet.Reset) // no evidence: its cause is more often the connection
 	}
 	network.Run(1500)
 	third := hosts[2]
@@ -167,7 +168,7 @@
 		}
 	}
 	third.RemoveServer(slot(2, failing))
-	third.Observe(network.Now, slot(2, failing), fleet.Failed) // of a server that is not there: ignored
+	third.Observe(network.Now, slot(2, failing), fleet.Failed) // ignored: the server has been removed
 }
 
 // Each node knows the counters of all nodes and the names of servers, tenants and keys.
@@ -187,7 +188,7 @@
 	tenants := status.LabeledCounters["queries_a_minute_of_tenants"]
 	if len(tenants) != 2 || tenants[0].Nodes != testNodes || tenants[0].Name == "" {
 		t.Errorf("tenants: %+v", tenants)
-	} else if tenants[0].Value < 500 || tenants[0].Value > 9000 { // 150 per second of all, rising to it
+	} else if tenants[0].Value < 500 || tenants[0].Value > 9000 { // the average rises towards 9000: all nodes together get 150 per second
 		t.Errorf("requests of a tenant: %+v", tenants[0])
 	}
 	keys := status.LabeledCounters["queries_a_minute_of_keys"]
@@ -204,7 +205,7 @@
 	}
 }
 
-// Evidence that arrived before a server was added is of an earlier process, and is dropped.
+// Evidence that arrives before a server is added concerns an earlier process of the server, and is dropped when the server is added.
 func TestEvidenceBeforeServerIsAdded(t *testing.T) {
 	network := simnet.New(testNodes, 5)
 	h := newHost(network, 0, testNodes)
--- a/internal/cluster/participant/traffic.go
+++ b/internal/cluster/participant/traffic.go
@@ -10,26 +10,26 @@
 	"mintspring/internal/hotkeys"
 )
 
-// trafficStats counts the requests of clients by tenant and by key.
+// trafficStats counts client requests by tenant and by key.
 type trafficStats struct {
 	tenants   []tenantRate // by tenant
 	keyCounts hotkeys.Counts
 	topKeys   hotkeys.Top
-	keyNames  map[uint32]string // by hash: the keys that are published
+	keyNames  map[uint32]string // by hash, of the keys whose rates are published
 }
 
-// tenantRate is how often one tenant sends requests.
+// tenantRate is the request rate of one tenant.
 type tenantRate struct {
 	requests  int     // since the last poll
 	perMinute float64 // decaying average
 }
 
 const (
-	rateSmoothing  = 0.05 // weight of the latest poll: an average over 4 s, as that of hotkeys
+	rateSmoothing  = 0.05 // weight of the latest poll: a time constant of 4 s, the same as the decay in hotkeys
 	pollsPerMinute = 60_000 / pollIntervalMs
 )
 
-// ObserveRequest counts a request of a client; name is the text of its key.
+// ObserveRequest counts a client request; name is the text of its key.
 func (p *Participant) ObserveRequest(request *fleet.Request, name []byte) {
 	if !p.Gossip.Config().ShareCounters {
 		return
@@ -45,7 +45,7 @@
 	t.topKeys.Offer(&t.keyCounts, uint64(request.Key), name)
 }
 
-// publishCounters publishes this node's counters: those of the node as a whole, and the greatest few of its servers, tenants and keys.
+// publishCounters publishes the counters of this node as a whole, and the counters of the servers, tenants and keys with the greatest values.
 func (p *Participant) publishCounters(now float64) {
 	if !p.Gossip.Config().ShareCounters {
 		return
@@ -86,7 +86,7 @@
 	return open, inUse
 }
 
-// tenantCounters takes a step of the tenants' rates and returns them.
+// tenantCounters updates the request rates of the tenants and returns them.
 func (p *Participant) tenantCounters() (all []counters.Labeled) {
 	for id := range p.traffic.tenants {
 		t := &p.traffic.tenants[id]
@@ -94,13 +94,13 @@
 		t.requests = 0
 		name := p.host.TenantName(fleet.TenantID(id))
 		label := wire.HashName("tenant " + name)
-		p.labels[label] = name
+		p.namesByHash[label] = name
 		all = append(all, labeled(label, int(t.perMinute+0.5)))
 	}
 	return all
 }
 
-// keyCounters returns the rates of the hottest keys and takes a step of their decay.
+// keyCounters returns the request rates of the most requested keys, then decays the counts.
 func (p *Participant) keyCounters() (all []counters.Labeled) {
 	p.traffic.keyNames = map[uint32]string{}
 	p.traffic.topKeys.Each(func(key uint64, name []byte) {
@@ -113,7 +113,7 @@
 	return all
 }
 
-// Status returns the node's state as its operators see it, with the names of hashes as far as this node knows them.
+// Status returns the node's state for operators, with the names for those hashes that this node knows.
 func (p *Participant) Status(now float64) gossip.Status {
 	status := p.Gossip.Status(now)
 	for i := range status.Budgets {
@@ -130,9 +130,9 @@
 	return status
 }
 
-// nameOf returns the text that a hash stands for; empty: it is not known.
+// nameOf returns the name for a hash on the wire, or "" if this node does not know it.
 func (p *Participant) nameOf(hash uint32) string {
-	if name, known := p.labels[hash]; known {
+	if name, known := p.namesByHash[hash]; known {
 		return name
 	}
 	return p.traffic.keyNames[hash]
