--- a/cmd/mintspring/consensus.go
+++ b/cmd/mintspring/consensus.go
@@ -31,7 +31,7 @@
 	if section == nil || section.MemberNumber == 0 {
 		return fmt.Errorf("%s: consensus.member: this node is no member", c.Operator)
 	}
-	identity := storage.Identity{Group: section.Name, Replica: uint64(section.MemberNumber), Generation: section.Generation}
+	identity := storage.Identity{Group: section.Name, ReplicaNumber: uint64(section.MemberNumber), Generation: section.Generation}
 	if err := storage.Create(section.DataDir, identity); err != nil {
 		return err
 	}
--- a/cmd/mintspring/rollingrestart_test.go
+++ b/cmd/mintspring/rollingrestart_test.go
@@ -207,7 +207,7 @@
 lease = "600ms"
 poll_interval = "100ms"
 `, f.members[0], f.members[1], f.members[2], f.members[3], i+1, f.consensusDir(n)))
-	if err := storage.Create(f.consensusDir(n), storage.Identity{Group: "c", Replica: uint64(i + 1)}); err != nil {
+	if err := storage.Create(f.consensusDir(n), storage.Identity{Group: "c", ReplicaNumber: uint64(i + 1)}); err != nil {
 		f.t.Fatal(err)
 	}
 	if _, err := operatorfile.Read(n.operator); err != nil {
--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -13,7 +13,7 @@
 func BenchmarkCommands(b *testing.B) {
 	const batch = 64
 	dir := filepath.Join(b.TempDir(), "data")
-	identity := storage.Identity{Group: "c", Replica: 1}
+	identity := storage.Identity{Group: "c", ReplicaNumber: 1}
 	if err := storage.Create(dir, identity); err != nil {
 		b.Fatal(err)
 	}
--- a/internal/cluster/consensus/replica/panic_test.go
+++ b/internal/cluster/consensus/replica/panic_test.go
@@ -17,7 +17,7 @@
 // newReplicaWithPanickingCore returns a replica whose core panics at whatever is called of it, since it has no Raft node.
 func newReplicaWithPanickingCore(t *testing.T, tickInterval time.Duration) *Replica {
 	t.Helper()
-	dir, identity := filepath.Join(t.TempDir(), "data"), storage.Identity{Group: "one", Replica: 1}
+	dir, identity := filepath.Join(t.TempDir(), "data"), storage.Identity{Group: "one", ReplicaNumber: 1}
 	if err := storage.Create(dir, identity); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/consensus/replica/replica.go
+++ b/internal/cluster/consensus/replica/replica.go
@@ -30,21 +30,21 @@
 
 // Config configures a replica.
 type Config struct {
-	Group         string
-	Number        uint64 // of this replica, from 1
-	Generation    int    // how often it was replaced after its data directory was lost
-	ListenAddr    string
-	ReplicaAddrs  []string // of all replicas by their numbers less one, this one among them
-	InitialVoters int      // the first so many vote when the group is created; 0: all
-	DataDir       string
-	TickInterval  time.Duration // of the consensus core
+	Group             string
+	Number            uint64 // of this replica, from 1
+	Generation        int    // how often it was replaced after its data directory was lost
+	ListenAddr        string
+	ReplicaAddrs      []string // of all replicas by their numbers less one, this one among them
+	InitialVoterCount int      // the first so many vote when the group is created; 0: all
+	DataDir           string
+	TickInterval      time.Duration // of the consensus core
 }
 
 // initialVoters returns the replicas that vote when the group is created.
 func (c Config) initialVoters() []consensus.ReplicaID {
 	n := len(c.ReplicaAddrs)
-	if c.InitialVoters != 0 {
-		n = max(0, min(n, c.InitialVoters))
+	if c.InitialVoterCount != 0 {
+		n = max(0, min(n, c.InitialVoterCount))
 	}
 	voters := make([]consensus.ReplicaID, 0, n)
 	for i := range n {
@@ -107,7 +107,7 @@
 		stopping:     make(chan struct{}),
 		done:         make(chan struct{}),
 	}
-	identity := storage.Identity{Group: config.Group, Replica: config.Number, Generation: config.Generation}
+	identity := storage.Identity{Group: config.Group, ReplicaNumber: config.Number, Generation: config.Generation}
 	if r.store, err = storage.Open(config.DataDir, identity); err != nil {
 		return nil, err
 	}
--- a/internal/cluster/consensus/replica/replica_test.go
+++ b/internal/cluster/consensus/replica/replica_test.go
@@ -68,7 +68,7 @@
 func startGroupOfOne(t *testing.T) (relay *faultrelay.Relay, addrs []string) {
 	t.Helper()
 	dir := filepath.Join(t.TempDir(), "data")
-	if err := storage.Create(dir, storage.Identity{Group: "one", Replica: 1}); err != nil {
+	if err := storage.Create(dir, storage.Identity{Group: "one", ReplicaNumber: 1}); err != nil {
 		t.Fatal(err)
 	}
 	relay, err := faultrelay.Start(2, 1)
--- a/internal/cluster/consensus/storage/golden_test.go
+++ b/internal/cluster/consensus/storage/golden_test.go
@@ -22,7 +22,7 @@
 
 // Data directories of running fleets have to open under any later version, and under the one before: these bytes must not change.
 func TestGoldenDataDirectories(t *testing.T) {
-	id := Identity{Group: "north", Replica: 2, Generation: 1}
+	id := Identity{Group: "north", ReplicaNumber: 2, Generation: 1}
 	for name, rewritten := range map[string]bool{"appended": false, "rewritten": true} {
 		t.Run(name, func(t *testing.T) {
 			golden := filepath.Join("testdata", "golden", name)
--- a/internal/cluster/consensus/storage/storage.go
+++ b/internal/cluster/consensus/storage/storage.go
@@ -42,9 +42,9 @@
 
 // Identity is the replica that a data directory belongs to.
 type Identity struct {
-	Group      string `json:"council"`
-	Replica    uint64 `json:"member"`               // its number, from 1
-	Generation int    `json:"generation,omitempty"` // how often it was replaced after its data directory was lost
+	Group         string `json:"council"`
+	ReplicaNumber uint64 `json:"member"`               // its number, from 1
+	Generation    int    `json:"generation,omitempty"` // how often it was replaced after its data directory was lost
 }
 
 // Store is a data directory that this process uses. It is not safe for concurrent use.
@@ -106,7 +106,7 @@
 		return fmt.Errorf("decode %s: %w", name, err)
 	}
 	if got != want {
-		return fmt.Errorf("%s is of replica %d of group %s in generation %d: %w", dir, got.Replica, got.Group, got.Generation, ErrWrongIdentity)
+		return fmt.Errorf("%s is of replica %d of group %s in generation %d: %w", dir, got.ReplicaNumber, got.Group, got.Generation, ErrWrongIdentity)
 	}
 	return nil
 }
--- a/internal/cluster/consensus/storage/storage_test.go
+++ b/internal/cluster/consensus/storage/storage_test.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/state/recordlog"
 )
 
-var testIdentity = Identity{Group: "north", Replica: 2}
+var testIdentity = Identity{Group: "north", ReplicaNumber: 2}
 
 func entry(term, index uint64, text string) *pb.Entry {
 	return &pb.Entry{Term: proto.Uint64(term), Index: proto.Uint64(index), Data: []byte(text)}
@@ -59,10 +59,10 @@
 	if err := Create(dir, testIdentity); err == nil {
 		t.Error("created twice")
 	}
-	if _, err := Open(dir, Identity{Group: "north", Replica: 3}); !errors.Is(err, ErrWrongIdentity) {
+	if _, err := Open(dir, Identity{Group: "north", ReplicaNumber: 3}); !errors.Is(err, ErrWrongIdentity) {
 		t.Errorf("by another replica: %v", err)
 	}
-	if _, err := Open(dir, Identity{Group: "north", Replica: 2, Generation: 1}); !errors.Is(err, ErrWrongIdentity) {
+	if _, err := Open(dir, Identity{Group: "north", ReplicaNumber: 2, Generation: 1}); !errors.Is(err, ErrWrongIdentity) {
 		t.Errorf("in another generation: %v", err)
 	}
 	openStore(t, dir)
--- a/internal/node/consensusreplica_test.go
+++ b/internal/node/consensusreplica_test.go
@@ -37,11 +37,11 @@
 	}
 	defer closeQuietly(port)
 	dir := filepath.Join(t.TempDir(), "council")
-	if err := storage.Create(dir, storage.Identity{Group: "g", Replica: 1}); err != nil {
+	if err := storage.Create(dir, storage.Identity{Group: "g", ReplicaNumber: 1}); err != nil {
 		t.Fatal(err)
 	}
 	config := replica.Config{
-		Group: "g", Number: 1, ListenAddr: port.Addr(), ReplicaAddrs: []string{port.Addr()}, InitialVoters: 1,
+		Group: "g", Number: 1, ListenAddr: port.Addr(), ReplicaAddrs: []string{port.Addr()}, InitialVoterCount: 1,
 		DataDir: dir, TickInterval: 20 * time.Millisecond,
 	}
 	log := logrus.New()
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -87,14 +87,14 @@
 		return nil
 	}
 	config := replica.Config{
-		Group:         t.settings.Name,
-		Number:        uint64(t.settings.MemberNumber),
-		Generation:    t.settings.Generation,
-		ListenAddr:    t.settings.Listen,
-		ReplicaAddrs:  t.settings.Members,
-		InitialVoters: t.settings.InitialMembers,
-		DataDir:       t.settings.DataDir,
-		TickInterval:  max(20*time.Millisecond, t.settings.Lease.Duration()/20),
+		Group:             t.settings.Name,
+		Number:            uint64(t.settings.MemberNumber),
+		Generation:        t.settings.Generation,
+		ListenAddr:        t.settings.Listen,
+		ReplicaAddrs:      t.settings.Members,
+		InitialVoterCount: t.settings.InitialMembers,
+		DataDir:           t.settings.DataDir,
+		TickInterval:      max(20*time.Millisecond, t.settings.Lease.Duration()/20),
 	}
 	return superviseReplica(t.node.log, func() (*replica.Replica, error) { return replica.Start(config, t.node.log.Logger) })
 }
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -24,7 +24,7 @@
 	}
 	t.Cleanup(func() { closeQuietly(address) })
 	dir := filepath.Join(t.TempDir(), "c")
-	if err := storage.Create(dir, storage.Identity{Group: "c", Replica: 1}); err != nil {
+	if err := storage.Create(dir, storage.Identity{Group: "c", ReplicaNumber: 1}); err != nil {
 		t.Fatal(err)
 	}
 	return func(c *Config) {
--- a/internal/testbed/leasetest/process.go
+++ b/internal/testbed/leasetest/process.go
@@ -49,18 +49,18 @@
 // runReplica runs a replica of the consensus group. Its data directory is created at its first start.
 func runReplica(c *ProcessConfig) error {
 	if _, err := os.Stat(c.DataDir); errors.Is(err, fs.ErrNotExist) {
-		if err := storage.Create(c.DataDir, storage.Identity{Group: groupName, Replica: c.Voter}); err != nil {
+		if err := storage.Create(c.DataDir, storage.Identity{Group: groupName, ReplicaNumber: c.Voter}); err != nil {
 			return err
 		}
 	}
 	r, err := replica.Start(replica.Config{
-		Group:         groupName,
-		Number:        c.Voter,
-		ListenAddr:    c.ListenAddr,
-		ReplicaAddrs:  c.ReplicaAddrs,
-		InitialVoters: c.InitialVoters,
-		DataDir:       c.DataDir,
-		TickInterval:  c.TickInterval,
+		Group:             groupName,
+		Number:            c.Voter,
+		ListenAddr:        c.ListenAddr,
+		ReplicaAddrs:      c.ReplicaAddrs,
+		InitialVoterCount: c.InitialVoters,
+		DataDir:           c.DataDir,
+		TickInterval:      c.TickInterval,
 	}, logrus.New())
 	if err != nil {
 		return err
