--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -31,7 +31,7 @@
 	for !c.IsLeader() {
 		now += testTickMillis
 		c.Tick(now)
-		responses += persistAndAdvance(b, c, store, now)
+		responses += processReadyUpdates(b, c, store, now)
 	}
 	b.ResetTimer()
 	for i := 0; i < b.N; i += batch {
@@ -41,14 +41,14 @@
 				b.Fatal(err)
 			}
 		}
-		responses += persistAndAdvance(b, c, store, now)
+		responses += processReadyUpdates(b, c, store, now)
 	}
 	b.ReportMetric(float64(store.Size()), "log-bytes")
 	b.ReportMetric(float64(responses)/float64(max(1, b.N)), "answered/op")
 }
 
-// persistAndAdvance stores all updates that are ready, and returns the number of responses.
-func persistAndAdvance(b *testing.B, c *Core, store *storage.Store, now float64) (responses int) {
+// processReadyUpdates stores all updates that are ready, and returns the number of responses.
+func processReadyUpdates(b *testing.B, c *Core, store *storage.Store, now float64) (responses int) {
 	b.Helper()
 	for {
 		u, ok := c.Ready()
--- a/internal/cluster/consensus/config.go
+++ b/internal/cluster/consensus/config.go
@@ -7,27 +7,27 @@
 	"go.etcd.io/raft/v3"
 )
 
-// Raft's times in ticks.
+// Raft timeouts in ticks.
 const (
 	heartbeatTicks = 1
 	electionTicks  = 10
 )
 
-// Bounds of messages, memory and the log.
+// Limits of messages, memory and the log.
 const (
-	maxMessageBytes     = 16 << 10 // of entries in one message, which has to fit a datagram
-	maxInflightMessages = 64       // to one replica
-	maxPendingCommands  = 4096     // commands of this replica's clients that have no result yet
-	snapshotInterval    = 4096     // entries after which a snapshot is made
-	retainedEntries     = 512      // entries kept before a snapshot for replicas that are slightly behind
-	maxLearnerLag       = 16       // entries that a learner may be behind to become a voter
+	maxEntryBytesPerMessage = 16 << 10 // log entries in one message, which has to fit into a datagram
+	maxInflightMessages     = 64       // unacknowledged messages to one replica
+	maxPendingCommands      = 4096     // commands proposed by this replica that have no result yet
+	snapshotIntervalEntries = 4096     // applied entries between two snapshots
+	retainedEntries         = 512      // entries before a snapshot that stay in memory for replicas that are slightly behind
+	maxLearnerLagEntries    = 16       // entries that a learner may lack when it is promoted to a voter
 )
 
 // Config configures a replica.
 type Config struct {
 	Self ReplicaID
-	// InitialVoters are the replicas that vote when the group is created. A replica that is not among them receives the state from the leader
-	// once it has been added.
+	// InitialVoters are the replicas that vote when the group is created. Any other replica receives the state from the leader once it has been
+	// added.
 	InitialVoters []ReplicaID
 	TickMillis    float64
 }
@@ -39,7 +39,7 @@
 		HeartbeatTick:     heartbeatTicks,
 		Storage:           storage,
 		Applied:           applied,
-		MaxSizePerMsg:     maxMessageBytes,
+		MaxSizePerMsg:     maxEntryBytesPerMessage,
 		MaxInflightMsgs:   maxInflightMessages,
 		CheckQuorum:       true,
 		PreVote:           true,
@@ -48,7 +48,7 @@
 	}
 }
 
-// discardLogger returns a logger for the Raft library that logs nothing. The driver of a Core logs what operators need.
+// discardLogger returns a logger for the Raft library that discards its output. The driver of a Core logs the events that operators need.
 func discardLogger() raft.Logger {
 	l := logrus.New()
 	l.SetOutput(io.Discard)
--- a/internal/cluster/consensus/core_test.go
+++ b/internal/cluster/consensus/core_test.go
@@ -10,39 +10,39 @@
 // Replicas that crash at any moment, before or after they have stored an update, and whose messages are lost, delayed, duplicated and corrupted,
 // apply one log. A replica that sends before it has stored is detected.
 func TestReplicasApplyOneLog(t *testing.T) {
-	granted := 0
+	grantCount := 0
 	for seed := range uint64(6) {
 		s := newSimulation(3, seed+1)
 		if failure := s.run(); failure != "" {
 			t.Errorf("seed %d: %s", seed+1, failure)
 		}
-		granted += len(s.granted)
+		grantCount += len(s.grantedTokens)
 	}
-	if granted < 300 {
-		t.Errorf("only %d commands were acknowledged", granted)
+	if grantCount < 300 {
+		t.Errorf("only %d commands were acknowledged", grantCount)
 	}
-	t.Logf("%d commands were acknowledged", granted)
+	t.Logf("%d commands were acknowledged", grantCount)
 	checkDetected(t, "sending before storing", 12, func(s *simulation) { s.sendBeforeSaving = true })
 }
 
 // Replicas lose their disks one after another and are replaced in a new generation: they apply one log, and the group keeps working. A replica that
 // returns under its old ID has forgotten its votes, and is detected.
 func TestLostDataDirectories(t *testing.T) {
-	granted, lost := 0, 0 // the library draws elections itself: no two runs are the same
+	grantCount, lostDiskCount := 0, 0 // the library draws elections itself: no two runs are the same
 	for seed := range uint64(5) {
 		s := newSimulation(3, seed+1)
 		s.loseDisks = true
 		if failure := s.run(); failure != "" {
 			t.Errorf("seed %d: %s", seed+1, failure)
 		}
-		granted, lost = granted+len(s.granted), lost+s.lostDisks
+		grantCount, lostDiskCount = grantCount+len(s.grantedTokens), lostDiskCount+s.lostDiskCount
 	}
-	if granted < 150 || lost < 10 {
-		t.Errorf("only %d commands were acknowledged, and %d disks lost", granted, lost)
+	if grantCount < 150 || lostDiskCount < 10 {
+		t.Errorf("only %d commands were acknowledged, and %d disks lost", grantCount, lostDiskCount)
 	}
-	t.Logf("%d commands were acknowledged, %d disks were lost", granted, lost)
+	t.Logf("%d commands were acknowledged, %d disks were lost", grantCount, lostDiskCount)
 	checkDetected(t, "returning under the old ID", 16, func(s *simulation) {
-		s.loseDisks, s.reuseIDs, s.lossProbability = true, true, 0.2
+		s.loseDisks, s.reuseReplicaIDs, s.lossProbability = true, true, 0.2
 	})
 }
 
@@ -65,19 +65,19 @@
 
 // Replicas are added and removed one at a time, the leader among them, while replicas crash and messages are lost: they apply one log.
 func TestMembershipChanges(t *testing.T) {
-	granted, changes := 0, 0
+	grantCount, changeCount := 0, 0
 	for seed := range uint64(6) {
 		s := newSimulation(5, seed+1)
 		s.changeMembership = true
 		if failure := s.run(); failure != "" {
 			t.Errorf("seed %d: %s", seed+1, failure)
 		}
-		granted, changes = granted+len(s.granted), changes+s.membershipChanges
+		grantCount, changeCount = grantCount+len(s.grantedTokens), changeCount+s.membershipChangeCount
 	}
-	if granted < 150 || changes < 30 {
-		t.Errorf("only %d commands were acknowledged, and %d membership changes made", granted, changes)
+	if grantCount < 150 || changeCount < 30 {
+		t.Errorf("only %d commands were acknowledged, and %d membership changes made", grantCount, changeCount)
 	}
-	t.Logf("%d commands were acknowledged, %d membership changes were made", granted, changes)
+	t.Logf("%d commands were acknowledged, %d membership changes were made", grantCount, changeCount)
 }
 
 // A configured list that has grown since the group was created grants nobody a vote: the data directory decides who votes. Otherwise replicas that
@@ -89,20 +89,20 @@
 		s.disks[i] = &disk{}
 		s.start(i)
 	}
-	voters := func() (counts []int) {
+	voterCounts := func() (counts []int) {
 		for _, c := range s.cores {
 			counts = append(counts, len(c.Voters()))
 		}
 		return counts
 	}
-	if got := voters(); !slices.Equal(got, []int{3, 3, 3, 0, 0}) {
+	if got := voterCounts(); !slices.Equal(got, []int{3, 3, 3, 0, 0}) {
 		t.Fatalf("at the beginning they count %v voters", got)
 	}
 	s.initialVoters = 0 // the longer list
 	for i := range 3 {
 		s.start(i)
 	}
-	if got := voters(); !slices.Equal(got, []int{3, 3, 3, 0, 0}) {
+	if got := voterCounts(); !slices.Equal(got, []int{3, 3, 3, 0, 0}) {
 		t.Errorf("with a longer list they count %v voters", got)
 	}
 	c := s.cores[0]
@@ -121,13 +121,13 @@
 func TestSnapshots(t *testing.T) {
 	s := newSimulation(3, 5)
 	s.lossProbability = 0
-	runBusyLeader(t, s, 1500, 0, 1)
+	runUnderLoad(t, s, 1500, 0, 1)
 	if s.cores[0].snapshotIndex <= 1 {
 		t.Fatalf("%d entries and no snapshot", s.cores[0].appliedIndex)
 	}
-	runBusyLeader(t, s, 1500, 0, 1, 2)
-	if first, late := s.cores[0], s.cores[2]; late.appliedIndex+200 < first.appliedIndex {
-		t.Errorf("the replica that was away has applied %d of %d entries", late.appliedIndex, first.appliedIndex)
+	runUnderLoad(t, s, 1500, 0, 1, 2)
+	if reference, lagging := s.cores[0], s.cores[2]; lagging.appliedIndex+200 < reference.appliedIndex {
+		t.Errorf("the replica that was away has applied %d of %d entries", lagging.appliedIndex, reference.appliedIndex)
 	}
 	s.start(0)
 	if s.cores[0].appliedIndex <= 1 {
@@ -135,22 +135,22 @@
 	}
 }
 
-// runBusyLeader runs some replicas of a simulation without faults, while commands are proposed to the leader.
-func runBusyLeader(t *testing.T, s *simulation, millis float64, replicas ...int) {
+// runUnderLoad runs some replicas of a simulation without faults, while commands are proposed to the leader.
+func runUnderLoad(t *testing.T, s *simulation, millis float64, replicas ...int) {
 	t.Helper()
 	for end := s.now + millis; s.now < end; s.now += 2 {
 		for _, i := range replicas {
 			c := s.cores[i]
 			c.Tick(s.now)
-			proposeWhileLeader(t, c)
+			proposeBatchIfLeader(t, c)
 			sendWithoutFaults(t, s, i)
 		}
 		deliverTo(t, s, replicas)
 	}
 }
 
-// proposeWhileLeader proposes twenty commands, or fewer if the replica does not lead.
-func proposeWhileLeader(t *testing.T, c *Core) {
+// proposeBatchIfLeader proposes twenty commands, or fewer if the replica does not lead.
+func proposeBatchIfLeader(t *testing.T, c *Core) {
 	t.Helper()
 	for range 20 {
 		if !c.IsLeader() {
--- a/internal/cluster/consensus/golden_test.go
+++ b/internal/cluster/consensus/golden_test.go
@@ -16,18 +16,18 @@
 
 // Log entries are stored by running fleets: these bytes must not change.
 func TestGoldenEntries(t *testing.T) {
-	who := lease.Process{Node: 1, Incarnation: 0x18bcfe56800abcd}
+	process := lease.Process{Node: 1, Incarnation: 0x18bcfe56800abcd}
 	for file, e := range map[string]logEntry{
-		"entry-of-member.json": {Proposer: 18, Sequence: 1764658800<<20 + 3, Command: lease.Command{Kind: lease.KindAcquire, Name: "roll", Process: who, TTLMillis: 15000}},
+		"entry-of-member.json": {Proposer: 18, Sequence: 1764658800<<20 + 3, Command: lease.Command{Kind: lease.KindAcquire, Name: "roll", Process: process, TTLMillis: 15000}},
 		"entry-of-leader.json": {Command: lease.Command{Kind: lease.KindExpire, Name: "roll", Token: 9, Renewals: 31}},
 	} {
 		want := goldentest.Read(t, file)
 		if got, err := json.Marshal(e); err != nil || !bytes.Equal(got, want) {
 			t.Errorf("%s: written as %s, %v; want %s", file, got, err, want)
 		}
-		var back logEntry
-		if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, e) {
-			t.Errorf("%s: read as %+v, %v; want %+v", file, back, err, e)
+		var decoded logEntry
+		if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, e) {
+			t.Errorf("%s: read as %+v, %v; want %+v", file, decoded, err, e)
 		}
 	}
 }
@@ -49,9 +49,9 @@
 		if got, err := EncodeMessage(m); err != nil || !bytes.Equal(got, want) {
 			t.Errorf("%s: written as %x, %v; want %x", file, got, err, want)
 		}
-		back := &pb.Message{}
-		if err := proto.Unmarshal(want[checksumSize:], back); err != nil || !proto.Equal(back, m) {
-			t.Errorf("%s: read as %v, %v; want %v", file, back, err, m)
+		decoded := &pb.Message{}
+		if err := proto.Unmarshal(want[checksumSize:], decoded); err != nil || !proto.Equal(decoded, m) {
+			t.Errorf("%s: read as %v, %v; want %v", file, decoded, err, m)
 		}
 		c, err := New(1e6, Config{Self: 1, InitialVoters: []ReplicaID{1, 2, 3}, TickMillis: 20}, storage.State{}, 1)
 		if err != nil {
@@ -64,7 +64,7 @@
 }
 
 // Initial voters have to begin with the same snapshot: these bytes must not change.
-func TestGoldenFounding(t *testing.T) {
+func TestGoldenInitialSnapshot(t *testing.T) {
 	want := goldentest.Read(t, "founding.bin")
 	c, err := New(1e6, Config{Self: 2, InitialVoters: []ReplicaID{1, 2, 3}, TickMillis: 20}, storage.State{}, 1)
 	if err != nil {
@@ -77,11 +77,11 @@
 	if got, err := proto.Marshal(u.Snapshot); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("written as %x, %v; want %x", got, err, want)
 	}
-	back := &pb.Snapshot{}
-	if err := proto.Unmarshal(want, back); err != nil {
+	decoded := &pb.Snapshot{}
+	if err := proto.Unmarshal(want, decoded); err != nil {
 		t.Fatal(err)
 	}
-	if c, err = New(1e6, Config{Self: 2, InitialVoters: []ReplicaID{2}, TickMillis: 20}, storage.State{Snapshot: back}, 1); err != nil {
+	if c, err = New(1e6, Config{Self: 2, InitialVoters: []ReplicaID{2}, TickMillis: 20}, storage.State{Snapshot: decoded}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if got := c.Voters(); !reflect.DeepEqual(got, []ReplicaID{1, 2, 3}) {
@@ -91,12 +91,12 @@
 
 // IDs of replicas are part of log entries and messages.
 func TestGoldenIDs(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		number, generation int
 		want               ReplicaID
 	}{{1, 0, 1}, {15, 0, 15}, {2, 1, 18}, {3, 7, 115}} {
-		if id := NewReplicaID(x.number, x.generation); id != x.want || id.Number() != x.number || id.Generation() != x.generation {
-			t.Errorf("replica %d in generation %d has ID %d", x.number, x.generation, id)
+		if id := NewReplicaID(tc.number, tc.generation); id != tc.want || id.Number() != tc.number || id.Generation() != tc.generation {
+			t.Errorf("replica %d in generation %d has ID %d", tc.number, tc.generation, id)
 		}
 	}
 }
--- a/internal/cluster/consensus/membership.go
+++ b/internal/cluster/consensus/membership.go
@@ -11,11 +11,11 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// replicaIDBase separates the number of a replica from its generation in a ReplicaID. Numbers are from 1 to replicaIDBase-1.
+// replicaIDBase is the multiplier of the generation in a ReplicaID. Replica numbers range from 1 to replicaIDBase-1.
 const replicaIDBase = 16
 
-// ReplicaID is a replica's number, from 1, and its generation: how often it was replaced. A replica that has lost its data directory has lost its
-// votes, and must never vote under the ID that it had before.
+// ReplicaID combines a replica's number, from 1, with its generation, which counts how often the replica was replaced. A replica that has lost its
+// data directory no longer knows its votes. It must not vote under its old ID again, because it could vote twice in one term.
 type ReplicaID uint64
 
 // NewReplicaID returns the ID of a replica in a generation.
@@ -29,17 +29,17 @@
 // Generation returns how often the replica was replaced.
 func (id ReplicaID) Generation() int { return int(id / replicaIDBase) }
 
-var errLastVoter = errors.New("replica is the only voter")
+var errLastVoter = errors.New("cannot remove the only voter")
 
 func errUnknownReplica(number int) error {
 	return fmt.Errorf("replica %d is not in the consensus group", number)
 }
 
 func errReplicaExists(id ReplicaID) error {
-	return fmt.Errorf("replica %d is in the consensus group in generation %d", id.Number(), id.Generation())
+	return fmt.Errorf("replica %d is already in the consensus group, in generation %d", id.Number(), id.Generation())
 }
 
-// Voters returns the replicas that vote, as far as this replica has applied the log.
+// Voters returns the voters according to the log entries that this replica has applied.
 func (c *Core) Voters() []ReplicaID {
 	voters := make([]ReplicaID, 0, len(c.confState.Voters))
 	for _, v := range c.confState.Voters {
@@ -48,11 +48,11 @@
 	return voters
 }
 
-// ReplaceReplica proposes that a replica which has lost its data directory joins again in a new generation. Its old ID is removed, and the new one
-// becomes a learner that is promoted to a voter once it has caught up. Only the leader can propose it.
+// ReplaceReplica proposes that a replica that has lost its data directory rejoins in a new generation. Its old ID is removed. Its new ID joins as a
+// learner, which is promoted to a voter once it has caught up. Only the leader can propose this change.
 func (c *Core) ReplaceReplica(id ReplicaID) error {
 	if id.Number() < 1 || id.Generation() < 1 {
-		return fmt.Errorf("replica %d in generation %d: a replaced replica has a generation from 1", id.Number(), id.Generation())
+		return fmt.Errorf("replica %d in generation %d: the number and the new generation must be at least 1", id.Number(), id.Generation())
 	}
 	var changes []*pb.ConfChangeSingle
 	for _, member := range slices.Concat(c.confState.Voters, c.confState.Learners) {
@@ -71,8 +71,8 @@
 	return c.proposeChanges(append(changes, confChange(pb.ConfChangeType_ConfChangeAddLearnerNode, id))...)
 }
 
-// AddReplica proposes that a replica joins as a learner, which is promoted to a voter once it has caught up. A replica that was removed has to join
-// in a higher generation, since the votes in its old data directory do not count any more. Only the leader can propose it.
+// AddReplica proposes that a replica joins as a learner, which is promoted to a voter once it has caught up. A replica that was removed earlier has
+// to join in a higher generation, because the votes in its old data directory are no longer valid. Only the leader can propose this change.
 func (c *Core) AddReplica(id ReplicaID) error {
 	if id.Number() < 1 || id.Number() >= replicaIDBase {
 		return fmt.Errorf("invalid replica number %d", id.Number())
@@ -85,7 +85,7 @@
 	return c.proposeChanges(confChange(pb.ConfChangeType_ConfChangeAddLearnerNode, id))
 }
 
-// RemoveReplica proposes that a replica leaves the group, in whatever generation it is there. Only the leader can propose it.
+// RemoveReplica proposes that a replica leaves the group, whatever its generation. Only the leader can propose this change.
 func (c *Core) RemoveReplica(number int) error {
 	for _, member := range slices.Concat(c.confState.Voters, c.confState.Learners) {
 		if ReplicaID(member).Number() != number {
@@ -103,20 +103,20 @@
 	return &pb.ConfChangeSingle{Type: kind.Enum(), NodeId: proto.Uint64(uint64(id))}
 }
 
-// proposeChanges proposes one change of the membership. The library ignores it while another one is not applied yet.
+// proposeChanges proposes changes that take effect together. The library ignores the proposal while an earlier membership change is not yet applied.
 func (c *Core) proposeChanges(changes ...*pb.ConfChangeSingle) error {
 	return c.rawNode.ProposeConfChange(&pb.ConfChangeV2{Changes: changes})
 }
 
-// promoteLearners proposes that learners which have caught up become voters.
+// promoteLearners proposes that learners that have caught up become voters.
 func (c *Core) promoteLearners() {
 	var caughtUp []ReplicaID
 	c.rawNode.WithProgress(func(id uint64, _ raft.ProgressType, p tracker.Progress) {
-		if slices.Contains(c.confState.Learners, id) && p.Match+maxLearnerLag >= c.appliedIndex && p.RecentActive {
+		if slices.Contains(c.confState.Learners, id) && p.Match+maxLearnerLagEntries >= c.appliedIndex && p.RecentActive {
 			caughtUp = append(caughtUp, ReplicaID(id))
 		}
 	})
 	for _, id := range caughtUp {
-		_ = c.proposeChanges(confChange(pb.ConfChangeType_ConfChangeAddNode, id)) // proposed again at the next tick
+		_ = c.proposeChanges(confChange(pb.ConfChangeType_ConfChangeAddNode, id)) // if the proposal is lost, the next tick repeats it
 	}
 }
--- a/internal/cluster/consensus/message.go
+++ b/internal/cluster/consensus/message.go
@@ -10,18 +10,18 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// checksumSize is the size of the CRC-32C that precedes a message.
+// checksumSize is the size in bytes of the CRC-32C that precedes an encoded message.
 const checksumSize = 4
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Errors of received messages. None of them matters to the replica, which drops the message.
+// Errors for received messages. The replica drops the message and continues.
 var (
 	ErrChecksum     = errors.New("message has a wrong checksum")
-	ErrWrongReplica = errors.New("message is for another replica")
+	ErrWrongReplica = errors.New("message is not addressed to this replica, or claims to come from it")
 )
 
-// EncodeMessage returns a message as it is sent: its CRC-32C, big-endian, and its protobuf encoding.
+// EncodeMessage returns the wire form of a message: the CRC-32C of its protobuf encoding, big-endian, followed by that encoding.
 func EncodeMessage(m *pb.Message) ([]byte, error) {
 	b, err := proto.MarshalOptions{}.MarshalAppend(make([]byte, checksumSize), m)
 	if err != nil {
@@ -31,7 +31,7 @@
 	return b, nil
 }
 
-// decodeMessage reads what EncodeMessage wrote.
+// decodeMessage decodes a message that EncodeMessage encoded.
 func decodeMessage(b []byte) (*pb.Message, error) {
 	if len(b) < checksumSize || crc32.Checksum(b[checksumSize:], castagnoli) != binary.BigEndian.Uint32(b) {
 		return nil, ErrChecksum
--- a/internal/cluster/consensus/replica/golden_test.go
+++ b/internal/cluster/consensus/replica/golden_test.go
@@ -14,7 +14,7 @@
 // consensus.
 func TestGoldenDatagrams(t *testing.T) {
 	process := lease.Process{Node: 1, Incarnation: 0x18bcfe56800abcd}
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		file  string
 		kind  byte
 		value any
@@ -25,13 +25,13 @@
 		{"add.bin", kindChangeMembership, membershipMessage{ID: consensus.NewReplicaID(4, 0)}},
 		{"drop.bin", kindChangeMembership, membershipMessage{ID: consensus.NewReplicaID(4, 0), Remove: true}},
 	} {
-		want := goldentest.Read(t, x.file)
-		if got, err := encodeDatagram(x.kind, x.value); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: written as %q, %v; want %q", x.file, got, err, want)
+		want := goldentest.Read(t, tc.file)
+		if got, err := encodeDatagram(tc.kind, tc.value); err != nil || !bytes.Equal(got, want) {
+			t.Errorf("%s: written as %q, %v; want %q", tc.file, got, err, want)
 		}
-		back := reflect.New(reflect.TypeOf(x.value))
-		if err := decodeDatagram(want, back.Interface()); err != nil || !reflect.DeepEqual(back.Elem().Interface(), x.value) {
-			t.Errorf("%s: read as %+v, %v; want %+v", x.file, back.Elem(), err, x.value)
+		decoded := reflect.New(reflect.TypeOf(tc.value))
+		if err := decodeDatagram(want, decoded.Interface()); err != nil || !reflect.DeepEqual(decoded.Elem().Interface(), tc.value) {
+			t.Errorf("%s: read as %+v, %v; want %+v", tc.file, decoded.Elem(), err, tc.value)
 		}
 	}
 	for kind, want := range map[byte]byte{kindConsensus: 'R', kindCommand: 'C', kindResult: 'A', kindReplaceReplica: 'T', kindChangeMembership: 'V'} {
--- a/internal/cluster/consensus/replica/handle.go
+++ b/internal/cluster/consensus/replica/handle.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/cluster/lease"
 )
 
-// handleReceived handles a datagram and all that have been received by now, which are worth one sync together.
+// handleReceived handles a datagram and all others that are already queued, so that their updates share one sync.
 func (r *Replica) handleReceived(d datagram) {
 	for {
 		r.handleDatagram(d)
@@ -24,11 +24,11 @@
 	}
 }
 
-// handleDatagram handles a datagram; one that does not decode is dropped.
+// handleDatagram handles a datagram, and drops it if it cannot be decoded.
 func (r *Replica) handleDatagram(d datagram) {
 	switch d.payload[0] {
 	case kindConsensus:
-		_ = r.core.Step(d.payload[1:]) // a message that does not fit is dropped
+		_ = r.core.Step(d.payload[1:]) // Step has dropped the message if it returns an error
 	case kindCommand:
 		r.handleCommand(d)
 	case kindReplaceReplica:
@@ -43,13 +43,13 @@
 	if decodeDatagram(d.payload, &m) != nil {
 		return
 	}
-	if len(r.pending) > maxPending {
-		clear(r.pending) // their clients have retried long since
+	if len(r.pending) > maxPendingCommands {
+		clear(r.pending) // by now their clients have timed out and retried
 	}
 	r.lastRequestID++
 	r.pending[r.lastRequestID] = pendingCommand{d.from, m.RequestID, uint64(m.Command.Process.Incarnation)}
 	if r.core.Propose(r.lastRequestID, m.Command) != nil {
-		delete(r.pending, r.lastRequestID) // there is no leader: the client retries at another replica
+		delete(r.pending, r.lastRequestID) // no leader is known; the client times out and retries with another replica
 	}
 }
 
@@ -73,7 +73,7 @@
 	r.logProposal(m.ID, "add", r.core.AddReplica(m.ID))
 }
 
-// logProposal logs that a membership change was proposed, or why it was not.
+// logProposal logs that a membership change was proposed, or why it was rejected.
 func (r *Replica) logProposal(id consensus.ReplicaID, change string, err error) {
 	log := r.log.WithFields(logrus.Fields{"change": change, "target": id.Number(), "generation": id.Generation()})
 	if err != nil {
@@ -83,7 +83,8 @@
 	log.Info("membership change proposed")
 }
 
-// processUpdates makes each update of the core durable and then sends the messages and results that depend on it, until there are no more.
+// processUpdates takes updates from the core until there are no more. It makes each one durable, and then sends the messages and results that depend
+// on it. Afterwards it stores a snapshot if one is due.
 func (r *Replica) processUpdates() error {
 	for {
 		u, ok := r.core.Ready()
@@ -111,7 +112,7 @@
 	return r.save(u)
 }
 
-// save makes an update durable. Its error matches ErrStorage.
+// save makes an update durable. Its errors wrap ErrStorage.
 func (r *Replica) save(u storage.Update) error {
 	if err := r.store.Save(u); err != nil {
 		return fmt.Errorf("%w: %w", ErrStorage, err)
@@ -119,11 +120,11 @@
 	return nil
 }
 
-// sendMessage sends a message to another replica. It may be lost.
+// sendMessage sends a message to another replica. It drops the message on any error, which the protocol handles like a lost datagram.
 func (r *Replica) sendMessage(m *raftpb.Message) {
 	number := consensus.ReplicaID(m.GetTo()).Number()
 	if number < 1 || number > len(r.peerAddrs) {
-		return // its address is not configured here
+		return // no address is configured for the replica
 	}
 	b, err := consensus.EncodeMessage(m)
 	if err != nil || len(b) >= maxDatagramSize {
@@ -132,20 +133,20 @@
 	r.send(append([]byte{kindConsensus}, b...), r.peerAddrs[number-1])
 }
 
-// sendResult sends the result of a command to the client that sent it, if that is still known.
+// sendResult sends the result of a command to the client that sent the command. It does nothing if the client is no longer known.
 func (r *Replica) sendResult(requestID uint64, result lease.Result) {
-	command, pending := r.pending[requestID]
-	if !pending {
+	command, known := r.pending[requestID]
+	if !known {
 		return
 	}
 	delete(r.pending, requestID)
-	b, err := encodeDatagram(kindResult, resultMessage{RequestID: command.requestID, Incarnation: command.incarnation, Result: result})
+	b, err := encodeDatagram(kindResult, resultMessage{RequestID: command.clientRequestID, Incarnation: command.clientIncarnation, Result: result})
 	if err != nil {
 		return
 	}
-	r.send(b, command.addr)
+	r.send(b, command.clientAddr)
 }
 
 func (r *Replica) send(b []byte, to netip.AddrPort) {
-	_, _ = r.conn.WriteToUDPAddrPort(b, to) // an error is as good as a lost datagram
+	_, _ = r.conn.WriteToUDPAddrPort(b, to) // an error is handled like a lost datagram
 }
--- a/internal/cluster/consensus/replica/message.go
+++ b/internal/cluster/consensus/replica/message.go
@@ -11,8 +11,8 @@
 	"mintspring/internal/cluster/lease"
 )
 
-// Kinds of datagrams, their first byte. A consensus datagram goes on with a message that consensus.EncodeMessage wrote, which has a checksum of its
-// own. In any other, the CRC-32C of kind and body follows, big-endian, and then the body, which is one of the messages below as JSON.
+// The first byte of a datagram is its kind. In a consensus datagram, a message encoded by consensus.EncodeMessage follows, which includes a checksum.
+// In all other datagrams, the CRC-32C of kind and body follows, big-endian, and then the body: the type named beside the kind, as JSON.
 const (
 	kindConsensus        = 'R'
 	kindCommand          = 'C' // commandMessage
@@ -22,9 +22,9 @@
 )
 
 const (
-	headerSize      = 5          // of a datagram with a body: kind and checksum
-	maxDatagramSize = 60 << 10   // that is sent
-	socketBuffer    = 1024 << 10 // of the kernel, in bytes
+	headerSize        = 5          // bytes before the body of a datagram: kind and checksum
+	maxDatagramSize   = 60 << 10   // bytes; the replica drops consensus messages that would exceed it
+	socketBufferBytes = 1024 << 10 // receive buffer of the socket in the kernel
 )
 
 var errChecksum = errors.New("datagram has a wrong checksum")
@@ -38,7 +38,7 @@
 // resultMessage is the response to a command.
 type resultMessage struct {
 	RequestID   uint64       `json:"no"`
-	Incarnation uint64       `json:"life"` // of the client that sent the command
+	Incarnation uint64       `json:"life"` // incarnation of the client that sent the command
 	Result      lease.Result `json:"result"`
 }
 
@@ -48,8 +48,8 @@
 	Remove bool                `json:"drop"`
 }
 
-// encodeDatagram returns a datagram with a message as its body. It has a checksum, since a flipped bit in a result could pass for a grant under a
-// later token.
+// encodeDatagram returns a datagram whose body is the message as JSON. The datagram has a checksum, because a flipped bit in a result could make it
+// look like a grant with a later token.
 func encodeDatagram(kind byte, message any) ([]byte, error) {
 	body, err := json.Marshal(message)
 	if err != nil {
--- a/internal/cluster/consensus/replica/panic_test.go
+++ b/internal/cluster/consensus/replica/panic_test.go
@@ -46,10 +46,10 @@
 
 // A panic of the Raft library ends the replica, with an error, and not the process: whether it happens in a tick or while updates are processed.
 func TestPanicStopsTheReplica(t *testing.T) {
-	inTick := newReplicaWithPanickingCore(t, time.Millisecond)
-	inUpdate := newReplicaWithPanickingCore(t, time.Hour)
-	inUpdate.received <- datagram{payload: []byte{'?'}} // of no kind: the core is not called before its updates are processed
-	for name, r := range map[string]*Replica{"tick": inTick, "update": inUpdate} {
+	panicsInTick := newReplicaWithPanickingCore(t, time.Millisecond)
+	panicsInUpdate := newReplicaWithPanickingCore(t, time.Hour)
+	panicsInUpdate.received <- datagram{payload: []byte{'?'}} // of no kind: the core is not called before its updates are processed
+	for name, r := range map[string]*Replica{"tick": panicsInTick, "update": panicsInUpdate} {
 		go r.run()
 		<-r.Done()
 		if err := r.Err(); err == nil || !strings.Contains(err.Error(), "consensus failed") {
--- a/internal/cluster/consensus/replica/replica.go
+++ b/internal/cluster/consensus/replica/replica.go
@@ -1,6 +1,7 @@
-// Package replica runs a replica of a consensus group on a UDP socket and a data directory, and has the client that sends commands to a group.
+// Package replica runs a replica of a consensus group on a UDP socket and a data directory. It also provides the client that sends commands to a
+// group.
 //
-// An update of the consensus core is synced to the disk before any message that depends on it is sent. A replica whose disk fails stops.
+// Each update of the consensus core is synced to disk before any message that depends on it is sent. A replica stops if its disk fails.
 package replica
 
 import (
@@ -22,22 +23,23 @@
 )
 
 const (
-	maxPending    = 4096 // commands whose clients are remembered
-	receiveQueue  = 1024 // datagrams
-	checksPerTick = 4    // of the clock
-	sequenceBits  = 20   // commands of a replica are numbered from the time of its start in ms, shifted by so many bits
+	maxPendingCommands = 4096 // commands without a result whose client addresses are kept
+	receiveQueueLength = 1024 // received datagrams waiting for the run goroutine
+	clockChecksPerTick = 4    // how often the clock is checked per tick of the consensus core
+	// A replica numbers its commands from its start time in ms, shifted left by sequenceShiftBits: beyond the numbers of its earlier processes.
+	sequenceShiftBits = 20
 )
 
 // Config configures a replica.
 type Config struct {
 	Group             string
 	Number            uint64 // of this replica, from 1
-	Generation        int    // how often it was replaced after its data directory was lost
+	Generation        int    // how often this replica was replaced after losing its data directory
 	ListenAddr        string
-	ReplicaAddrs      []string // of all replicas by their numbers less one, this one among them
-	InitialVoterCount int      // the first so many vote when the group is created; 0: all
+	ReplicaAddrs      []string // all replicas including this one; replica n is at index n-1
+	InitialVoterCount int      // replicas 1 to InitialVoterCount vote when the group is created; 0: all replicas vote
 	DataDir           string
-	TickInterval      time.Duration // of the consensus core
+	TickInterval      time.Duration // between two ticks of the consensus core
 }
 
 // initialVoters returns the replicas that vote when the group is created.
@@ -53,29 +55,29 @@
 	return voters
 }
 
-// Replica is a running replica. Its fields belong to the goroutine of run, except where their comments say otherwise.
+// Replica is a running replica. Only the goroutine of run uses its fields, unless their comments say otherwise.
 type Replica struct {
 	log       *logrus.Entry
 	core      *consensus.Core
 	store     *storage.Store
-	conn      *net.UDPConn // read by readLoop, written and closed by run
+	conn      *net.UDPConn // readLoop reads from it; run writes to it and closes it
 	peerAddrs []netip.AddrPort
 	clock     *clock.Clock
 
-	pending       map[uint64]pendingCommand // by the request ID that the core knows
-	lastRequestID uint64
-	loggedVoters  string // as logged last
-	loggedLeader  bool   // as logged last
+	pending          map[uint64]pendingCommand // commands passed to the core, by the request ID that Propose was given
+	lastRequestID    uint64
+	lastLoggedVoters string
+	lastLoggedLeader bool // whether this replica was the leader
 
 	tickInterval time.Duration
 	received     chan datagram // from readLoop to run
 	stopping     chan struct{} // closed by Stop
 	stopOnce     sync.Once
 	done         chan struct{} // closed when run has ended
-	err          error         // why run has ended by itself; may be read once done is closed
+	err          error         // why run ended without Stop, nil after Stop; read it only once done is closed
 }
 
-// datagram is a datagram as received.
+// datagram is a received datagram with its sender.
 type datagram struct {
 	from    netip.AddrPort
 	payload []byte
@@ -83,15 +85,17 @@
 
 // pendingCommand is a command that has no result yet.
 type pendingCommand struct {
-	addr        netip.AddrPort // of the client
-	requestID   uint64         // as the client has it
-	incarnation uint64         // of the client
+	clientAddr        netip.AddrPort
+	clientRequestID   uint64 // chosen by the client; differs from the ID passed to the core
+	clientIncarnation uint64
 }
 
-// ErrStorage is matched by the error of a replica whose data directory failed. It may be started again: what it had made durable is there.
+// ErrStorage reports that a replica could not write to its data directory. The replica may be started again: all updates that
+// were saved before the failure are still there.
 var ErrStorage = errors.New("the data directory failed")
 
-// Start opens the data directory and the socket, and starts the replica. It runs until Stop, or until its disk or the consensus core fails.
+// Start opens the data directory and the socket, and starts the replica. The replica runs until Stop is called, or until its disk or the consensus
+// core fails.
 func Start(config Config, log *logrus.Logger) (*Replica, error) {
 	addrs, err := parseReplicaAddrs(config.ReplicaAddrs)
 	if err != nil {
@@ -103,7 +107,7 @@
 		clock:        clock.New(),
 		pending:      map[uint64]pendingCommand{},
 		tickInterval: config.TickInterval,
-		received:     make(chan datagram, receiveQueue),
+		received:     make(chan datagram, receiveQueueLength),
 		stopping:     make(chan struct{}),
 		done:         make(chan struct{}),
 	}
@@ -111,7 +115,7 @@
 	if r.store, err = storage.Open(config.DataDir, identity); err != nil {
 		return nil, err
 	}
-	if err := r.open(config); err != nil {
+	if err := r.openCoreAndSocket(config); err != nil {
 		r.store.Close()
 		return nil, err
 	}
@@ -120,8 +124,8 @@
 	return r, nil
 }
 
-// open restores the core from the store, and opens the socket.
-func (r *Replica) open(config Config) error {
+// openCoreAndSocket restores the core from the data directory, and opens the socket.
+func (r *Replica) openCoreAndSocket(config Config) error {
 	now := r.clock.Now()
 	coreConfig := consensus.Config{
 		Self:          consensus.NewReplicaID(int(config.Number), config.Generation),
@@ -129,7 +133,7 @@
 		TickMillis:    float64(config.TickInterval) / float64(time.Millisecond),
 	}
 	var err error
-	if r.core, err = consensus.New(now, coreConfig, r.store.State(), uint64(now)<<sequenceBits); err != nil {
+	if r.core, err = consensus.New(now, coreConfig, r.store.State(), uint64(now)<<sequenceShiftBits); err != nil {
 		return err
 	}
 	if u, ok := r.core.InitialUpdate(); ok {
@@ -140,7 +144,7 @@
 	if r.conn, err = listenUDP(config.ListenAddr); err != nil {
 		return err
 	}
-	_ = r.conn.SetReadBuffer(socketBuffer) // with a smaller one, more datagrams are lost
+	_ = r.conn.SetReadBuffer(socketBufferBytes) // after an error the buffer stays smaller, and bursts lose more datagrams
 	return nil
 }
 
@@ -153,7 +157,7 @@
 // Done returns a channel that is closed when the replica has ended.
 func (r *Replica) Done() <-chan struct{} { return r.done }
 
-// Err returns why the replica has ended by itself, or nil. It may be called once Done is closed.
+// Err returns why the replica has ended, or nil if it was stopped. It may only be called once the channel of Done is closed.
 func (r *Replica) Err() error { return r.err }
 
 // readLoop passes received datagrams to run until the socket is closed.
@@ -162,7 +166,7 @@
 	datagrams.Receive(r.conn, r.stopping, reportError, func(payload []byte, from netip.AddrPort) {
 		select {
 		case r.received <- datagram{from, slices.Clone(payload)}:
-		default: // lost, as any datagram may be
+		default: // the queue is full; the protocol tolerates lost datagrams
 		}
 	})
 }
@@ -172,7 +176,7 @@
 	defer close(r.done)
 	defer r.store.Close()
 	defer r.conn.Close() //nolint:errcheck // nothing is buffered
-	ticker := time.NewTicker(max(r.tickInterval/checksPerTick, time.Millisecond))
+	ticker := time.NewTicker(max(r.tickInterval/clockChecksPerTick, time.Millisecond))
 	defer ticker.Stop()
 	for {
 		var err error
@@ -192,13 +196,13 @@
 	}
 }
 
-// callCore has an event handled by the core, and processes the updates that follow from it. The library panics where the log is shorter than
-// others know it to have been, as with an older copy of a data directory, in whichever call notices it first. This ends the replica and not the
-// process.
+// callCore handles an event, and processes the updates that result from it. It turns a panic of the Raft library into an error, which ends the
+// replica and not the process. Any call of the library panics if it finds the log shorter than other replicas know it to be, as happens when the
+// data directory was restored from an older copy.
 func (r *Replica) callCore(handleEvent func()) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
-			err = fmt.Errorf("consensus failed, as it does where the log is shorter than other replicas know it to have been: %v", p)
+			err = fmt.Errorf("consensus failed, possibly because the data directory is an older copy and its log is shorter than other replicas expect: %v", p)
 		}
 	}()
 	handleEvent()
@@ -210,18 +214,18 @@
 	r.logChanges()
 }
 
-// logChanges logs a change of the voters or of the leadership.
+// logChanges logs when the voters or the leadership of this replica have changed.
 func (r *Replica) logChanges() {
 	var voters []string
 	for _, id := range r.core.Voters() {
 		voters = append(voters, fmt.Sprintf("%d(%d)", id.Number(), id.Generation()))
 	}
-	if text := strings.Join(voters, " "); text != r.loggedVoters {
-		r.loggedVoters = text
+	if text := strings.Join(voters, " "); text != r.lastLoggedVoters {
+		r.lastLoggedVoters = text
 		r.log.WithField("voters", text).Info("consensus voters changed")
 	}
-	if leader := r.core.IsLeader(); leader != r.loggedLeader {
-		r.loggedLeader = leader
+	if leader := r.core.IsLeader(); leader != r.lastLoggedLeader {
+		r.lastLoggedLeader = leader
 		r.log.WithField("leader", leader).Info("consensus leadership changed")
 	}
 }
--- a/internal/cluster/consensus/replica/replica_test.go
+++ b/internal/cluster/consensus/replica/replica_test.go
@@ -20,47 +20,47 @@
 func TestCorruptedDatagramsAreDropped(t *testing.T) {
 	const ttlMillis = 1000
 	relay, addrs := startGroupOfOne(t)
-	var results, wrongResults atomic.Int64
+	var resultCount, wrongResultCount atomic.Int64
 	process := lease.Process{Node: 7, Incarnation: cluster.NewIncarnation(1e12, 0.5)}
-	c, err := NewClient(addrs[1], []string{relay.Addr(1, 0)}, uint64(process.Incarnation), func(_ uint64, x lease.Result) {
-		if x.Token > 1 || x.Holder != process || !x.Held || x.TTLMillis != ttlMillis {
-			wrongResults.Add(1)
+	c, err := NewClient(addrs[1], []string{relay.Addr(1, 0)}, uint64(process.Incarnation), func(_ uint64, result lease.Result) {
+		if result.Token > 1 || result.Holder != process || !result.Held || result.TTLMillis != ttlMillis {
+			wrongResultCount.Add(1)
 		}
-		results.Add(1)
+		resultCount.Add(1)
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	send := func(times int, enough func() bool) {
-		for i := range times {
+	sendUntil := func(maxCommands int, stop func() bool) {
+		for i := range maxCommands {
 			if err := c.Send(0, uint64(i+1), lease.Command{Kind: lease.KindAcquire, Name: "task", Process: process, TTLMillis: ttlMillis}); err != nil {
 				t.Logf("not sent: %v", err)
 			}
 			time.Sleep(2 * time.Millisecond)
-			if enough() {
+			if stop() {
 				return
 			}
 		}
 	}
-	send(3000, func() bool { return results.Load() > 0 })
-	if results.Load() == 0 {
+	sendUntil(3000, func() bool { return resultCount.Load() > 0 })
+	if resultCount.Load() == 0 {
 		t.Fatal("a group of one does not respond")
 	}
 	for _, direction := range [][2]int{{0, 1}, {1, 0}} {
 		time.Sleep(300 * time.Millisecond) // datagrams in flight arrive intact
-		before := results.Load()
-		relay.UpdateLinks(func(l *faultrelay.Links) {
-			l.Heal()
-			l.Set(direction[:1], direction[1:], func(x *faultrelay.Link) { x.CorruptRate = 1 })
+		before := resultCount.Load()
+		relay.UpdateLinks(func(links *faultrelay.Links) {
+			links.Heal()
+			links.Set(direction[:1], direction[1:], func(link *faultrelay.Link) { link.CorruptRate = 1 })
 		})
-		send(300, func() bool { return false })
-		if handled := results.Load() - before; handled > 0 {
+		sendUntil(300, func() bool { return false })
+		if handled := resultCount.Load() - before; handled > 0 {
 			t.Errorf("direction %v: %d of 300 commands had a result", direction, handled)
 		}
 	}
-	if wrongResults.Load() > 0 {
-		t.Errorf("%d results are not the state of the group", wrongResults.Load())
+	if wrongResultCount.Load() > 0 {
+		t.Errorf("%d results are not the state of the group", wrongResultCount.Load())
 	}
 }
 
@@ -77,12 +77,12 @@
 	}
 	t.Cleanup(relay.Close)
 	for i := range 2 {
-		a, err := faultrounds.LoopbackAddr(1, i) // another process may run this test too
+		addr, err := faultrounds.LoopbackAddr(1, i) // another process may run this test too
 		if err != nil {
 			t.Fatal(err)
 		}
-		addrs = append(addrs, a)
-		if err := relay.SetDestination(i, a); err != nil {
+		addrs = append(addrs, addr)
+		if err := relay.SetDestination(i, addr); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/cluster/consensus/replica/socket.go
+++ b/internal/cluster/consensus/replica/socket.go
@@ -14,10 +14,10 @@
 	return net.ListenUDP("udp", addr)
 }
 
-func parseReplicaAddrs(texts []string) ([]netip.AddrPort, error) {
-	addrs := make([]netip.AddrPort, 0, len(texts))
-	for i, text := range texts {
-		addr, err := netip.ParseAddrPort(text)
+func parseReplicaAddrs(addrStrings []string) ([]netip.AddrPort, error) {
+	addrs := make([]netip.AddrPort, 0, len(addrStrings))
+	for i, addrString := range addrStrings {
+		addr, err := netip.ParseAddrPort(addrString)
 		if err != nil {
 			return nil, fmt.Errorf("parse address of replica %d: %w", i+1, err)
 		}
--- a/internal/cluster/consensus/simulation_test.go
+++ b/internal/cluster/consensus/simulation_test.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	testTickMillis  = 20
-	simulatedMillis = 20_000
-	faultInterval   = 50 // ms between draws of membership changes and lost disks
-	maxDelayMillis  = 30 // of a message
+	testTickMillis      = 20
+	simulatedMillis     = 20_000
+	faultIntervalMillis = 50 // ms between draws of membership changes and lost disks
+	maxDelayMillis      = 30 // of a message
 )
 
 // disk is what survives a replica: what was stored, as a data directory restores it.
@@ -55,21 +55,21 @@
 	cores         []*Core // nil: the replica is down
 	disks         []*disk
 	downUntil     []float64
-	ids           []ReplicaID
+	replicaIDs    []ReplicaID
 	network       []datagram
 	initialVoters int // the first so many; 0: all
-	starts        uint64
-	states        map[uint64]string // the state after so many entries, as the first replica had it
+	startCount    uint64
+	statesByIndex map[uint64]string // the state after so many entries, as the first replica had it
 
 	lossProbability  float64 // of a message
 	changeMembership bool    // replicas are added and removed
 	loseDisks        bool    // replicas lose their disks, one at a time
-	reuseIDs         bool    // a replica without its disk returns under its old ID: a fault that must be detected
+	reuseReplicaIDs  bool    // a replica without its disk returns under its old ID: a fault that must be detected
 	sendBeforeSaving bool    // a replica that crashes has sent what it had not stored: a fault that must be detected
 
-	granted           []lease.Token // by acknowledged commands
-	membershipChanges int
-	lostDisks         int
+	grantedTokens         []lease.Token // by acknowledged commands
+	membershipChangeCount int
+	lostDiskCount         int
 }
 
 func newSimulation(replicas int, seed uint64) *simulation {
@@ -79,11 +79,11 @@
 		cores:           make([]*Core, replicas),
 		disks:           make([]*disk, replicas),
 		downUntil:       make([]float64, replicas),
-		states:          map[uint64]string{},
+		statesByIndex:   map[uint64]string{},
 		lossProbability: 0.05,
 	}
 	for i := range replicas {
-		s.ids = append(s.ids, NewReplicaID(i+1, 0))
+		s.replicaIDs = append(s.replicaIDs, NewReplicaID(i+1, 0))
 	}
 	for i := range replicas {
 		s.disks[i] = &disk{}
@@ -99,8 +99,8 @@
 			voters = append(voters, NewReplicaID(k+1, 0))
 		}
 	}
-	s.starts++
-	c, err := New(s.now, Config{Self: s.ids[i], InitialVoters: voters, TickMillis: testTickMillis}, s.disks[i].stored, s.starts<<32)
+	s.startCount++
+	c, err := New(s.now, Config{Self: s.replicaIDs[i], InitialVoters: voters, TickMillis: testTickMillis}, s.disks[i].stored, s.startCount<<32)
 	if err != nil {
 		panic(err)
 	}
@@ -123,11 +123,11 @@
 		}
 	}()
 	for end := s.now + simulatedMillis; s.now < end; s.now++ {
-		if s.changeMembership && int(s.now)%faultInterval == 0 {
-			s.drawMembershipChange()
+		if s.changeMembership && int(s.now)%faultIntervalMillis == 0 {
+			s.injectMembershipChange()
 		}
-		if s.loseDisks && int(s.now)%faultInterval == 0 {
-			s.drawLostDisk()
+		if s.loseDisks && int(s.now)%faultIntervalMillis == 0 {
+			s.injectDiskLoss()
 		}
 		for i := range s.cores {
 			if failure := s.runReplica(i); failure != "" {
@@ -150,21 +150,21 @@
 	c := s.cores[i]
 	c.Tick(s.now)
 	if s.rng.IntN(60) == 0 {
-		_ = c.Propose(1, s.drawCommand()) // there may be no leader
+		_ = c.Propose(1, s.randomCommand()) // there may be no leader
 	}
 	if s.processReady(i) {
 		s.stop(i, 200*s.rng.Float64())
 		return ""
 	}
 	state := string(c.leases.Encode())
-	if other, known := s.states[c.appliedIndex]; known && other != state {
-		return fmt.Sprintf("after %d entries replica %d has %s, another had %s", c.appliedIndex, i, state, other)
+	if recorded, known := s.statesByIndex[c.appliedIndex]; known && recorded != state {
+		return fmt.Sprintf("after %d entries replica %d has %s, another had %s", c.appliedIndex, i, state, recorded)
 	}
-	s.states[c.appliedIndex] = state
+	s.statesByIndex[c.appliedIndex] = state
 	return ""
 }
 
-func (s *simulation) drawCommand() lease.Command {
+func (s *simulation) randomCommand() lease.Command {
 	return lease.Command{
 		Kind:      lease.KindAcquire + lease.Kind(s.rng.IntN(3)),
 		Name:      "a",
@@ -198,7 +198,7 @@
 		}
 		for _, r := range responses {
 			if r.Result.OK {
-				s.granted = append(s.granted, r.Result.Token)
+				s.grantedTokens = append(s.grantedTokens, r.Result.Token)
 			}
 		}
 		if crashed {
@@ -236,49 +236,49 @@
 }
 
 func (s *simulation) deliver() {
-	later := s.network[:0]
+	inFlight := s.network[:0]
 	for _, d := range s.network {
 		switch {
 		case d.arrivesAt > s.now:
-			later = append(later, d)
+			inFlight = append(inFlight, d)
 		case s.cores[d.to] != nil && s.now >= s.downUntil[d.to]:
 			_ = s.cores[d.to].Step(d.payload) // corrupted messages are dropped
 		}
 	}
-	s.network = later
+	s.network = inFlight
 }
 
-// drawLostDisk has a replica lose its disk now and then while all three vote, and has the leader replace replicas that do not.
-func (s *simulation) drawLostDisk() {
+// injectDiskLoss has a replica lose its disk now and then while all three vote, and has the leader replace replicas that do not.
+func (s *simulation) injectDiskLoss() {
 	for _, c := range s.cores {
 		if c == nil || !c.IsLeader() {
 			continue
 		}
-		for _, id := range s.ids {
+		for _, id := range s.replicaIDs {
 			if !slices.Contains(c.Voters(), id) && !slices.Contains(c.confState.Learners, uint64(id)) {
 				_ = c.ReplaceReplica(id) // proposed again at the next draw
 			}
 		}
-		if !s.allVote(c) || s.rng.IntN(8) > 0 {
+		if !s.votersAreCurrent(c) || s.rng.IntN(8) > 0 {
 			continue
 		}
-		i := s.rng.IntN(len(s.ids))
+		i := s.rng.IntN(len(s.replicaIDs))
 		s.disks[i] = &disk{}
 		s.stop(i, 300*s.rng.Float64())
-		s.lostDisks++
-		if !s.reuseIDs {
-			s.ids[i] = NewReplicaID(i+1, s.ids[i].Generation()+1)
+		s.lostDiskCount++
+		if !s.reuseReplicaIDs {
+			s.replicaIDs[i] = NewReplicaID(i+1, s.replicaIDs[i].Generation()+1)
 		}
 		return
 	}
 }
 
-// allVote reports whether exactly the replicas in their present generations vote, as far as one of them has applied the log.
-func (s *simulation) allVote(c *Core) bool {
-	if len(c.Voters()) != len(s.ids) || len(c.confState.Learners) > 0 || len(c.confState.VotersOutgoing) > 0 {
+// votersAreCurrent reports whether exactly the replicas in their present generations vote, as far as one of them has applied the log.
+func (s *simulation) votersAreCurrent(c *Core) bool {
+	if len(c.Voters()) != len(s.replicaIDs) || len(c.confState.Learners) > 0 || len(c.confState.VotersOutgoing) > 0 {
 		return false
 	}
-	for _, id := range s.ids {
+	for _, id := range s.replicaIDs {
 		if !slices.Contains(c.Voters(), id) {
 			return false
 		}
@@ -286,24 +286,24 @@
 	return true
 }
 
-// drawMembershipChange has the leader add a replica that is not in the group, or remove one.
-func (s *simulation) drawMembershipChange() {
+// injectMembershipChange has the leader add a replica that is not in the group, or remove one.
+func (s *simulation) injectMembershipChange() {
 	for _, c := range s.cores {
 		if c == nil || !c.IsLeader() || len(c.confState.Learners) > 0 || s.rng.IntN(4) > 0 {
 			continue
 		}
-		i := s.rng.IntN(len(s.ids))
-		if slices.Contains(c.Voters(), s.ids[i]) {
+		i := s.rng.IntN(len(s.replicaIDs))
+		if slices.Contains(c.Voters(), s.replicaIDs[i]) {
 			if len(c.Voters()) > 2 && c.RemoveReplica(i+1) == nil {
-				s.membershipChanges++
+				s.membershipChangeCount++
 			}
 			return
 		}
 		// A replica that was removed returns in a new generation, with an empty disk.
-		s.ids[i] = NewReplicaID(i+1, s.ids[i].Generation()+1)
+		s.replicaIDs[i] = NewReplicaID(i+1, s.replicaIDs[i].Generation()+1)
 		s.disks[i], s.cores[i] = &disk{}, nil
-		if c.AddReplica(s.ids[i]) == nil {
-			s.membershipChanges++
+		if c.AddReplica(s.replicaIDs[i]) == nil {
+			s.membershipChangeCount++
 		}
 		return
 	}
--- a/internal/cluster/consensus/snapshot.go
+++ b/internal/cluster/consensus/snapshot.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/cluster/lease"
 )
 
-// newInitialSnapshot returns what all initial voters begin with. It has to be the same at each of them.
+// newInitialSnapshot returns the snapshot that every initial voter starts from. All of them have to create identical snapshots.
 func newInitialSnapshot(voters []ReplicaID) *pb.Snapshot {
 	ids := make([]uint64, 0, len(voters))
 	for _, v := range voters {
@@ -22,7 +22,7 @@
 	}
 }
 
-// restore takes over what is durable: a snapshot, the hard state and entries, each of which may be absent.
+// restore loads durable state into memory: a snapshot, the hard state and log entries, each of which may be absent.
 func (c *Core) restore(snapshot *pb.Snapshot, hardState *pb.HardState, entries []*pb.Entry) error {
 	if snapshot != nil {
 		if err := c.restoreSnapshot(snapshot); err != nil {
@@ -40,25 +40,25 @@
 	return nil
 }
 
-func (c *Core) restoreSnapshot(s *pb.Snapshot) error {
-	if err := c.raftStorage.ApplySnapshot(s); err != nil {
+func (c *Core) restoreSnapshot(snapshot *pb.Snapshot) error {
+	if err := c.raftStorage.ApplySnapshot(snapshot); err != nil {
 		return fmt.Errorf("restore snapshot: %w", err)
 	}
-	leases, err := lease.DecodeState(s.GetData())
+	leases, err := lease.DecodeState(snapshot.GetData())
 	if err != nil {
 		return fmt.Errorf("restore snapshot: %w", err)
 	}
 	c.leases = leases
-	c.confState = s.GetMetadata().GetConfState()
-	c.appliedIndex = s.GetMetadata().GetIndex()
+	c.confState = snapshot.GetMetadata().GetConfState()
+	c.appliedIndex = snapshot.GetMetadata().GetIndex()
 	c.snapshotIndex = c.appliedIndex
 	return nil
 }
 
-// Compact returns a snapshot to store once there are many entries since the last one, or once the membership has changed: an older snapshot would
-// be of no use to a replica that it does not name. It returns false if none is due.
+// Compact returns a snapshot to store if many entries were applied since the last one, or if the membership has changed: a replica rejects a
+// snapshot whose membership does not include it. It returns false if no snapshot is due.
 func (c *Core) Compact() (storage.Update, bool, error) {
-	due := c.appliedIndex-c.snapshotIndex >= snapshotInterval || c.membershipChanged
+	due := c.appliedIndex-c.snapshotIndex >= snapshotIntervalEntries || c.membershipChanged
 	if !due || c.ready != nil || c.appliedIndex == c.snapshotIndex {
 		return storage.Update{}, false, nil
 	}
@@ -74,13 +74,13 @@
 	return storage.Update{Snapshot: snapshot}, true, nil
 }
 
-// discardEntries drops entries from memory that neither the snapshot nor replicas slightly behind need.
+// discardEntries drops log entries from memory that are covered by the snapshot, and keeps the last ones for replicas that are slightly behind.
 func (c *Core) discardEntries() error {
-	first, err := c.raftStorage.FirstIndex()
+	firstIndex, err := c.raftStorage.FirstIndex()
 	if err != nil {
 		return err
 	}
-	if c.appliedIndex <= first+retainedEntries {
+	if c.appliedIndex <= firstIndex+retainedEntries {
 		return nil
 	}
 	return c.raftStorage.Compact(c.appliedIndex - retainedEntries)
--- a/internal/cluster/consensus/storage/golden_test.go
+++ b/internal/cluster/consensus/storage/golden_test.go
@@ -28,11 +28,11 @@
 			golden := filepath.Join("testdata", "golden", name)
 			compareDirectories(t, writeGoldenUpdates(t, id, rewritten), golden)
 
-			copied := filepath.Join(t.TempDir(), "copied")
-			if err := os.CopyFS(copied, os.DirFS(golden)); err != nil {
+			copiedDir := filepath.Join(t.TempDir(), "copied")
+			if err := os.CopyFS(copiedDir, os.DirFS(golden)); err != nil {
 				t.Fatal(err)
 			}
-			s, err := Open(copied, id)
+			s, err := Open(copiedDir, id)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/cluster/consensus/storage/log.go
+++ b/internal/cluster/consensus/storage/log.go
@@ -9,11 +9,13 @@
 	"mintspring/internal/state/recordlog"
 )
 
-// minRewriteSize is the size in bytes up to which the log file is never rewritten. Beyond it, it is rewritten once it has doubled.
+// minRewriteSize is the size in bytes that the log file must exceed before it is rewritten. A larger log file is rewritten, at the next snapshot,
+// once its size has more than doubled.
 const minRewriteSize = 1 << 20
 
-// load reads the log file to its end. A record behind the sync mark may be truncated and is cut off; one before it must not be.
-func (s *Store) load() error {
+// loadLog reads the log file and applies its records to the state. It truncates the file at the first unreadable record after the sync mark. An
+// unreadable record before the mark is an error.
+func (s *Store) loadLog() error {
 	synced, err := s.syncedSize()
 	if err != nil {
 		return err
@@ -22,27 +24,27 @@
 	if err != nil {
 		return fmt.Errorf("read %s: %w", s.logFile.Name(), err)
 	}
-	valid, err := recordlog.Replay(s.logFile.Name(), b, synced, s.state.applyRecord)
+	validSize, err := recordlog.Replay(s.logFile.Name(), b, synced, s.state.applyRecord)
 	if err != nil {
 		return err
 	}
-	s.logSize = int64(valid)
-	if valid < len(b) {
+	s.logSize = int64(validSize)
+	if validSize < len(b) {
 		if err := s.logFile.Truncate(s.logSize); err != nil {
-			return fmt.Errorf("cut off a truncated record: %w", err)
+			return fmt.Errorf("truncate the log file after its last valid record: %w", err)
 		}
 	}
-	s.rewrittenSize = s.logSize
-	if err := s.syncTail(b[min(synced, s.logSize):s.logSize]); err != nil {
+	s.rewriteBaseSize = s.logSize
+	if err := s.rewriteTail(b[min(synced, s.logSize):s.logSize]); err != nil {
 		return err
 	}
 	_, err = s.logFile.Seek(s.logSize, io.SeekStart)
 	return err
 }
 
-// syncTail writes again what was read behind the sync mark, and syncs it: a sync of the process before may have failed, after which the
-// system may drop what it did not write, and another sync without another write succeeds.
-func (s *Store) syncTail(tail []byte) error {
+// rewriteTail writes the data after the sync mark again and syncs it. If the last sync of the previous process failed, the kernel may have marked
+// the unwritten pages as clean: they can still be read, but another sync succeeds without writing them.
+func (s *Store) rewriteTail(tail []byte) error {
 	if len(tail) == 0 {
 		return nil
 	}
@@ -52,7 +54,7 @@
 	return s.syncFile(s.logFile)
 }
 
-// syncedSize reads the sync mark: how many bytes of the log file are known to be synced.
+// syncedSize reads the sync mark and returns how many bytes of the log file are known to be synced.
 func (s *Store) syncedSize() (int64, error) {
 	b, err := io.ReadAll(s.markFile)
 	if err != nil {
@@ -65,19 +67,19 @@
 	return int64(numbers[0]), nil
 }
 
-// Save writes an update and syncs it. Messages that depend on the update may be sent only after Save has returned nil. After an error the contents
-// of the disk are unknown, and each later Save returns the same error.
+// Save writes an update and syncs it. Messages that depend on the update may be sent only after Save has returned nil. After an error, the contents
+// of the disk are unknown, and every later Save returns the same error.
 func (s *Store) Save(u Update) error {
-	if s.failure != nil {
-		return s.failure
+	if s.saveErr != nil {
+		return s.saveErr
 	}
 	if u.isEmpty() {
 		return nil
 	}
 	if err := s.write(u); err != nil {
-		s.failure = fmt.Errorf("save to %s: %w", s.dir, err)
+		s.saveErr = fmt.Errorf("save to %s: %w", s.dir, err)
 	}
-	return s.failure
+	return s.saveErr
 }
 
 func (s *Store) write(u Update) error {
@@ -86,7 +88,7 @@
 		return err
 	}
 	s.state.apply(u)
-	if s.logSize > minRewriteSize && s.logSize > 2*s.rewrittenSize && u.Snapshot != nil {
+	if s.logSize > minRewriteSize && s.logSize > 2*s.rewriteBaseSize && u.Snapshot != nil {
 		return s.rewrite()
 	}
 	if _, err := s.logFile.Write(records); err != nil {
@@ -99,12 +101,13 @@
 	return s.writeMark()
 }
 
-// writeMark records that the log file is synced. The mark itself is not synced: it may be behind the truth, and is never ahead of it.
+// writeMark records that the log file is synced up to logSize. It does not sync the mark itself: after a crash the mark may be too low, but never
+// too high.
 func (s *Store) writeMark() error {
 	return recordlog.WriteMark(s.markFile, uint64(s.logSize))
 }
 
-// rewrite replaces the log file by one that contains the present state and nothing else.
+// rewrite replaces the log file with one that contains only the current state.
 func (s *Store) rewrite() error {
 	records, err := encodeUpdate(Update(s.state))
 	if err != nil {
@@ -115,17 +118,17 @@
 		return err
 	}
 	if err := s.replaceLog(f, records); err != nil {
-		_ = f.Close() // the store has failed
+		_ = f.Close() // Save returns the earlier error
 		return err
 	}
-	_ = s.logFile.Close() // it is not used any more
+	_ = s.logFile.Close() // the old log file is no longer needed
 	s.logFile = f
-	s.logSize, s.rewrittenSize = int64(len(records)), int64(len(records))
+	s.logSize, s.rewriteBaseSize = int64(len(records)), int64(len(records))
 	return s.writeMark()
 }
 
-// replaceLog writes records to a new file and renames it to the log file. The sync mark is reset in between: whichever of the two files is there
-// after a crash, the mark must not claim more than it contains.
+// replaceLog writes records to a new file and renames it to the log file. Before the rename it resets the sync mark, because a crash may leave either
+// the old or the new log file in place, and the mark must not exceed the size of that file.
 func (s *Store) replaceLog(f *os.File, records []byte) error {
 	if _, err := f.Write(records); err != nil {
 		return err
--- a/internal/cluster/consensus/storage/state.go
+++ b/internal/cluster/consensus/storage/state.go
@@ -9,21 +9,21 @@
 	"mintspring/internal/state/recordlog"
 )
 
-// State is what a data directory contains.
+// State is the content of a data directory.
 type State struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
-	Entries   []*pb.Entry // that follow the snapshot
+	Entries   []*pb.Entry // log entries after the snapshot
 }
 
-// Update is what has to be durable before any message that depends on it is sent. Parts that do not change are empty.
+// Update is a change of the state. It has to be durable before any message that depends on it is sent. Unchanged parts are nil.
 type Update struct {
 	HardState *pb.HardState
 	Snapshot  *pb.Snapshot
-	Entries   []*pb.Entry // replace entries of the same index, and all that follow these
+	Entries   []*pb.Entry // each replaces the stored entry with its index and all later ones
 }
 
-// isEmpty reports whether there is nothing to store.
+// isEmpty reports whether the update changes nothing.
 func (u Update) isEmpty() bool { return u.HardState == nil && u.Snapshot == nil && len(u.Entries) == 0 }
 
 // apply merges an update into the state.
@@ -39,7 +39,7 @@
 	}
 }
 
-// appendEntry appends an entry in place of any entry with its index and all that follow.
+// appendEntry appends an entry after removing all entries with the same or a higher index.
 func (s *State) appendEntry(e *pb.Entry) {
 	for len(s.Entries) > 0 && s.Entries[len(s.Entries)-1].GetIndex() >= e.GetIndex() {
 		s.Entries = s.Entries[:len(s.Entries)-1]
@@ -47,14 +47,14 @@
 	s.Entries = append(s.Entries, e)
 }
 
-// applySnapshot replaces the snapshot, and drops the entries that it includes.
+// applySnapshot replaces the snapshot, and drops the entries that the snapshot covers.
 func (s *State) applySnapshot(snapshot *pb.Snapshot) {
 	s.Snapshot = snapshot
-	included := 0
-	for included < len(s.Entries) && s.Entries[included].GetIndex() <= snapshot.GetMetadata().GetIndex() {
-		included++
+	covered := 0
+	for covered < len(s.Entries) && s.Entries[covered].GetIndex() <= snapshot.GetMetadata().GetIndex() {
+		covered++
 	}
-	s.Entries = s.Entries[included:]
+	s.Entries = s.Entries[covered:]
 }
 
 // Kinds of records in the log file.
@@ -64,7 +64,7 @@
 	snapshotRecord  = 'S'
 )
 
-// encodeUpdate returns the records of an update. Records are read in order, and each applies to what the records before it have built.
+// encodeUpdate returns an update as records of the log file. Replaying all records in order restores the state.
 func encodeUpdate(u Update) ([]byte, error) {
 	var b []byte
 	var err error
--- a/internal/cluster/consensus/storage/storage.go
+++ b/internal/cluster/consensus/storage/storage.go
@@ -1,12 +1,12 @@
-// Package storage makes durable what a replica of a consensus group must not forget: its vote, its log and a snapshot.
+// Package storage makes the Raft state of a consensus replica durable: its hard state (term, vote and commit index), its log and a snapshot.
 //
-// A data directory has one log file of checksummed records, and beside it a sync mark, which says how far the log file was known to be synced. A
-// record that was being written when the process died is behind the mark and is cut off; no message depended on it. Any other record that does
-// not read, or a log file that is shorter than its mark, means that the disk lost or changed what others rely on: the replica has to stop and
-// must not guess.
+// A data directory contains one log file of checksummed records, and a sync mark: a small file that stores how many bytes of the log file are known
+// to be synced. A record that was only partly written when the process died lies after the mark and is truncated, since no message depended on it.
+// Any other unreadable record, or a log file shorter than its mark, means that the disk lost or changed data that other replicas rely on. The
+// replica then has to stop, because it cannot know what it has promised.
 //
-// A data directory that was restored from a copy, together with its mark, is not detected here. Such a replica may vote twice in one term. Others
-// detect it if its log is shorter than they know it to be.
+// This package does not detect a data directory that was restored from an older copy together with its mark. Such a replica may vote twice in one
+// term. Other replicas detect it only if its log is shorter than they know it to be.
 package storage
 
 import (
@@ -21,7 +21,7 @@
 	"mintspring/internal/state/recordlog"
 )
 
-// Files of a data directory.
+// Names of the files in a data directory.
 const (
 	identityFileName = "member"
 	logFileName      = "log"
@@ -30,24 +30,24 @@
 	lockFileName     = "lock"
 )
 
-// filePermissions are those of the files of a data directory.
+// filePermissions is the mode of the files in a data directory.
 const filePermissions = 0o600
 
-// Errors of data directories that cannot be used.
+// Errors for data directories that cannot be used.
 var (
 	ErrNotInitialized = errors.New("data directory is not initialized: create it with consensus init, in a new generation if this replica was in the group before")
 	ErrWrongIdentity  = errors.New("data directory belongs to another replica")
 	ErrInUse          = errors.New("data directory is in use by another process")
 )
 
-// Identity is the replica that a data directory belongs to.
+// Identity names the replica that a data directory belongs to.
 type Identity struct {
 	Group         string `json:"council"`
-	ReplicaNumber uint64 `json:"member"`               // its number, from 1
-	Generation    int    `json:"generation,omitempty"` // how often it was replaced after its data directory was lost
+	ReplicaNumber uint64 `json:"member"`               // from 1
+	Generation    int    `json:"generation,omitempty"` // how often the replica was replaced after losing its data directory
 }
 
-// Store is a data directory that this process uses. It is not safe for concurrent use.
+// Store is an open data directory. It is not safe for concurrent use.
 type Store struct {
 	dir      string
 	logFile  *os.File
@@ -55,14 +55,14 @@
 	lockFile *os.File // locked while the store is open
 	syncFile func(f *os.File) error
 
-	state         State // durable, unless failure is set
-	logSize       int64 // bytes
-	rewrittenSize int64 // of the log file after it was last opened or rewritten
-	failure       error // of the first Save that failed
+	state           State // contents of the data directory, unless saveErr is set
+	logSize         int64 // size of the log file in bytes
+	rewriteBaseSize int64 // size in bytes of the log file when it was last opened or rewritten
+	saveErr         error // error of the first Save that failed; later calls return it too
 }
 
-// Create makes an empty data directory for a replica, once, when its group is created or when it joins in a new generation. A replica that has
-// lost its data directory must not get an empty one in the same generation: it could vote twice in one term.
+// Create makes an empty data directory for a replica. It is called once, when the group is created or when the replica joins in a new generation. A
+// replica that has lost its data directory must not get an empty one in the same generation, because it could vote twice in one term.
 func Create(dir string, id Identity) error {
 	if err := createIdentityFile(dir, id); err != nil {
 		return fmt.Errorf("create data directory: %w", err)
@@ -78,14 +78,14 @@
 	return recordlog.CreateDir(dir, identityFileName, b)
 }
 
-// Open opens and locks the data directory of a replica, and reads it. Errors match ErrNotInitialized, ErrWrongIdentity, ErrInUse or recordlog.ErrCorrupt
-// where these apply.
+// Open opens, locks and reads the data directory of a replica. Its errors include ErrNotInitialized, ErrWrongIdentity, ErrInUse and
+// recordlog.ErrCorrupt, to be tested with errors.Is.
 func Open(dir string, id Identity) (*Store, error) {
 	if err := checkIdentity(dir, id); err != nil {
 		return nil, err
 	}
 	s := &Store{dir: dir, syncFile: (*os.File).Sync}
-	if err := s.open(); err != nil {
+	if err := s.openFiles(); err != nil {
 		s.Close()
 		return nil, err
 	}
@@ -106,12 +106,12 @@
 		return fmt.Errorf("decode %s: %w", name, err)
 	}
 	if got != want {
-		return fmt.Errorf("%s is of replica %d of group %s in generation %d: %w", dir, got.ReplicaNumber, got.Group, got.Generation, ErrWrongIdentity)
+		return fmt.Errorf("%s belongs to replica %d of group %s, generation %d: %w", dir, got.ReplicaNumber, got.Group, got.Generation, ErrWrongIdentity)
 	}
 	return nil
 }
 
-func (s *Store) open() error {
+func (s *Store) openFiles() error {
 	var err error
 	s.lockFile, err = recordlog.Lock(filepath.Join(s.dir, lockFileName))
 	if errors.Is(err, syscall.EWOULDBLOCK) {
@@ -126,15 +126,15 @@
 	if s.markFile, err = s.openFile(markFileName, 0); err != nil {
 		return err
 	}
-	return s.load()
+	return s.loadLog()
 }
 
-// openFile opens a file of the data directory for reading and writing, and creates it if there is none.
+// openFile opens a file of the data directory for reading and writing, and creates it if it does not exist.
 func (s *Store) openFile(name string, flags int) (*os.File, error) {
 	return os.OpenFile(filepath.Join(s.dir, name), os.O_CREATE|os.O_RDWR|flags, filePermissions)
 }
 
-// State returns the contents of the data directory. The caller must not change them.
+// State returns the contents of the data directory. The caller must not modify what it points to.
 func (s *Store) State() State { return s.state }
 
 // Size returns the size of the log file in bytes.
@@ -144,7 +144,7 @@
 func (s *Store) Close() {
 	for _, f := range []*os.File{s.logFile, s.markFile, s.lockFile} {
 		if f != nil {
-			_ = f.Close() // whatever matters was synced by Save
+			_ = f.Close() // Save has synced all data
 		}
 	}
 }
--- a/internal/cluster/consensus/storage/storage_test.go
+++ b/internal/cluster/consensus/storage/storage_test.go
@@ -102,11 +102,11 @@
 type damage int
 
 const (
-	truncateLog  damage = iota
-	flipLogBit          // anywhere in the log file
-	flipMarkBit         // anywhere in the sync mark
-	partialWrite        // a record behind the sync mark, as a process leaves it that dies while it writes
-	damageKinds
+	truncateLog         damage = iota
+	flipLogBit                 // anywhere in the log file
+	flipMarkBit                // anywhere in the sync mark
+	appendPartialRecord        // a record behind the sync mark, as a process leaves it that dies while it writes
+	damageKindCount
 )
 
 func (d damage) apply(rng *rand.Rand, log, mark []byte) (damagedLog, damagedMark []byte) {
@@ -118,7 +118,7 @@
 		log[rng.IntN(len(log))] ^= 1 << rng.IntN(8)
 	case flipMarkBit:
 		mark[rng.IntN(len(mark))] ^= 1 << rng.IntN(8)
-	case partialWrite:
+	case appendPartialRecord:
 		log = append(log, log[:1+rng.IntN(30)]...)
 	}
 	return log, mark
@@ -132,23 +132,23 @@
 		trials  = 1000
 	)
 	rng := rand.New(rand.NewPCG(1, 9))
-	intact := createStore(t)
-	s := openStore(t, intact)
+	intactDir := createStore(t)
+	s := openStore(t, intactDir)
 	for i := uint64(1); i <= updates; i++ {
 		save(t, s, Update{HardState: hardState(i, 1, i), Entries: []*pb.Entry{entry(i, i, "payload of some length")}})
 	}
 	s.Close()
-	log, err := os.ReadFile(filepath.Join(intact, logFileName))
+	log, err := os.ReadFile(filepath.Join(intactDir, logFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
-	mark, err := os.ReadFile(filepath.Join(intact, markFileName))
+	mark, err := os.ReadFile(filepath.Join(intactDir, markFileName))
 	if err != nil {
 		t.Fatal(err)
 	}
 	rejected := 0
 	for i := range trials {
-		kind := damage(i) % damageKinds
+		kind := damage(i) % damageKindCount
 		dir := createStore(t)
 		damagedLog, damagedMark := kind.apply(rng, log, mark)
 		if err := errors.Join(os.WriteFile(filepath.Join(dir, logFileName), damagedLog, filePermissions),
@@ -158,14 +158,14 @@
 		s, err := Open(dir, testIdentity)
 		if err != nil {
 			rejected++
-			if !errors.Is(err, recordlog.ErrCorrupt) || kind == partialWrite {
+			if !errors.Is(err, recordlog.ErrCorrupt) || kind == appendPartialRecord {
 				t.Fatalf("trial %d: %v", i, err)
 			}
 			continue
 		}
 		got := s.State()
 		s.Close()
-		if kind != partialWrite || len(got.Entries) < updates || got.HardState.GetTerm() < updates {
+		if kind != appendPartialRecord || len(got.Entries) < updates || got.HardState.GetTerm() < updates {
 			t.Fatalf("trial %d: opened with %d entries in term %d", i, len(got.Entries), got.HardState.GetTerm())
 		}
 	}
@@ -177,13 +177,13 @@
 // After a failed sync nothing is saved any more, since the contents of the disk are unknown.
 func TestFailedSync(t *testing.T) {
 	s := openStore(t, createStore(t))
-	failure := errors.New("no space left on device")
-	s.syncFile = func(*os.File) error { return failure }
-	if err := s.Save(Update{HardState: hardState(1, 1, 0)}); !errors.Is(err, failure) {
+	syncErr := errors.New("no space left on device")
+	s.syncFile = func(*os.File) error { return syncErr }
+	if err := s.Save(Update{HardState: hardState(1, 1, 0)}); !errors.Is(err, syncErr) {
 		t.Fatalf("%v", err)
 	}
 	s.syncFile = (*os.File).Sync
-	if err := s.Save(Update{HardState: hardState(2, 1, 0)}); !errors.Is(err, failure) {
+	if err := s.Save(Update{HardState: hardState(2, 1, 0)}); !errors.Is(err, syncErr) {
 		t.Errorf("saved after a failed sync: %v", err)
 	}
 }
