--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -8,10 +8,10 @@
 	"mintspring/internal/cluster/lease"
 )
 
-// BenchmarkCommands measures commands through a consensus group of one on a real disk, 64 to a sync, and the size of the log at the end:
-// go test ./internal/cluster/consensus -run xxx -bench Commands -benchtime 1000000x
+// BenchmarkCommands measures how long commands take in a single-replica group on a real disk, with 64 commands per sync, and how large the log file
+// gets. Run it with: go test ./internal/cluster/consensus -run xxx -bench Commands -benchtime 1000000x
 func BenchmarkCommands(b *testing.B) {
-	const batch = 64
+	const commandsPerSync = 64
 	dir := filepath.Join(b.TempDir(), "data")
 	identity := storage.Identity{Group: "c", ReplicaNumber: 1}
 	if err := storage.Create(dir, identity); err != nil {
@@ -34,8 +34,8 @@
 		responses += processReadyUpdates(b, c, store, now)
 	}
 	b.ResetTimer()
-	for i := 0; i < b.N; i += batch {
-		for range batch {
+	for i := 0; i < b.N; i += commandsPerSync {
+		for range commandsPerSync {
 			cmd := lease.Command{Kind: lease.KindAcquire, Name: "a", Process: lease.Process{Node: 1}, TTLMillis: 1000}
 			if err := c.Propose(1, cmd); err != nil {
 				b.Fatal(err)
@@ -47,7 +47,7 @@
 	b.ReportMetric(float64(responses)/float64(max(1, b.N)), "answered/op")
 }
 
-// processReadyUpdates stores all updates that are ready, and returns the number of responses.
+// processReadyUpdates stores and advances all ready updates, and returns the number of responses.
 func processReadyUpdates(b *testing.B, c *Core, store *storage.Store, now float64) (responses int) {
 	b.Helper()
 	for {
--- a/internal/cluster/consensus/core_test.go
+++ b/internal/cluster/consensus/core_test.go
@@ -7,46 +7,46 @@
 	"mintspring/internal/cluster/lease"
 )
 
-// Replicas that crash at any moment, before or after they have stored an update, and whose messages are lost, delayed, duplicated and corrupted,
-// apply one log. A replica that sends before it has stored is detected.
+// Replicas crash at random moments, before or after storing an update, and their messages are lost, delayed, duplicated and corrupted. They must
+// still apply the same log. The simulation must detect a replica that sends messages before it stores the update that they depend on.
 func TestReplicasApplyOneLog(t *testing.T) {
-	grantCount := 0
+	acknowledgedCount := 0
 	for seed := range uint64(6) {
 		s := newSimulation(3, seed+1)
 		if failure := s.run(); failure != "" {
 			t.Errorf("seed %d: %s", seed+1, failure)
 		}
-		grantCount += len(s.grantedTokens)
+		acknowledgedCount += len(s.acknowledgedTokens)
 	}
-	if grantCount < 300 {
-		t.Errorf("only %d commands were acknowledged", grantCount)
+	if acknowledgedCount < 300 {
+		t.Errorf("only %d commands were acknowledged", acknowledgedCount)
 	}
-	t.Logf("%d commands were acknowledged", grantCount)
+	t.Logf("%d commands were acknowledged", acknowledgedCount)
 	checkDetected(t, "sending before storing", 12, func(s *simulation) { s.sendBeforeSaving = true })
 }
 
-// Replicas lose their disks one after another and are replaced in a new generation: they apply one log, and the group keeps working. A replica that
-// returns under its old ID has forgotten its votes, and is detected.
+// Replicas lose their disks one after another and are replaced in a new generation. They must apply the same log, and the group must keep working.
+// A replica that returns under its old ID has forgotten its votes and may vote twice in one term, which the simulation must detect.
 func TestLostDataDirectories(t *testing.T) {
-	grantCount, lostDiskCount := 0, 0 // the library draws elections itself: no two runs are the same
+	acknowledgedCount, lostDiskCount := 0, 0 // sums over all seeds: the library randomizes elections, so no two runs are the same
 	for seed := range uint64(5) {
 		s := newSimulation(3, seed+1)
 		s.loseDisks = true
 		if failure := s.run(); failure != "" {
 			t.Errorf("seed %d: %s", seed+1, failure)
 		}
-		grantCount, lostDiskCount = grantCount+len(s.grantedTokens), lostDiskCount+s.lostDiskCount
+		acknowledgedCount, lostDiskCount = acknowledgedCount+len(s.acknowledgedTokens), lostDiskCount+s.lostDiskCount
 	}
-	if grantCount < 150 || lostDiskCount < 10 {
-		t.Errorf("only %d commands were acknowledged, and %d disks lost", grantCount, lostDiskCount)
+	if acknowledgedCount < 150 || lostDiskCount < 10 {
+		t.Errorf("only %d commands were acknowledged, and only %d disks were lost", acknowledgedCount, lostDiskCount)
 	}
-	t.Logf("%d commands were acknowledged, %d disks were lost", grantCount, lostDiskCount)
+	t.Logf("%d commands were acknowledged, %d disks were lost", acknowledgedCount, lostDiskCount)
 	checkDetected(t, "returning under the old ID", 16, func(s *simulation) {
 		s.loseDisks, s.reuseReplicaIDs, s.lossProbability = true, true, 0.2
 	})
 }
 
-// checkDetected runs simulations of three replicas with a fault, and expects that at least one of the runs detects it.
+// checkDetected runs simulations of three replicas with an injected fault, and checks that at least one run detects it.
 func checkDetected(t *testing.T, fault string, runs uint64, inject func(*simulation)) {
 	t.Helper()
 	detected := 0
@@ -63,28 +63,28 @@
 	t.Logf("%s is detected in %d of %d runs", fault, detected, runs)
 }
 
-// Replicas are added and removed one at a time, the leader among them, while replicas crash and messages are lost: they apply one log.
+// Replicas, including the leader, are added and removed one at a time while replicas crash and messages are lost. They must apply the same log.
 func TestMembershipChanges(t *testing.T) {
-	grantCount, changeCount := 0, 0
+	acknowledgedCount, changeCount := 0, 0
 	for seed := range uint64(6) {
 		s := newSimulation(5, seed+1)
 		s.changeMembership = true
 		if failure := s.run(); failure != "" {
 			t.Errorf("seed %d: %s", seed+1, failure)
 		}
-		grantCount, changeCount = grantCount+len(s.grantedTokens), changeCount+s.membershipChangeCount
+		acknowledgedCount, changeCount = acknowledgedCount+len(s.acknowledgedTokens), changeCount+s.membershipChangeCount
 	}
-	if grantCount < 150 || changeCount < 30 {
-		t.Errorf("only %d commands were acknowledged, and %d membership changes made", grantCount, changeCount)
+	if acknowledgedCount < 150 || changeCount < 30 {
+		t.Errorf("only %d commands were acknowledged, and only %d membership changes were made", acknowledgedCount, changeCount)
 	}
-	t.Logf("%d commands were acknowledged, %d membership changes were made", grantCount, changeCount)
+	t.Logf("%d commands were acknowledged, %d membership changes were made", acknowledgedCount, changeCount)
 }
 
-// A configured list that has grown since the group was created grants nobody a vote: the data directory decides who votes. Otherwise replicas that
-// restart with the longer list would count a majority of five while the others count one of three.
+// Replicas that are added to the configured list after the group was created get no vote, because the voters come from the data directory. Otherwise
+// replicas that restart with the longer list would need a majority of five, while the others need a majority of three.
 func TestConfiguredListGrantsNoVote(t *testing.T) {
 	s := newSimulation(5, 3)
-	s.initialVoters = 3
+	s.initialVoterCount = 3
 	for i := range s.cores {
 		s.disks[i] = &disk{}
 		s.start(i)
@@ -96,60 +96,60 @@
 		return counts
 	}
 	if got := voterCounts(); !slices.Equal(got, []int{3, 3, 3, 0, 0}) {
-		t.Fatalf("at the beginning they count %v voters", got)
+		t.Fatalf("after the start the replicas count %v voters, want 3 3 3 0 0", got)
 	}
-	s.initialVoters = 0 // the longer list
+	s.initialVoterCount = 0 // the longer list
 	for i := range 3 {
 		s.start(i)
 	}
 	if got := voterCounts(); !slices.Equal(got, []int{3, 3, 3, 0, 0}) {
-		t.Errorf("with a longer list they count %v voters", got)
+		t.Errorf("with a longer list the replicas count %v voters, want 3 3 3 0 0", got)
 	}
 	c := s.cores[0]
 	if c.AddReplica(NewReplicaID(2, 1)) == nil {
-		t.Error("a replica was added that is in the group")
+		t.Error("replica 2 was added although it is in the group")
 	}
 	if c.AddReplica(NewReplicaID(16, 0)) == nil {
-		t.Error("a replica was added whose number is out of range")
+		t.Error("replica number 16 was accepted although it is out of range")
 	}
 	if c.RemoveReplica(4) == nil {
-		t.Error("a replica was removed that is not in the group")
+		t.Error("replica 4 was removed although it is not in the group")
 	}
 }
 
-// A long log becomes a snapshot, by which a replica that was away for all of it catches up, and from which a replica restarts.
+// A long log is replaced by a snapshot. A replica that was down meanwhile catches up from this snapshot, and a replica can restart from it.
 func TestSnapshots(t *testing.T) {
 	s := newSimulation(3, 5)
 	s.lossProbability = 0
 	runUnderLoad(t, s, 1500, 0, 1)
 	if s.cores[0].snapshotIndex <= 1 {
-		t.Fatalf("%d entries and no snapshot", s.cores[0].appliedIndex)
+		t.Fatalf("no snapshot after %d entries", s.cores[0].appliedIndex)
 	}
 	runUnderLoad(t, s, 1500, 0, 1, 2)
 	if reference, lagging := s.cores[0], s.cores[2]; lagging.appliedIndex+200 < reference.appliedIndex {
-		t.Errorf("the replica that was away has applied %d of %d entries", lagging.appliedIndex, reference.appliedIndex)
+		t.Errorf("the replica that was down has applied %d of %d entries", lagging.appliedIndex, reference.appliedIndex)
 	}
 	s.start(0)
 	if s.cores[0].appliedIndex <= 1 {
-		t.Error("a replica does not restart from its snapshot")
+		t.Error("the replica did not restart from its snapshot")
 	}
 }
 
-// runUnderLoad runs some replicas of a simulation without faults, while commands are proposed to the leader.
-func runUnderLoad(t *testing.T, s *simulation, millis float64, replicas ...int) {
+// runUnderLoad runs the given replicas without faults, and proposes commands to the leader meanwhile.
+func runUnderLoad(t *testing.T, s *simulation, millis float64, replicaIndexes ...int) {
 	t.Helper()
 	for end := s.now + millis; s.now < end; s.now += 2 {
-		for _, i := range replicas {
+		for _, i := range replicaIndexes {
 			c := s.cores[i]
 			c.Tick(s.now)
 			proposeBatchIfLeader(t, c)
 			sendWithoutFaults(t, s, i)
 		}
-		deliverTo(t, s, replicas)
+		deliverTo(t, s, replicaIndexes)
 	}
 }
 
-// proposeBatchIfLeader proposes twenty commands, or fewer if the replica does not lead.
+// proposeBatchIfLeader proposes twenty commands if the replica is the leader.
 func proposeBatchIfLeader(t *testing.T, c *Core) {
 	t.Helper()
 	for range 20 {
@@ -157,26 +157,27 @@
 			return
 		}
 		if err := c.Propose(1, lease.Command{Kind: lease.KindAcquire, Name: "a", Process: lease.Process{Node: 1}, TTLMillis: 100}); err != nil {
-			t.Logf("not proposed: %v", err)
+			t.Logf("proposal failed: %v", err)
 		}
 	}
 }
 
-// deliverTo delivers what is on the network to some replicas, and drops what is sent to others.
-func deliverTo(t *testing.T, s *simulation, replicas []int) {
+// deliverTo delivers the messages in flight to the given replicas, and drops all others.
+func deliverTo(t *testing.T, s *simulation, replicaIndexes []int) {
 	t.Helper()
 	arrived := s.network
 	s.network = nil
 	for _, d := range arrived {
-		if !slices.Contains(replicas, d.to) {
+		if !slices.Contains(replicaIndexes, d.to) {
 			continue
 		}
 		if err := s.cores[d.to].Step(d.payload); err != nil {
-			t.Logf("not handled by replica %d: %v", d.to, err)
+			t.Logf("replica %d dropped a message: %v", d.to, err)
 		}
 	}
 }
 
+// sendWithoutFaults stores the ready updates of a replica, and sends its messages with a delay of 1 ms.
 func sendWithoutFaults(t *testing.T, s *simulation, i int) {
 	t.Helper()
 	for {
--- a/internal/cluster/consensus/golden_test.go
+++ b/internal/cluster/consensus/golden_test.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// Log entries are stored by running fleets: these bytes must not change.
+// The log entries of running fleets are stored in this encoding, so the bytes must not change.
 func TestGoldenEntries(t *testing.T) {
 	process := lease.Process{Node: 1, Incarnation: 0x18bcfe56800abcd}
 	for file, e := range map[string]logEntry{
@@ -23,16 +23,16 @@
 	} {
 		want := goldentest.Read(t, file)
 		if got, err := json.Marshal(e); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: written as %s, %v; want %s", file, got, err, want)
+			t.Errorf("%s: encoded as %s, %v; want %s", file, got, err, want)
 		}
 		var decoded logEntry
 		if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, e) {
-			t.Errorf("%s: read as %+v, %v; want %+v", file, decoded, err, e)
+			t.Errorf("%s: decoded as %+v, %v; want %+v", file, decoded, err, e)
 		}
 	}
 }
 
-// Messages go between replicas of different versions: these bytes must not change.
+// Replicas of different versions exchange messages in this encoding, so the bytes must not change.
 func TestGoldenMessages(t *testing.T) {
 	for file, m := range map[string]*pb.Message{
 		"message-append.bin": {
@@ -47,23 +47,23 @@
 	} {
 		want := goldentest.Read(t, file)
 		if got, err := EncodeMessage(m); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: written as %x, %v; want %x", file, got, err, want)
+			t.Errorf("%s: encoded as %x, %v; want %x", file, got, err, want)
 		}
 		decoded := &pb.Message{}
 		if err := proto.Unmarshal(want[checksumSize:], decoded); err != nil || !proto.Equal(decoded, m) {
-			t.Errorf("%s: read as %v, %v; want %v", file, decoded, err, m)
+			t.Errorf("%s: decoded as %v, %v; want %v", file, decoded, err, m)
 		}
 		c, err := New(1e6, Config{Self: 1, InitialVoters: []ReplicaID{1, 2, 3}, TickMillis: 20}, storage.State{}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := c.Step(want); err != nil {
-			t.Errorf("%s: not handled: %v", file, err)
+			t.Errorf("%s: message dropped: %v", file, err)
 		}
 	}
 }
 
-// Initial voters have to begin with the same snapshot: these bytes must not change.
+// All initial voters have to start from the same snapshot, whatever their versions, so the bytes must not change.
 func TestGoldenInitialSnapshot(t *testing.T) {
 	want := goldentest.Read(t, "founding.bin")
 	c, err := New(1e6, Config{Self: 2, InitialVoters: []ReplicaID{1, 2, 3}, TickMillis: 20}, storage.State{}, 1)
@@ -75,7 +75,7 @@
 		t.Fatal("an initial voter without stored state has no initial snapshot")
 	}
 	if got, err := proto.Marshal(u.Snapshot); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("written as %x, %v; want %x", got, err, want)
+		t.Errorf("initial snapshot encoded as %x, %v; want %x", got, err, want)
 	}
 	decoded := &pb.Snapshot{}
 	if err := proto.Unmarshal(want, decoded); err != nil {
@@ -85,11 +85,11 @@
 		t.Fatal(err)
 	}
 	if got := c.Voters(); !reflect.DeepEqual(got, []ReplicaID{1, 2, 3}) {
-		t.Errorf("voters %v", got)
+		t.Errorf("voters of the decoded snapshot are %v, want 1 2 3", got)
 	}
 }
 
-// IDs of replicas are part of log entries and messages.
+// Log entries and messages contain replica IDs, so the values must not change.
 func TestGoldenIDs(t *testing.T) {
 	for _, tc := range []struct {
 		number, generation int
--- a/internal/cluster/consensus/replica/golden_test.go
+++ b/internal/cluster/consensus/replica/golden_test.go
@@ -10,8 +10,8 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// Datagrams go between programs of different versions: these bytes must not change. Messages of kind 'R' have their golden files in the package
-// consensus.
+// Programs of different versions exchange datagrams in this encoding, so the bytes must not change. The golden files of consensus messages (kind 'R')
+// are in the package consensus.
 func TestGoldenDatagrams(t *testing.T) {
 	process := lease.Process{Node: 1, Incarnation: 0x18bcfe56800abcd}
 	for _, tc := range []struct {
@@ -27,16 +27,16 @@
 	} {
 		want := goldentest.Read(t, tc.file)
 		if got, err := encodeDatagram(tc.kind, tc.value); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: written as %q, %v; want %q", tc.file, got, err, want)
+			t.Errorf("%s: encoded as %q, %v; want %q", tc.file, got, err, want)
 		}
 		decoded := reflect.New(reflect.TypeOf(tc.value))
 		if err := decodeDatagram(want, decoded.Interface()); err != nil || !reflect.DeepEqual(decoded.Elem().Interface(), tc.value) {
-			t.Errorf("%s: read as %+v, %v; want %+v", tc.file, decoded.Elem(), err, tc.value)
+			t.Errorf("%s: decoded as %+v, %v; want %+v", tc.file, decoded.Elem(), err, tc.value)
 		}
 	}
 	for kind, want := range map[byte]byte{kindConsensus: 'R', kindCommand: 'C', kindResult: 'A', kindReplaceReplica: 'T', kindChangeMembership: 'V'} {
 		if kind != want {
-			t.Errorf("kind %q, want %q", kind, want)
+			t.Errorf("datagram kind is %q, want %q", kind, want)
 		}
 	}
 }
--- a/internal/cluster/consensus/replica/panic_test.go
+++ b/internal/cluster/consensus/replica/panic_test.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/cluster/consensus/storage"
 )
 
-// newReplicaWithPanickingCore returns a replica whose core panics at whatever is called of it, since it has no Raft node.
+// newReplicaWithPanickingCore returns a replica whose core has no Raft node, so that calls of Tick and Ready panic.
 func newReplicaWithPanickingCore(t *testing.T, tickInterval time.Duration) *Replica {
 	t.Helper()
 	dir, identity := filepath.Join(t.TempDir(), "data"), storage.Identity{Group: "one", ReplicaNumber: 1}
@@ -44,16 +44,16 @@
 	}
 }
 
-// A panic of the Raft library ends the replica, with an error, and not the process: whether it happens in a tick or while updates are processed.
+// A panic of the Raft library must end the replica with an error, and must not end the process. It may occur in a tick or while updates are processed.
 func TestPanicStopsTheReplica(t *testing.T) {
 	panicsInTick := newReplicaWithPanickingCore(t, time.Millisecond)
 	panicsInUpdate := newReplicaWithPanickingCore(t, time.Hour)
-	panicsInUpdate.received <- datagram{payload: []byte{'?'}} // of no kind: the core is not called before its updates are processed
-	for name, r := range map[string]*Replica{"tick": panicsInTick, "update": panicsInUpdate} {
+	panicsInUpdate.received <- datagram{payload: []byte{'?'}} // unknown kind: the core is first called when updates are processed
+	for name, r := range map[string]*Replica{"a tick": panicsInTick, "update processing": panicsInUpdate} {
 		go r.run()
 		<-r.Done()
 		if err := r.Err(); err == nil || !strings.Contains(err.Error(), "consensus failed") {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("after a panic in %s the replica ended with error %v", name, err)
 		}
 	}
 }
--- a/internal/cluster/consensus/replica/replica.go
+++ b/internal/cluster/consensus/replica/replica.go
@@ -26,20 +26,21 @@
 	maxPendingCommands = 4096 // commands without a result whose client addresses are kept
 	receiveQueueLength = 1024 // received datagrams waiting for the run goroutine
 	clockChecksPerTick = 4    // how often the clock is checked per tick of the consensus core
-	// A replica numbers its commands from its start time in ms, shifted left by sequenceShiftBits: beyond the numbers of its earlier processes.
+	// A replica numbers its commands from its start time in ms shifted left by sequenceShiftBits, so that the numbers exceed those of its earlier
+	// processes.
 	sequenceShiftBits = 20
 )
 
 // Config configures a replica.
 type Config struct {
 	Group             string
-	Number            uint64 // of this replica, from 1
+	Number            uint64 // 1 for the first of ReplicaAddrs
 	Generation        int    // how often this replica was replaced after losing its data directory
 	ListenAddr        string
 	ReplicaAddrs      []string // all replicas including this one; replica n is at index n-1
 	InitialVoterCount int      // replicas 1 to InitialVoterCount vote when the group is created; 0: all replicas vote
 	DataDir           string
-	TickInterval      time.Duration // between two ticks of the consensus core
+	TickInterval      time.Duration // interval between ticks of the consensus core
 }
 
 // initialVoters returns the replicas that vote when the group is created.
@@ -90,8 +91,8 @@
 	clientIncarnation uint64
 }
 
-// ErrStorage reports that a replica could not write to its data directory. The replica may be started again: all updates that
-// were saved before the failure are still there.
+// ErrStorage reports that a replica could not write to its data directory. The replica may be started again: all updates that were saved before the
+// failure are still there.
 var ErrStorage = errors.New("the data directory failed")
 
 // Start opens the data directory and the socket, and starts the replica. The replica runs until Stop is called, or until its disk or the consensus
@@ -220,9 +221,9 @@
 	for _, id := range r.core.Voters() {
 		voters = append(voters, fmt.Sprintf("%d(%d)", id.Number(), id.Generation()))
 	}
-	if text := strings.Join(voters, " "); text != r.lastLoggedVoters {
-		r.lastLoggedVoters = text
-		r.log.WithField("voters", text).Info("consensus voters changed")
+	if voterList := strings.Join(voters, " "); voterList != r.lastLoggedVoters {
+		r.lastLoggedVoters = voterList
+		r.log.WithField("voters", voterList).Info("consensus voters changed")
 	}
 	if leader := r.core.IsLeader(); leader != r.lastLoggedLeader {
 		r.lastLoggedLeader = leader
--- a/internal/cluster/consensus/simulation_test.go
+++ b/internal/cluster/consensus/simulation_test.go
@@ -16,11 +16,11 @@
 const (
 	testTickMillis      = 20
 	simulatedMillis     = 20_000
-	faultIntervalMillis = 50 // ms between draws of membership changes and lost disks
-	maxDelayMillis      = 30 // of a message
+	faultIntervalMillis = 50 // how often a membership change or disk loss may be injected
+	maxDelayMillis      = 30 // longest random delay of a message
 )
 
-// disk is what survives a replica: what was stored, as a data directory restores it.
+// disk holds the state that a replica has stored and restores after a crash.
 type disk struct{ stored storage.State }
 
 func (d *disk) save(u storage.Update) {
@@ -44,58 +44,59 @@
 // datagram is a message in flight.
 type datagram struct {
 	arrivesAt float64
-	to        int
+	to        int // index of the receiving replica
 	payload   []byte
 }
 
-// simulation is a consensus group on a virtual clock, whose replicas lose what was not stored when they crash.
+// simulation runs a consensus group on a virtual clock. A replica that crashes loses everything that it has not stored.
 type simulation struct {
-	rng           *rand.Rand
-	now           float64
-	cores         []*Core // nil: the replica is down
-	disks         []*disk
-	downUntil     []float64
-	replicaIDs    []ReplicaID
-	network       []datagram
-	initialVoters int // the first so many; 0: all
-	startCount    uint64
-	statesByIndex map[uint64]string // the state after so many entries, as the first replica had it
+	rng               *rand.Rand
+	now               float64
+	cores             []*Core // nil: the replica is down
+	disks             []*disk
+	downUntil         []float64
+	replicaIDs        []ReplicaID
+	network           []datagram
+	initialVoterCount int // the first initialVoterCount replicas vote at the start; 0: all replicas vote
+	startCount        uint64
+	statesByIndex     map[uint64]string // encoded lease state of a replica that has applied the log up to the index
 
-	lossProbability  float64 // of a message
-	changeMembership bool    // replicas are added and removed
-	loseDisks        bool    // replicas lose their disks, one at a time
-	reuseReplicaIDs  bool    // a replica without its disk returns under its old ID: a fault that must be detected
-	sendBeforeSaving bool    // a replica that crashes has sent what it had not stored: a fault that must be detected
+	lossProbability  float64 // probability that a message is lost
+	changeMembership bool    // adds and removes replicas
+	loseDisks        bool    // makes replicas lose their disks, one at a time
+	reuseReplicaIDs  bool    // fault to detect: a replica that lost its disk returns under its old ID
+	sendBeforeSaving bool    // fault to detect: a replica sends messages before it stores their update, and then crashes
 
-	grantedTokens         []lease.Token // by acknowledged commands
+	acknowledgedTokens    []lease.Token // tokens in the results of acknowledged commands
 	membershipChangeCount int
 	lostDiskCount         int
 }
 
-func newSimulation(replicas int, seed uint64) *simulation {
+func newSimulation(replicaCount int, seed uint64) *simulation {
 	s := &simulation{
 		rng:             rand.New(rand.NewPCG(seed, 7)),
 		now:             1e6,
-		cores:           make([]*Core, replicas),
-		disks:           make([]*disk, replicas),
-		downUntil:       make([]float64, replicas),
+		cores:           make([]*Core, replicaCount),
+		disks:           make([]*disk, replicaCount),
+		downUntil:       make([]float64, replicaCount),
 		statesByIndex:   map[uint64]string{},
 		lossProbability: 0.05,
 	}
-	for i := range replicas {
+	for i := range replicaCount {
 		s.replicaIDs = append(s.replicaIDs, NewReplicaID(i+1, 0))
 	}
-	for i := range replicas {
+	for i := range replicaCount {
 		s.disks[i] = &disk{}
 		s.start(i)
 	}
 	return s
 }
 
+// start starts a replica with the contents of its disk.
 func (s *simulation) start(i int) {
 	var voters []ReplicaID
 	for k := range s.cores {
-		if s.initialVoters == 0 || k < s.initialVoters {
+		if s.initialVoterCount == 0 || k < s.initialVoterCount {
 			voters = append(voters, NewReplicaID(k+1, 0))
 		}
 	}
@@ -110,12 +111,12 @@
 	s.cores[i] = c
 }
 
-// stop takes a replica down for some time.
+// stop stops a replica, which restarts after the given time.
 func (s *simulation) stop(i int, millis float64) {
 	s.cores[i], s.downUntil[i] = nil, s.now+millis
 }
 
-// run passes simulatedMillis, with faults as drawn, and returns what went wrong, or "".
+// run simulates simulatedMillis with random faults. It returns the first failure that it detects, or "".
 func (s *simulation) run() (failure string) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -139,7 +140,7 @@
 	return ""
 }
 
-// runReplica runs one replica for a millisecond, and compares its state with those of others after as many entries.
+// runReplica runs one replica for a millisecond. It compares the replica's state with that of other replicas at the same applied index.
 func (s *simulation) runReplica(i int) (failure string) {
 	if s.now < s.downUntil[i] {
 		return ""
@@ -158,7 +159,7 @@
 	}
 	state := string(c.leases.Encode())
 	if recorded, known := s.statesByIndex[c.appliedIndex]; known && recorded != state {
-		return fmt.Sprintf("after %d entries replica %d has %s, another had %s", c.appliedIndex, i, state, recorded)
+		return fmt.Sprintf("at applied index %d, replica %d has the state %s, and another replica had %s", c.appliedIndex, i, state, recorded)
 	}
 	s.statesByIndex[c.appliedIndex] = state
 	return ""
@@ -174,7 +175,8 @@
 	}
 }
 
-// processReady does what a driver does. The replica may crash before it has stored an update, and then has sent nothing of it.
+// processReady stores the ready updates of a replica and sends the messages that depend on them, as a driver does. At random the replica crashes
+// before it stores an update. It has then sent none of the messages that depend on the update, unless sendBeforeSaving is set.
 func (s *simulation) processReady(i int) (crashed bool) {
 	for c := s.cores[i]; ; {
 		u, ok := c.Ready()
@@ -198,7 +200,7 @@
 		}
 		for _, r := range responses {
 			if r.Result.OK {
-				s.grantedTokens = append(s.grantedTokens, r.Result.Token)
+				s.acknowledgedTokens = append(s.acknowledgedTokens, r.Result.Token)
 			}
 		}
 		if crashed {
@@ -248,7 +250,7 @@
 	s.network = inFlight
 }
 
-// injectDiskLoss has a replica lose its disk now and then while all three vote, and has the leader replace replicas that do not.
+// injectDiskLoss makes the leader replace replicas that do not vote. While all replicas vote, it makes a random one lose its disk now and then.
 func (s *simulation) injectDiskLoss() {
 	for _, c := range s.cores {
 		if c == nil || !c.IsLeader() {
@@ -256,7 +258,7 @@
 		}
 		for _, id := range s.replicaIDs {
 			if !slices.Contains(c.Voters(), id) && !slices.Contains(c.confState.Learners, uint64(id)) {
-				_ = c.ReplaceReplica(id) // proposed again at the next draw
+				_ = c.ReplaceReplica(id) // proposed again at the next call
 			}
 		}
 		if !s.votersAreCurrent(c) || s.rng.IntN(8) > 0 {
@@ -273,7 +275,7 @@
 	}
 }
 
-// votersAreCurrent reports whether exactly the replicas in their present generations vote, as far as one of them has applied the log.
+// votersAreCurrent reports whether all replicas vote in their current generations and no other ID does, according to the log that c has applied.
 func (s *simulation) votersAreCurrent(c *Core) bool {
 	if len(c.Voters()) != len(s.replicaIDs) || len(c.confState.Learners) > 0 || len(c.confState.VotersOutgoing) > 0 {
 		return false
@@ -286,7 +288,7 @@
 	return true
 }
 
-// injectMembershipChange has the leader add a replica that is not in the group, or remove one.
+// injectMembershipChange makes the leader, at random, add a replica that is not in the group or remove one that is.
 func (s *simulation) injectMembershipChange() {
 	for _, c := range s.cores {
 		if c == nil || !c.IsLeader() || len(c.confState.Learners) > 0 || s.rng.IntN(4) > 0 {
@@ -299,7 +301,7 @@
 			}
 			return
 		}
-		// A replica that was removed returns in a new generation, with an empty disk.
+		// A removed replica rejoins in a new generation, with an empty disk.
 		s.replicaIDs[i] = NewReplicaID(i+1, s.replicaIDs[i].Generation()+1)
 		s.disks[i], s.cores[i] = &disk{}, nil
 		if c.AddReplica(s.replicaIDs[i]) == nil {
--- a/internal/cluster/consensus/storage/golden_test.go
+++ b/internal/cluster/consensus/storage/golden_test.go
@@ -10,7 +10,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// goldenUpdates are what the data directories under testdata/golden were written with: one record of each kind, and an entry over another.
+// goldenUpdates returns the updates that were saved to the data directories under testdata/golden. They contain every kind of record, and an entry
+// that replaces another.
 func goldenUpdates() []Update {
 	return []Update{
 		{Snapshot: &pb.Snapshot{Data: []byte(`{"last":0,"leases":{}}`), Metadata: &pb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1), ConfState: &pb.ConfState{Voters: []uint64{1, 2, 3}}}}},
@@ -20,7 +21,7 @@
 	}
 }
 
-// Data directories of running fleets have to open under any later version, and under the one before: these bytes must not change.
+// Every later version, and the previous one, must be able to open the data directories of running fleets, so the bytes must not change.
 func TestGoldenDataDirectories(t *testing.T) {
 	id := Identity{Group: "north", ReplicaNumber: 2, Generation: 1}
 	for name, rewritten := range map[string]bool{"appended": false, "rewritten": true} {
@@ -41,7 +42,7 @@
 			updates := goldenUpdates()
 			if !proto.Equal(got.HardState, updates[2].HardState) || !proto.Equal(got.Snapshot, updates[3].Snapshot) || len(got.Entries) != 2 ||
 				!proto.Equal(got.Entries[0], updates[1].Entries[1]) || !proto.Equal(got.Entries[1], updates[2].Entries[0]) {
-				t.Errorf("read as %+v", got)
+				t.Errorf("the golden data directory was read as %+v", got)
 			}
 		})
 	}
@@ -69,7 +70,7 @@
 	return dir
 }
 
-// compareDirectories checks that a directory has the same files as a golden one, byte for byte.
+// compareDirectories checks that a directory contains the same files as a golden directory, byte for byte.
 func compareDirectories(t *testing.T, dir, golden string) {
 	t.Helper()
 	files, err := os.ReadDir(golden)
@@ -77,7 +78,7 @@
 		t.Fatal(err)
 	}
 	if written, err := os.ReadDir(dir); err != nil || len(written) != len(files) {
-		t.Errorf("%d files were written, %v; want %d", len(written), err, len(files))
+		t.Errorf("%d files were written (error %v), want %d", len(written), err, len(files))
 	}
 	for _, f := range files {
 		want, err := os.ReadFile(filepath.Join(golden, f.Name()))
@@ -85,18 +86,18 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(filepath.Join(dir, f.Name())); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s was written as %x, %v; want %x", f.Name(), got, err, want)
+			t.Errorf("%s was written as %x (error %v), want %x", f.Name(), got, err, want)
 		}
 	}
 }
 
-// Generation 0 is not written, as by versions that had no generations.
+// Generation 0 is omitted from the identity file, as in versions that had no generations.
 func TestGoldenFirstGeneration(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "c")
 	if err := Create(dir, testIdentity); err != nil {
 		t.Fatal(err)
 	}
 	if b, err := os.ReadFile(filepath.Join(dir, identityFileName)); err != nil || string(b) != `{"council":"north","member":2}` {
-		t.Errorf("%s, %v", b, err)
+		t.Errorf("the identity file contains %s (error %v)", b, err)
 	}
 }
--- a/internal/cluster/consensus/storage/storage.go
+++ b/internal/cluster/consensus/storage/storage.go
@@ -6,7 +6,7 @@
 // replica then has to stop, because it cannot know what it has promised.
 //
 // This package does not detect a data directory that was restored from an older copy together with its mark. Such a replica may vote twice in one
-// term. Other replicas detect it only if its log is shorter than they know it to be.
+// term. It is detected only if its log is shorter than other replicas know it to be, which makes the Raft library panic.
 package storage
 
 import (
@@ -43,7 +43,7 @@
 // Identity names the replica that a data directory belongs to.
 type Identity struct {
 	Group         string `json:"council"`
-	ReplicaNumber uint64 `json:"member"`               // from 1
+	ReplicaNumber uint64 `json:"member"`               // 1 for the first replica
 	Generation    int    `json:"generation,omitempty"` // how often the replica was replaced after losing its data directory
 }
 
--- a/internal/cluster/consensus/storage/storage_test.go
+++ b/internal/cluster/consensus/storage/storage_test.go
@@ -16,8 +16,8 @@
 
 var testIdentity = Identity{Group: "north", ReplicaNumber: 2}
 
-func entry(term, index uint64, text string) *pb.Entry {
-	return &pb.Entry{Term: proto.Uint64(term), Index: proto.Uint64(index), Data: []byte(text)}
+func entry(term, index uint64, data string) *pb.Entry {
+	return &pb.Entry{Term: proto.Uint64(term), Index: proto.Uint64(index), Data: []byte(data)}
 }
 
 func hardState(term, vote, commit uint64) *pb.HardState {
@@ -50,28 +50,28 @@
 	}
 }
 
-// A data directory is created once, and opened by one process at a time, for the replica and the generation that it was created for.
+// A data directory can be created only once. It can be opened only by one process at a time, and only for its own replica and generation.
 func TestDataDirectoryIdentity(t *testing.T) {
 	if _, err := Open(filepath.Join(t.TempDir(), "data"), testIdentity); !errors.Is(err, ErrNotInitialized) {
-		t.Errorf("without a data directory: %v", err)
+		t.Errorf("opening a missing data directory: error %v", err)
 	}
 	dir := createStore(t)
 	if err := Create(dir, testIdentity); err == nil {
-		t.Error("created twice")
+		t.Error("an existing data directory was created again")
 	}
 	if _, err := Open(dir, Identity{Group: "north", ReplicaNumber: 3}); !errors.Is(err, ErrWrongIdentity) {
-		t.Errorf("by another replica: %v", err)
+		t.Errorf("opening as another replica: error %v", err)
 	}
 	if _, err := Open(dir, Identity{Group: "north", ReplicaNumber: 2, Generation: 1}); !errors.Is(err, ErrWrongIdentity) {
-		t.Errorf("in another generation: %v", err)
+		t.Errorf("opening in another generation: error %v", err)
 	}
 	openStore(t, dir)
 	if _, err := Open(dir, testIdentity); !errors.Is(err, ErrInUse) {
-		t.Errorf("by two processes: %v", err)
+		t.Errorf("opening a data directory that is already open: error %v", err)
 	}
 }
 
-// What was saved is there when the data directory is opened again, with entries in place of those that they replaced, and also after the log was
+// A reopened data directory contains everything that was saved, without the entries that later ones replaced. This also holds after the log file was
 // rewritten.
 func TestSaveAndReopen(t *testing.T) {
 	dir := createStore(t)
@@ -98,20 +98,21 @@
 	}
 }
 
-// damage is one way in which the files of a data directory are damaged.
-type damage int
+// damageKind is a way of damaging the files of a data directory.
+type damageKind int
 
 const (
-	truncateLog         damage = iota
-	flipLogBit                 // anywhere in the log file
-	flipMarkBit                // anywhere in the sync mark
-	appendPartialRecord        // a record behind the sync mark, as a process leaves it that dies while it writes
+	truncateLog         damageKind = iota
+	flipLogBit                     // anywhere in the log file
+	flipMarkBit                    // anywhere in the sync mark
+	appendPartialRecord            // after the sync mark, as a process that dies during a write leaves it
 	damageKindCount
 )
 
-func (d damage) apply(rng *rand.Rand, log, mark []byte) (damagedLog, damagedMark []byte) {
+// apply returns damaged copies of the contents of the log file and of the sync mark.
+func (kind damageKind) apply(rng *rand.Rand, log, mark []byte) (damagedLog, damagedMark []byte) {
 	log, mark = slices.Clone(log), slices.Clone(mark)
-	switch d {
+	switch kind {
 	case truncateLog:
 		log = log[:rng.IntN(len(log))]
 	case flipLogBit:
@@ -124,8 +125,8 @@
 	return log, mark
 }
 
-// A data directory that is damaged in a thousand drawn ways is rejected, unless the damage is a partial write behind the sync mark: then it is
-// opened with everything that was synced.
+// A randomly damaged data directory must be rejected, except for a partial record after the sync mark. In that case it must open with everything that
+// was synced.
 func TestDamagedFiles(t *testing.T) {
 	const (
 		updates = 20
@@ -148,7 +149,7 @@
 	}
 	rejected := 0
 	for i := range trials {
-		kind := damage(i) % damageKindCount
+		kind := damageKind(i) % damageKindCount
 		dir := createStore(t)
 		damagedLog, damagedMark := kind.apply(rng, log, mark)
 		if err := errors.Join(os.WriteFile(filepath.Join(dir, logFileName), damagedLog, filePermissions),
@@ -166,24 +167,24 @@
 		got := s.State()
 		s.Close()
 		if kind != appendPartialRecord || len(got.Entries) < updates || got.HardState.GetTerm() < updates {
-			t.Fatalf("trial %d: opened with %d entries in term %d", i, len(got.Entries), got.HardState.GetTerm())
+			t.Fatalf("trial %d: with damage of kind %d, the data directory was opened with %d entries in term %d", i, kind, len(got.Entries), got.HardState.GetTerm())
 		}
 	}
 	if want := trials * 3 / 4; rejected != want {
-		t.Errorf("%d of %d rejected", rejected, want)
+		t.Errorf("%d damaged data directories were rejected, want %d", rejected, want)
 	}
 }
 
-// After a failed sync nothing is saved any more, since the contents of the disk are unknown.
+// After a failed sync the contents of the disk are unknown, so every later Save must fail too.
 func TestFailedSync(t *testing.T) {
 	s := openStore(t, createStore(t))
 	syncErr := errors.New("no space left on device")
 	s.syncFile = func(*os.File) error { return syncErr }
 	if err := s.Save(Update{HardState: hardState(1, 1, 0)}); !errors.Is(err, syncErr) {
-		t.Fatalf("%v", err)
+		t.Fatalf("with a failing sync, Save returned %v", err)
 	}
 	s.syncFile = (*os.File).Sync
 	if err := s.Save(Update{HardState: hardState(2, 1, 0)}); !errors.Is(err, syncErr) {
-		t.Errorf("saved after a failed sync: %v", err)
+		t.Errorf("Save after a failed sync returned %v", err)
 	}
 }
