--- a/internal/cluster/consensus/golden_test.go
+++ b/internal/cluster/consensus/golden_test.go
@@ -14,25 +14,25 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// Log entries are stored by running fleets: these bytes must not change.
+// The log entries of running fleets are stored in this encoding, so the bytes must not change.
 func TestGoldenEntries(t *testing.T) {
-	who := lease.Process{Node: 1, Incarnation: 0x18bcfe56800abcd}
+	process := lease.Process{Node: 1, Incarnation: 0x18bcfe56800abcd}
 	for file, e := range map[string]logEntry{
-		"entry-of-member.json": {Proposer: 18, Sequence: 1764658800<<20 + 3, Command: lease.Command{Kind: lease.KindAcquire, Name: "roll", Process: who, TTLMillis: 15000}},
+		"entry-of-member.json": {Proposer: 18, Sequence: 1764658800<<20 + 3, Command: lease.Command{Kind: lease.KindAcquire, Name: "roll", Process: process, TTLMillis: 15000}},
 		"entry-of-leader.json": {Command: lease.Command{Kind: lease.KindExpire, Name: "roll", Token: 9, Renewals: 31}},
 	} {
 		want := goldentest.Read(t, file)
 		if got, err := json.Marshal(e); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: written as %s, %v; want %s", file, got, err, want)
+			t.Errorf("%s: encoded as %s, %v; want %s", file, got, err, want)
 		}
-		var back logEntry
-		if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, e) {
-			t.Errorf("%s: read as %+v, %v; want %+v", file, back, err, e)
+		var decoded logEntry
+		if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, e) {
+			t.Errorf("%s: decoded as %+v, %v; want %+v", file, decoded, err, e)
 		}
 	}
 }
 
-// Messages go between replicas of different versions: these bytes must not change.
+// Replicas of different versions exchange messages in this encoding, so the bytes must not change.
 func TestGoldenMessages(t *testing.T) {
 	for file, m := range map[string]*pb.Message{
 		"message-append.bin": {
@@ -47,24 +47,24 @@
 	} {
 		want := goldentest.Read(t, file)
 		if got, err := EncodeMessage(m); err != nil || !bytes.Equal(got, want) {
-			t.Errorf("%s: written as %x, %v; want %x", file, got, err, want)
+			t.Errorf("%s: encoded as %x, %v; want %x", file, got, err, want)
 		}
-		back := &pb.Message{}
-		if err := proto.Unmarshal(want[checksumSize:], back); err != nil || !proto.Equal(back, m) {
-			t.Errorf("%s: read as %v, %v; want %v", file, back, err, m)
+		decoded := &pb.Message{}
+		if err := proto.Unmarshal(want[checksumSize:], decoded); err != nil || !proto.Equal(decoded, m) {
+			t.Errorf("%s: decoded as %v, %v; want %v", file, decoded, err, m)
 		}
 		c, err := New(1e6, Config{Self: 1, InitialVoters: []ReplicaID{1, 2, 3}, TickMillis: 20}, storage.State{}, 1)
 		if err != nil {
 			t.Fatal(err)
 		}
 		if err := c.Step(want); err != nil {
-			t.Errorf("%s: not handled: %v", file, err)
+			t.Errorf("%s: message dropped: %v", file, err)
 		}
 	}
 }
 
-// Initial voters have to begin with the same snapshot: these bytes must not change.
-func TestGoldenFounding(t *testing.T) {
+// All initial voters have to start from the same snapshot, whatever their versions, so the bytes must not change.
+func TestGoldenInitialSnapshot(t *testing.T) {
 	want := goldentest.Read(t, "founding.bin")
 	c, err := New(1e6, Config{Self: 2, InitialVoters: []ReplicaID{1, 2, 3}, TickMillis: 20}, storage.State{}, 1)
 	if err != nil {
@@ -75,28 +75,28 @@
 		t.Fatal("an initial voter without stored state has no initial snapshot")
 	}
 	if got, err := proto.Marshal(u.Snapshot); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("written as %x, %v; want %x", got, err, want)
+		t.Errorf("initial snapshot encoded as %x, %v; want %x", got, err, want)
 	}
-	back := &pb.Snapshot{}
-	if err := proto.Unmarshal(want, back); err != nil {
+	decoded := &pb.Snapshot{}
+	if err := proto.Unmarshal(want, decoded); err != nil {
 		t.Fatal(err)
 	}
-	if c, err = New(1e6, Config{Self: 2, InitialVoters: []ReplicaID{2}, TickMillis: 20}, storage.State{Snapshot: back}, 1); err != nil {
+	if c, err = New(1e6, Config{Self: 2, InitialVoters: []ReplicaID{2}, TickMillis: 20}, storage.State{Snapshot: decoded}, 1); err != nil {
 		t.Fatal(err)
 	}
 	if got := c.Voters(); !reflect.DeepEqual(got, []ReplicaID{1, 2, 3}) {
-		t.Errorf("voters %v", got)
+		t.Errorf("voters of the decoded snapshot are %v, want 1 2 3", got)
 	}
 }
 
-// IDs of replicas are part of log entries and messages.
+// Log entries and messages contain replica IDs, so the values must not change.
 func TestGoldenIDs(t *testing.T) {
-	for _, x := range []struct {
+	for _, tc := range []struct {
 		number, generation int
 		want               ReplicaID
 	}{{1, 0, 1}, {15, 0, 15}, {2, 1, 18}, {3, 7, 115}} {
-		if id := NewReplicaID(x.number, x.generation); id != x.want || id.Number() != x.number || id.Generation() != x.generation {
-			t.Errorf("replica %d in generation %d has ID %d", x.number, x.generation, id)
+		if id := NewReplicaID(tc.number, tc.generation); id != tc.want || id.Number() != tc.number || id.Generation() != tc.generation {
+			t.Errorf("replica %d in generation %d has ID %d", tc.number, tc.generation, id)
 		}
 	}
 }
