--- a/decide/decide.go
+++ b/decide/decide.go
@@ -323,7 +323,7 @@
 	switch d.Action {
 	case fleet.Send:
 		s := n.servers[d.Server]
-		d.NotAfter = n.repeatableUntil(req, s)
+		d.SendBy = n.repeatableUntil(req, s)
 		// The timer of an earlier hold must not review this attempt: it once cancelled what must not be.
 		d.Attempt, req.Wake = req.NumAttempts, 0
 		req.Attempts[req.NumAttempts] = fleet.Attempt{Server: s.id, SentAt: n.now, Ahead: s.ahead()}
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -57,7 +57,7 @@
 	d = node.AttemptDone(now, req, fleet.Outcome{
 		Attempt: d.Attempt, Result: fleet.Completed, Took: 30, Closed: true, Report: fleet.NewLoadReport(),
 	})
-	fmt.Println("nothing more to do:", d.Action == fleet.Nothing)
+	fmt.Println("nothing more to do:", d.Action == fleet.NoAction)
 	slab.Free(req)
 	// Output:
 	// attempt 0 send: true to cache-b within 1000 ms
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -215,7 +215,7 @@
 		if d.RetryAfter > 0 && (!h.limits.RetryAfter || d.RetryAfter > h.limits.MaxRetryAfter) {
 			h.violated("the client is to come back after %v ms", d.RetryAfter)
 		}
-	case fleet.Probe, fleet.Tell:
+	case fleet.Probe, fleet.Broadcast:
 		h.violated("action %d, which no limit permits", d.Action)
 	case fleet.Cancel:
 		if !h.limits.Cancellation {
@@ -261,7 +261,7 @@
 		class.Effect == fleet.Deduplicated && (!inScope || h.now > repeatableUntil) {
 		h.violated("effect %d may happen twice", class.Effect)
 	}
-	sendableUntil := d.NotAfter
+	sendableUntil := d.SendBy
 	if sendableUntil == 0 {
 		sendableUntil = math.Inf(1)
 	}
--- a/internal/fleet/decision.go
+++ b/internal/fleet/decision.go
@@ -5,7 +5,7 @@
 
 // Actions of a Decision.
 const (
-	Nothing   Action = iota
+	NoAction  Action = iota
 	Hold             // keep the request until the module is due
 	Send             // start an attempt
 	Reject           // respond that nothing was executed
@@ -14,7 +14,7 @@
 	Subscribe        // watch the endpoint list
 	PollList         // request the endpoint list once
 	Probe            // check a server's health
-	Tell             // send Body to the other nodes
+	Broadcast        // send Body to the other nodes
 )
 
 // Decision is one answer of the decision module.
@@ -23,9 +23,9 @@
 	Server     ServerID // Send, Probe
 	Attempt    int      // Send, Cancel: index in Request.Attempts
 	Timeout    float64  // Send: of the attempt, in ms
-	NotAfter   float64  // Send: its last byte may not leave later, for it could repeat an effect then; 0 or +Inf: at any time
+	SendBy     float64  // Send: its last byte may not leave later, for it could repeat an effect then; 0 or +Inf: at any time
 	RetryAfter float64  // Reject: ms after which the client may come back; 0: unknown
-	Body       []byte   // Tell
+	Body       []byte   // Broadcast
 
 	CloseIdle  bool // also close the idle connections to IdleServer
 	IdleServer ServerID
--- a/internal/node/inflight/inflight.go
+++ b/internal/node/inflight/inflight.go
@@ -197,7 +197,7 @@
 func (t *Table[A]) apply(now float64, entry *Entry[A], d fleet.Decision) {
 	switch d.Action {
 	case fleet.Send:
-		notAfter := cmp.Or(d.NotAfter, math.Inf(1))
+		notAfter := cmp.Or(d.SendBy, math.Inf(1))
 		entry.attempts[d.Attempt] = t.dispatcher.Send(now, d.Server, entry.Exchange, d.Attempt, d.Timeout, notAfter)
 	case fleet.Cancel:
 		t.dispatcher.Cancel(now, entry.Request.Attempts[d.Attempt].Server, entry.attempts[d.Attempt])
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -100,7 +100,7 @@
 		w.end()
 	case fleet.Probe:
 		w.serverAction("PROBE", n, d.Server)
-	case fleet.Tell:
+	case fleet.Broadcast:
 		w.action("PUBLISH", n)
 		w.text(" Whom=* Contents=")
 		w.text(base64.StdEncoding.EncodeToString(d.Body))
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -55,7 +55,7 @@
 		{Action: fleet.Subscribe},
 		{Action: fleet.PollList},
 		{Action: fleet.Probe, Server: 1},
-		{Action: fleet.Tell, Body: []byte("hello, peers")},
+		{Action: fleet.Broadcast, Body: []byte("hello, peers")},
 		{Action: fleet.Hold, CloseIdle: true, IdleServer: 1},
 		{Action: fleet.Abort, CloseIdle: true, IdleServer: 0},
 	} {
