--- a/decide/health.go
+++ b/decide/health.go
@@ -253,8 +253,8 @@
 	if !math.IsNaN(r.Queue) {
 		s.queuePeak = max(1, r.Queue, s.queuePeak*0.9)
 	}
-	if !math.IsNaN(r.X0) {
-		s.hitRatio = max(r.X0, s.hitRatio*0.98)
+	if !math.IsNaN(r.HitRatio) {
+		s.hitRatio = max(r.HitRatio, s.hitRatio*0.98)
 	}
 	s.report = r
 	if s != n.origin && !math.IsNaN(r.Util) {
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -45,9 +45,9 @@
 func endpointList(servers int) []fleet.Endpoint {
 	var list []fleet.Endpoint
 	for i := range servers {
-		list = append(list, fleet.Endpoint{ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), State: fleet.Ready, Size: 1})
+		list = append(list, fleet.Endpoint{ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), State: fleet.Ready, NominalCapacity: 1})
 	}
-	return append(list, fleet.Endpoint{ID: fleet.ServerID(servers), Name: "origin", Kind: 1, State: fleet.Ready, Size: 1})
+	return append(list, fleet.Endpoint{ID: fleet.ServerID(servers), Name: "origin", Kind: 1, State: fleet.Ready, NominalCapacity: 1})
 }
 
 // newRead puts a read of a key into the slab.
--- a/decide/list.go
+++ b/decide/list.go
@@ -66,7 +66,7 @@
 		n.servers = append(n.servers, nil)
 	}
 	s := n.servers[m.ID]
-	if s == nil || m.State == fleet.Ready && (s.state != fleet.Ready || m.Started != s.started) {
+	if s == nil || m.State == fleet.Ready && (s.state != fleet.Ready || m.StartedAt != s.started) {
 		restarted := &server{
 			id: m.ID, report: fleet.NewLoadReport(), step: firstStep, backoff: n.limits.period,
 			homePoint: fleet.HomePoint(m.Name), size: 1, bucket: slowstart.Bucket{Tokens: n.random(), At: n.now},
@@ -77,8 +77,8 @@
 		}
 		n.servers[m.ID], s = restarted, restarted
 	}
-	if s.listed = true; m.Size > 0 {
-		s.size = m.Size
+	if s.listed = true; m.NominalCapacity > 0 {
+		s.size = m.NominalCapacity
 	}
-	s.state, s.kind, s.zone, s.cell, s.started = m.State, m.Kind, m.Zone, m.Cell, m.Started
+	s.state, s.kind, s.zone, s.cell, s.started = m.State, m.Kind, m.Zone, m.Cell, m.StartedAt
 }
--- a/decide/ring.go
+++ b/decide/ring.go
@@ -120,7 +120,7 @@
 // server's own recent level stands for memory short of beta. What is not reported is NaN and leaves the sum.
 func (s *server) level() float64 {
 	sum, k, r := 0.0, 0.0, &s.report
-	for _, used := range [...]float64{r.Util, r.Queue / s.queuePeak, 1 - r.X0/s.hitRatio} {
+	for _, used := range [...]float64{r.Util, r.Queue / s.queuePeak, 1 - r.HitRatio/s.hitRatio} {
 		if !math.IsNaN(used) {
 			sum, k = sum+1+(maxLevel-1)*min(max(used, 0), 1), k+1
 		}
--- a/decide/ring_test.go
+++ b/decide/ring_test.go
@@ -27,11 +27,11 @@
 	s.report.Util = 0.5
 	near("level by utilization alone", s.level(), 3)
 	s.report.Queue, s.queuePeak = 5, 10
-	s.report.X0, s.hitRatio = 0.3, 0.6
+	s.report.HitRatio, s.hitRatio = 0.3, 0.6
 	near("all three levels", s.level(), 3)
-	s.report = fleet.LoadReport{Util: 1.2, Queue: 30, X0: 0}
+	s.report = fleet.LoadReport{Util: 1.2, Queue: 30, HitRatio: 0}
 	near("all levels at their highest", s.level(), maxLevel)
-	s.report = fleet.LoadReport{Util: 0, Queue: 0, X0: 0.9}
+	s.report = fleet.LoadReport{Util: 0, Queue: 0, HitRatio: 0.9}
 	near("all levels at rest", s.level(), 1)
 }
 
@@ -86,7 +86,7 @@
 	var entries []fleet.Endpoint
 	for i := range 7 {
 		name := fmt.Sprint("s", seed, "-", i)
-		entries = append(entries, fleet.Endpoint{ID: fleet.ServerID(i), Name: name, State: fleet.Ready, Size: 1})
+		entries = append(entries, fleet.Endpoint{ID: fleet.ServerID(i), Name: name, State: fleet.Ready, NominalCapacity: 1})
 	}
 	n.UpdateEndpoints(1, fleet.ListFull, entries)
 	for _, s := range n.ring.servers {
--- a/decide/routing_test.go
+++ b/decide/routing_test.go
@@ -178,9 +178,9 @@
 	n := New(now, limits, &slab)
 	var list []fleet.Endpoint
 	for i := range 9 {
-		e := fleet.Endpoint{ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), State: fleet.Ready, Size: 1, Zone: fleet.ZoneID(i % 3)}
+		e := fleet.Endpoint{ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), State: fleet.Ready, NominalCapacity: 1, Zone: fleet.ZoneID(i % 3)}
 		if e.Zone == limits.Zone && i != int(limits.Zone) {
-			e.Started = coldUntil - limits.WarmUpTime
+			e.StartedAt = coldUntil - limits.WarmUpTime
 		}
 		list = append(list, e)
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -85,7 +85,7 @@
 	e := h.list[fleet.ServerID(rapid.IntRange(0, servers).Draw(t, "server"))]
 	e.State = fleet.State(rapid.IntRange(0, 2).Draw(t, "state"))
 	if rapid.Bool().Draw(t, "restart") {
-		e.Started = h.now
+		e.StartedAt = h.now
 	}
 	h.updateList(fleet.ListDelta, e)
 }
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -23,7 +23,7 @@
 	load(2000)
 	e := h.list[2]
 	arc := h.node.ring.arc(h.node.servers[2].positions[0].index)
-	e.Started = h.now
+	e.StartedAt = h.now
 	h.updateList(fleet.ListDelta, e)
 	load(500)
 	if limit := 500 * min(arc, 0.2) * 0.3; float64(sent[2]) > limit+10 {
@@ -47,7 +47,7 @@
 	}
 	for _, h := range all {
 		e := h.list[cold]
-		e.Started = h.now
+		e.StartedAt = h.now
 		h.updateList(fleet.ListDelta, e)
 	}
 	sent := 0
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -24,7 +24,7 @@
 			if d := n.Route(now, req); d.Action == fleet.Send {
 				r := fleet.NewLoadReport()
 				r.Present, r.Util = true, 0.1+0.8*float64(int(d.Server)%3)/2
-				r.Queue, r.X0 = float64(int(d.Server)%5), 0.8
+				r.Queue, r.HitRatio = float64(int(d.Server)%5), 0.8
 				n.AttemptDone(now+30, req, cacheHit(d.Attempt, 30+float64(d.Server%4)*20, r))
 			}
 			slab.Free(req)
@@ -100,7 +100,7 @@
 		var withSlab, withoutSlab fleet.Slab
 		with, without := New(1000, limits, &withSlab), New(1000, limits, &withoutSlab)
 		list := endpointList(4)
-		list[1].Started = 1000 - rapid.Float64Range(0, 25000).Draw(t, "age")
+		list[1].StartedAt = 1000 - rapid.Float64Range(0, 25000).Draw(t, "age")
 		snap := drawSnapshot(t, list)
 		for _, n := range []*Node{with, without} {
 			n.UpdateEndpoints(1000, fleet.ListFull, list)
@@ -136,7 +136,7 @@
 	}
 	for i := range list {
 		snap.Servers = append(snap.Servers, fleet.ServerSnapshot{
-			ID: fleet.ServerID(i), Trust: trust, Started: list[i].Started, ArcShed: upTo(2, "shed"),
+			ID: fleet.ServerID(i), Trust: trust, Started: list[i].StartedAt, ArcShed: upTo(2, "shed"),
 			Step: upTo(2, "step"), PerQueued: upTo(1e6, "time per queued request"), RT: upTo(1e6, "latency"),
 			Ahead: upTo(100, "ahead"), Failures: upTo(1, "failures"), Backoff: upTo(1e6, "backoff"),
 			HitRatio: upTo(2, "hit ratio"), QueuePeak: upTo(100, "queue peak"),
--- a/internal/config/settings/report.go
+++ b/internal/config/settings/report.go
@@ -19,7 +19,7 @@
 	case "err_rps", "eps":
 		return &r.Errors
 	case "x0":
-		return &r.X0
+		return &r.HitRatio
 	case "x1":
 		return &r.X1
 	}
--- a/internal/controlplane/controller/core_test.go
+++ b/internal/controlplane/controller/core_test.go
@@ -287,7 +287,7 @@
 			for i := range b.N {
 				c.zones[0].RingPoints(now, false, nil)
 				c.pending = membershipChanged // as if a point had been adjusted
-				c.zones[0].ProbeDone(now, fleet.ServerID(i%n), fleet.Completed, 0, fleet.LoadReport{Present: true, Util: float64(i%10) / 10, Queue: 1, X0: 0.5})
+				c.zones[0].ProbeDone(now, fleet.ServerID(i%n), fleet.Completed, 0, fleet.LoadReport{Present: true, Util: float64(i%10) / 10, Queue: 1, HitRatio: 0.5})
 				now += 100
 				c.Step(now)
 			}
--- a/internal/controlplane/controller/endpoints.go
+++ b/internal/controlplane/controller/endpoints.go
@@ -79,8 +79,8 @@
 	previous := c.slots[id].entry
 	c.slots[id].entry = entry
 	endpoint := entry.Member(id, &c.config.Deployment)
-	endpoint.Started = c.starts.Observe(now, entry.ID, entry.UpSince, confirmedAt)
-	c.slots[id].startedMs = endpoint.Started
+	endpoint.StartedAt = c.starts.Observe(now, entry.ID, entry.UpSince, confirmedAt)
+	c.slots[id].startedMs = endpoint.StartedAt
 	// The same ID at another address, or of a process that has started since, is another server to whoever holds connections.
 	if known && (previous.HostPort != entry.HostPort || previous.UpSince != entry.UpSince || previous.Locality != entry.Locality) {
 		c.notePending(serverRemoved)
--- a/internal/controlplane/loadreport/loadreport.go
+++ b/internal/controlplane/loadreport/loadreport.go
@@ -117,7 +117,7 @@
 	},
 	{
 		of:     func(r *Report) float64 { return r.HitRate },
-		set:    func(r *fleet.LoadReport, value float64) { r.X0 = value },
+		set:    func(r *fleet.LoadReport, value float64) { r.HitRatio = value },
 		maxGap: ratioGap,
 	},
 }
--- a/internal/fleet/endpoint.go
+++ b/internal/fleet/endpoint.go
@@ -14,14 +14,14 @@
 
 // Endpoint is one server of the endpoint list.
 type Endpoint struct {
-	ID      ServerID
-	Name    string
-	State   State
-	Kind    KindID
-	Zone    ZoneID
-	Cell    CellID
-	Size    float64 // nominal capacity; 0: unknown
-	Started float64 // of its process, Unix ms; 0: long ago
+	ID              ServerID
+	Name            string
+	State           State
+	Kind            KindID
+	Zone            ZoneID
+	Cell            CellID
+	NominalCapacity float64 // nominal capacity; 0: unknown
+	StartedAt       float64 // of its process, Unix ms; 0: long ago
 }
 
 // ListMode says how endpoints relate to those listed before.
@@ -41,17 +41,17 @@
 	Present bool // the server has sent a report
 
 	Util, Queue, Inflight, Latency, Rate, Errors float64
-	X0, X1                                       float64 // metrics that the settings name
+	HitRatio, X1                                 float64 // metrics that the settings name
 }
 
 // NewLoadReport returns a report that states nothing.
 func NewLoadReport() LoadReport {
 	none := math.NaN()
-	return LoadReport{Util: none, Queue: none, Inflight: none, Latency: none, Rate: none, Errors: none, X0: none, X1: none}
+	return LoadReport{Util: none, Queue: none, Inflight: none, Latency: none, Rate: none, Errors: none, HitRatio: none, X1: none}
 }
 
 // SameLoad reports whether two reports state the same utilisation, queue and hit ratio.
 func (r *LoadReport) SameLoad(other *LoadReport) bool {
 	same := func(a, b float64) bool { return a == b || math.IsNaN(a) && math.IsNaN(b) }
-	return same(r.Util, other.Util) && same(r.Queue, other.Queue) && same(r.X0, other.X0)
+	return same(r.Util, other.Util) && same(r.Queue, other.Queue) && same(r.HitRatio, other.HitRatio)
 }
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -119,7 +119,7 @@
 
 func TestNewLoadReportStatesNothing(t *testing.T) {
 	r, other := NewLoadReport(), NewLoadReport()
-	for _, v := range []float64{r.Util, r.Queue, r.Inflight, r.Latency, r.Rate, r.Errors, r.X0, r.X1} {
+	for _, v := range []float64{r.Util, r.Queue, r.Inflight, r.Latency, r.Rate, r.Errors, r.HitRatio, r.X1} {
 		if !math.IsNaN(v) {
 			t.Errorf("%+v", r)
 		}
--- a/internal/node/cacheserver/golden_test.go
+++ b/internal/node/cacheserver/golden_test.go
@@ -46,7 +46,7 @@
 	}
 	none := fleet.NewLoadReport()
 	all := report(func(r *fleet.LoadReport) {
-		*r = fleet.LoadReport{Present: true, Util: 0.61, Queue: 2, Inflight: 3, Latency: 4.5, Rate: 500, Errors: 6, X0: 0.871, X1: 7}
+		*r = fleet.LoadReport{Present: true, Util: 0.61, Queue: 2, Inflight: 3, Latency: 4.5, Rate: 500, Errors: 6, HitRatio: 0.871, X1: 7}
 	})
 	queue := report(func(r *fleet.LoadReport) { r.Present, r.Queue = true, 9 })
 	protocoltest.CheckResponses(t, Protocol{}, golden, []protocoltest.Response{
--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -64,7 +64,7 @@
 	}
 	// It is warming up from the command on, though the list names no new start.
 	tc.onLoop(func(now float64) {
-		if m := tc.node.effectiveEndpoint(now, tc.node.serverTable.IDs["s0"]); m.State != fleet.Ready || now-m.Started > 10000 {
+		if m := tc.node.effectiveEndpoint(now, tc.node.serverTable.IDs["s0"]); m.State != fleet.Ready || now-m.StartedAt > 10000 {
 			t.Errorf("it is %+v", m)
 		}
 	})
--- a/internal/node/discovery/entry.go
+++ b/internal/node/discovery/entry.go
@@ -35,14 +35,14 @@
 // known, is draining.
 func (e *Entry) Member(id fleet.ServerID, deployment *settings.Deployment) fleet.Endpoint {
 	m := fleet.Endpoint{
-		ID:      id,
-		Name:    e.ID,
-		Kind:    fleet.KindID(slices.Index(deployment.Kinds, e.Flavor)),
-		Zone:    fleet.ZoneID(slices.Index(deployment.Zones, e.Locality)),
-		Cell:    fleet.CellID(e.Cell),
-		Size:    e.Size,
-		Started: e.UpSince,
-		State:   fleet.Draining,
+		ID:              id,
+		Name:            e.ID,
+		Kind:            fleet.KindID(slices.Index(deployment.Kinds, e.Flavor)),
+		Zone:            fleet.ZoneID(slices.Index(deployment.Zones, e.Locality)),
+		Cell:            fleet.CellID(e.Cell),
+		NominalCapacity: e.Size,
+		StartedAt:       e.UpSince,
+		State:           fleet.Draining,
 	}
 	if e.Flavor == OriginFlavor {
 		m.Kind = deployment.Limits.OriginKind
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -126,14 +126,14 @@
 func (n *Node) effectiveEndpoint(now float64, id fleet.ServerID) fleet.Endpoint {
 	s := n.servers[id]
 	endpoint := s.entry.Member(id, &n.deployment)
-	endpoint.Started = n.exclusions.StartedAt(s.entry.ID, s.started)
+	endpoint.StartedAt = n.exclusions.StartedAt(s.entry.ID, s.started)
 	if s.entry.Flavor != discovery.OriginFlavor {
 		endpoint.State = n.exclusions.EffectiveState(s.entry.ID, endpoint.State)
 		if n.maintenance != nil {
 			endpoint = n.maintenance.apply(s.entry.ID, endpoint)
 		}
 	}
-	s.endpoint.ServerStarted(endpoint.Started)
+	s.endpoint.ServerStarted(endpoint.StartedAt)
 	n.setServerState(now, id, endpoint.State)
 	return endpoint
 }
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -47,7 +47,7 @@
 	}{
 		{
 			`{"id":"a","host_port":"127.0.0.1:1","locality":"a","flavor":"box","cell":3,"phase":"in_service","size":2.5,"up_since_ms":1700000000123}`,
-			fleet.Endpoint{Name: "a", State: fleet.Ready, Cell: 3, Size: 2.5, Started: 1700000000123},
+			fleet.Endpoint{Name: "a", State: fleet.Ready, Cell: 3, NominalCapacity: 2.5, StartedAt: 1700000000123},
 		},
 		{
 			`{"id":"b","flavor":"origin","host_port":"127.0.0.1:1","phase":"in_service"}`,
@@ -55,14 +55,14 @@
 		},
 		{
 			`{"id":"a","phase":"terminating"}`,
-			fleet.Endpoint{Name: "a", State: fleet.Draining, Cell: 3, Size: 2.5, Started: 1700000000123},
+			fleet.Endpoint{Name: "a", State: fleet.Draining, Cell: 3, NominalCapacity: 2.5, StartedAt: 1700000000123},
 		},
 		{
 			`{"id":"a","phase":"terminated"}`,
-			fleet.Endpoint{Name: "a", State: fleet.Gone, Cell: 3, Size: 2.5, Started: 1700000000123},
+			fleet.Endpoint{Name: "a", State: fleet.Gone, Cell: 3, NominalCapacity: 2.5, StartedAt: 1700000000123},
 		},
 		{`{"id":"a","phase":"in_service","up_since_ms":1700000009000}`, // restarted
-			fleet.Endpoint{Name: "a", State: fleet.Ready, Cell: 3, Size: 2.5, Started: 1700000009000}},
+			fleet.Endpoint{Name: "a", State: fleet.Ready, Cell: 3, NominalCapacity: 2.5, StartedAt: 1700000009000}},
 		{`{"id":"c","phase":"in_service"}`, fleet.Endpoint{ID: 2, Name: "c", Kind: -1, Zone: -1, State: fleet.Draining}},
 		{
 			`{"id":"d","host_port":"127.0.0.1:1","phase":"new","locality":"z","flavor":"box"}`,
--- a/internal/node/inflight/inflight_test.go
+++ b/internal/node/inflight/inflight_test.go
@@ -78,7 +78,7 @@
 	var list []fleet.Endpoint
 	for i := range 4 {
 		list = append(list, fleet.Endpoint{
-			ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), Kind: fleet.KindID(i / 3), State: fleet.Ready, Size: 1,
+			ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), Kind: fleet.KindID(i / 3), State: fleet.Ready, NominalCapacity: 1,
 		})
 	}
 	s.table.Policy.UpdateEndpoints(s.now, fleet.ListFull, list)
@@ -191,7 +191,7 @@
 	table := New(Dispatcher[*attempt](servers))
 	table.Policy = decide.New(1000, limits(), &table.Slab)
 	x := &exchange.Exchange{Deadline: 1900, Arrived: 1000, Client: servers}
-	table.Policy.UpdateEndpoints(1000, fleet.ListFull, []fleet.Endpoint{{ID: 0, Name: "s", State: fleet.Ready, Size: 1}})
+	table.Policy.UpdateEndpoints(1000, fleet.ListFull, []fleet.Endpoint{{ID: 0, Name: "s", State: fleet.Ready, NominalCapacity: 1}})
 	table.Admit(1000, x)
 	table.Fail(1001, x, "a fault")
 	table.Fail(1002, x, "another")
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -171,7 +171,7 @@
 // apply changes the endpoint of a cache server by what the plan excludes.
 func (t *maintenanceTask) apply(id string, endpoint fleet.Endpoint) fleet.Endpoint {
 	t.excluded.MarkListed(id)
-	endpoint.Started = t.excluded.StartedAt(id, endpoint.Started)
+	endpoint.StartedAt = t.excluded.StartedAt(id, endpoint.StartedAt)
 	endpoint.State = t.excluded.EffectiveState(id, endpoint.State)
 	return endpoint
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -212,7 +212,7 @@
 	return listEntry{string(name), fleet.Endpoint{
 		State: fleet.State(state),
 		Kind:  fleet.KindID(m.integer("Flavor")), Zone: fleet.ZoneID(m.integer("Campus")),
-		Cell: fleet.CellID(m.integer("UnitGroup")), Size: m.float("Size"), Started: m.milliseconds("OnlineSince"),
+		Cell: fleet.CellID(m.integer("UnitGroup")), NominalCapacity: m.float("Size"), StartedAt: m.milliseconds("OnlineSince"),
 	}}, m.err
 }
 
--- a/internal/testbed/simulator/process.go
+++ b/internal/testbed/simulator/process.go
@@ -182,8 +182,8 @@
 		p.links[id] = p.newServerLink(e)
 	}
 	endpoint := e.Member(id, &p.node.deployment)
-	endpoint.Started = p.starts.Observe(now, e.ID, e.UpSince, p.startsConfirmedAt(now))
-	p.links[id].pool.Policy.ServerStarted(endpoint.Started)
+	endpoint.StartedAt = p.starts.Observe(now, e.ID, e.UpSince, p.startsConfirmedAt(now))
+	p.links[id].pool.Policy.ServerStarted(endpoint.StartedAt)
 	if p.member != nil && e.Flavor != discovery.OriginFlavor && endpoint.State != fleet.Gone {
 		p.member.participant.AddServer(now, id, e.ID, e.UpSince)
 	}
