--- a/decide/decide.go
+++ b/decide/decide.go
@@ -54,7 +54,7 @@
 // class is what decisions need of a request class.
 type class struct {
 	effect                 fleet.Effect
-	scope                  fleet.Scope
+	scope                  fleet.DedupScope
 	dedupWindow, objective float64 // for how long repeats are dropped; the latency objective
 	maxWait                float64 // expected wait up to which a request is admitted in overload
 	priority, lateFactor   float64 // priority weight, and the factor on it for a late response
@@ -96,11 +96,11 @@
 	}
 	for _, w := range l.Classes {
 		d.classes = append(d.classes, class{
-			effect: w.Effect, scope: w.Scope, dedupWindow: w.DedupWindow, objective: w.LatencyObjective,
-			priority: w.PriorityWeight, lateFactor: w.LateFactor, maxAttempts: l.AttemptLimit(&w),
+			effect: w.Effect, scope: w.DedupScope, dedupWindow: w.DedupWindow, objective: w.LatencyObjective,
+			priority: w.PriorityWeight, lateFactor: w.LateWeightFactor, maxAttempts: l.AttemptLimit(&w),
 			// A late response takes the place of one in time, and a crowded server loses capacity: in overload waits
 			// are kept short, the shorter the lower the priority.
-			maxWait:    w.LatencyObjective * (1 + w.LateFactor) * (0.3 + 0.2*w.PriorityWeight/top),
+			maxWait:    w.LatencyObjective * (1 + w.LateWeightFactor) * (0.3 + 0.2*w.PriorityWeight/top),
 			reviewable: w.Effect == fleet.Idempotent && (l.Hedging || l.Cancellation),
 		})
 	}
@@ -361,10 +361,10 @@
 		was := n.servers[e.Server]
 		switch {
 		case c.effect == fleet.Idempotent || e.Result.NotExecuted():
-		case c.effect == fleet.NonIdempotent || s == nil && c.scope != fleet.ScopeAll:
+		case c.effect == fleet.NonIdempotent || s == nil && c.scope != fleet.DedupAll:
 			return math.Inf(-1)
-		case s != nil && (c.scope == fleet.ScopeZone && was.zone != s.zone ||
-			c.scope == fleet.ScopeCell && was.cell != s.cell):
+		case s != nil && (c.scope == fleet.DedupZone && was.zone != s.zone ||
+			c.scope == fleet.DedupCell && was.cell != s.cell):
 			return math.Inf(-1)
 		case s != nil:
 			until = min(until, e.SentAt+c.dedupWindow-n.limits.slack)
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -18,7 +18,7 @@
 	slab := &fleet.Slab{}
 	node := decide.New(now, fleet.Limits{
 		Seed: 1, Nodes: 1, Zones: 1, OriginKind: originKind, MaxAttempts: 3, Hedging: true, Quantum: 1,
-		Classes: []fleet.Class{{Effect: fleet.Idempotent, LatencyObjective: 200, Timeout: 1000, PriorityWeight: 1}},
+		Classes: []fleet.Class{{Effect: fleet.Idempotent, LatencyObjective: 200, ClientTimeout: 1000, PriorityWeight: 1}},
 	}, slab)
 	node.UpdateEndpoints(now, fleet.ListFull, []fleet.Endpoint{
 		{ID: 0, Name: "cache-a", State: fleet.Ready, Kind: cacheKind},
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -31,12 +31,12 @@
 		Cancellation: true,
 		RetryAfter:   true, MaxRetryAfter: 1000, DrainWithin: 500, ColdCapacity: 0.2, WarmUpTime: testWarmUpTime,
 		OverloadFactor: 4, OverloadBurst: 2000, AnswerSlack: 20, Quantum: 5, Classes: []fleet.Class{
-			{LatencyObjective: classObjective, Timeout: clientTimeout, PriorityWeight: 1},
+			{LatencyObjective: classObjective, ClientTimeout: clientTimeout, PriorityWeight: 1},
 			{
-				LatencyObjective: classObjective, Timeout: clientTimeout, PriorityWeight: 3,
+				LatencyObjective: classObjective, ClientTimeout: clientTimeout, PriorityWeight: 3,
 				Effect: fleet.Deduplicated, DedupWindow: 1000,
 			},
-			{LatencyObjective: classObjective, Timeout: clientTimeout, PriorityWeight: 2, Effect: fleet.NonIdempotent},
+			{LatencyObjective: classObjective, ClientTimeout: clientTimeout, PriorityWeight: 2, Effect: fleet.NonIdempotent},
 		},
 	}
 }
@@ -254,8 +254,8 @@
 		return
 	}
 	to, from := h.list[d.Server], h.list[earlier.server]
-	inScope := class.Scope == fleet.ScopeAll || class.Scope == fleet.ScopeZone && to.Zone == from.Zone ||
-		class.Scope == fleet.ScopeCell && to.Cell == from.Cell
+	inScope := class.DedupScope == fleet.DedupAll || class.DedupScope == fleet.DedupZone && to.Zone == from.Zone ||
+		class.DedupScope == fleet.DedupCell && to.Cell == from.Cell
 	repeatableUntil := earlier.sentAt + class.DedupWindow
 	if class.Effect == fleet.NonIdempotent ||
 		class.Effect == fleet.Deduplicated && (!inScope || h.now > repeatableUntil) {
@@ -277,7 +277,7 @@
 	}
 	class := h.limits.Classes[trace.req.Class]
 	maySayNotExecuted := class.Effect == fleet.Idempotent ||
-		class.Effect == fleet.Deduplicated && class.Scope == fleet.ScopeAll
+		class.Effect == fleet.Deduplicated && class.DedupScope == fleet.DedupAll
 	for _, a := range trace.attempts {
 		if d.Action == fleet.Reject && a.mayHaveExecuted() && !maySayNotExecuted {
 			h.violated("rejected though it may have been executed")
--- a/decide/origin_test.go
+++ b/decide/origin_test.go
@@ -90,7 +90,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := testLimits()
-			limits.Classes[idempotentClass].LateFactor = c.lateFactor
+			limits.Classes[idempotentClass].LateWeightFactor = c.lateFactor
 			h := newHarness(limits)
 			h.listServers(4)
 			h.node.originLimit.window, h.node.originLimit.latency = 1, 100
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -48,7 +48,7 @@
 		limits.OriginKind = -1
 	}
 	for i := range limits.Classes {
-		limits.Classes[i].Scope = fleet.Scope(rapid.IntRange(0, 2).Draw(t, "scope"))
+		limits.Classes[i].DedupScope = fleet.DedupScope(rapid.IntRange(0, 2).Draw(t, "scope"))
 		limits.Classes[i].DedupWindow = rapid.Float64Range(50, 1000).Draw(t, "dedup window")
 	}
 	return limits
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -135,7 +135,7 @@
 		switch {
 		case name == "":
 			missing = "Name"
-		case class.Timeout <= 0:
+		case class.ClientTimeout <= 0:
 			missing = "StatementTimeout"
 		case class.LatencyObjective <= 0:
 			missing = "SloTime"
--- a/internal/config/platform/platform_test.go
+++ b/internal/config/platform/platform_test.go
@@ -29,7 +29,7 @@
 	}
 	n := c.NodeConfig()
 	if n.Deployment.Limits.Seed != 0x8c1f30d27a5be964 || n.CachedList.Revision != 41 || n.Descriptors != 1024 || n.MemoryMB != 192 ||
-		n.Deployment.RequestClasses[0] != "read" || n.Deployment.Limits.Classes[0].Timeout != 2 {
+		n.Deployment.RequestClasses[0] != "read" || n.Deployment.Limits.Classes[0].ClientTimeout != 2 {
 		t.Errorf("read as %+v", n)
 	}
 	if c, err = loadText(t, strings.Replace(validConfig, `"listen":"127.0.0.1:1",`, "", 1)); err != nil || c.Listen != "127.0.0.1:9" {
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -19,15 +19,15 @@
 			Seed: 0x8c1f30d27a5be964, Nodes: 4, Zone: 1, Zones: 3, OriginKind: 2,
 			Classes: []fleet.Class{
 				{
-					Effect: fleet.Idempotent, Scope: fleet.ScopeCell, LatencyObjective: 300, ObjectiveStretch: 0.5, Timeout: 900.5, PriorityWeight: 2.5,
-					LateFactor: 0.25, MaxAttempts: 4,
+					Effect: fleet.Idempotent, DedupScope: fleet.DedupCell, LatencyObjective: 300, ObjectivePerWork: 0.5, ClientTimeout: 900.5, PriorityWeight: 2.5,
+					LateWeightFactor: 0.25, MaxAttempts: 4,
 				},
 				{
-					Effect: fleet.Deduplicated, Scope: fleet.ScopeZone, LatencyObjective: 1000, Timeout: 2000, DedupWindow: 5000, PriorityWeight: 8,
+					Effect: fleet.Deduplicated, DedupScope: fleet.DedupZone, LatencyObjective: 1000, ClientTimeout: 2000, DedupWindow: 5000, PriorityWeight: 8,
 					MaxAttempts: 4,
 				},
-				{Effect: fleet.Deduplicated, Scope: fleet.ScopeAll, LatencyObjective: 1500, Timeout: 3000, MaxAttempts: 4, Stream: true},
-				{Effect: fleet.NonIdempotent, Scope: fleet.ScopeCell, LatencyObjective: 2, Timeout: 4, MaxAttempts: 4},
+				{Effect: fleet.Deduplicated, DedupScope: fleet.DedupAll, LatencyObjective: 1500, ClientTimeout: 3000, MaxAttempts: 4, Stream: true},
+				{Effect: fleet.NonIdempotent, DedupScope: fleet.DedupCell, LatencyObjective: 2, ClientTimeout: 4, MaxAttempts: 4},
 			},
 			MaxAttempts: 4, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1250, Subscribe: true,
 			PollWithin: 10000, DrainWithin: 6000, ColdCapacity: 0.3, WarmUpTime: 20000, OverloadFactor: 1.5, OverloadBurst: 250,
--- a/internal/config/settings/parse.go
+++ b/internal/config/settings/parse.go
@@ -165,13 +165,13 @@
 func (c *requestClass) class(maxAttempts int) fleet.Class {
 	class := fleet.Class{
 		Effect:           fleet.NonIdempotent,
-		Scope:            fleet.ScopeCell,
+		DedupScope:       fleet.DedupCell,
 		LatencyObjective: c.SLOTime * msPerMicrosecond,
-		ObjectiveStretch: c.AimStretch,
-		Timeout:          c.StatementTimeout * msPerMicrosecond,
+		ObjectivePerWork: c.AimStretch,
+		ClientTimeout:    c.StatementTimeout * msPerMicrosecond,
 		DedupWindow:      c.MemorySpan * msPerMicrosecond,
 		PriorityWeight:   c.Importance,
-		LateFactor:       c.TardyImportance,
+		LateWeightFactor: c.TardyImportance,
 		Stream:           c.Stream,
 		MaxAttempts:      maxAttempts,
 	}
@@ -183,9 +183,9 @@
 	}
 	switch c.DedupScope {
 	case dedupScopeAll:
-		class.Scope = fleet.ScopeAll
+		class.DedupScope = fleet.DedupAll
 	case dedupScopeZone:
-		class.Scope = fleet.ScopeZone
+		class.DedupScope = fleet.DedupZone
 	}
 	return class
 }
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -26,7 +26,7 @@
 	shortestObjective, longestTimeout = defaultTime, defaultTime
 	for _, class := range d.Limits.Classes {
 		shortestObjective = min(shortestObjective, class.LatencyObjective)
-		longestTimeout = max(longestTimeout, class.Timeout)
+		longestTimeout = max(longestTimeout, class.ClientTimeout)
 	}
 	return shortestObjective, longestTimeout
 }
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -20,11 +20,11 @@
 		t.Errorf("read as %+v", d)
 	}
 	w := d.Limits.Classes
-	if w[0].LatencyObjective != 300 || w[0].Timeout != 900.5 || w[1].Scope != fleet.ScopeZone || w[1].DedupWindow != 5000 {
+	if w[0].LatencyObjective != 300 || w[0].ClientTimeout != 900.5 || w[1].DedupScope != fleet.DedupZone || w[1].DedupWindow != 5000 {
 		t.Errorf("request classes %+v", w)
 	}
 	// Unknown effects and scopes are taken for the strictest, and servers that fetch for themselves have no origin beside them.
-	if w[2].Effect != fleet.NonIdempotent || w[2].Scope != fleet.ScopeCell || d.Limits.OriginKind != -1 {
+	if w[2].Effect != fleet.NonIdempotent || w[2].DedupScope != fleet.DedupCell || d.Limits.OriginKind != -1 {
 		t.Errorf("read as %+v", d.Limits)
 	}
 	if _, err := Parse([]byte(`{"Workloads":7}`), 1); err == nil {
--- a/internal/controlplane/controller/core.go
+++ b/internal/controlplane/controller/core.go
@@ -92,7 +92,7 @@
 	limits.Subscribe = true // discovery is followed by a watch
 	longestTimeout := float64(minSlotRetentionMs)
 	for _, class := range limits.Classes {
-		longestTimeout = max(longestTimeout, class.Timeout)
+		longestTimeout = max(longestTimeout, class.ClientTimeout)
 	}
 	c.slotRetentionMs = longestTimeout + limits.DrainWithin
 	// All modules have the same seed and get the same input, so that the ring of all servers is the same in each of them.
--- a/internal/controlplane/server/testbed_test.go
+++ b/internal/controlplane/server/testbed_test.go
@@ -63,7 +63,7 @@
 		Zones: []string{"a", "b"}, Kinds: []string{"box", "origin"}, RequestClasses: []string{"read"}, NodeIndex: -1, ConnectTimeout: 250,
 		Limits: fleet.Limits{
 			Seed: 3, Nodes: 2, Zones: 2, OriginKind: 1, MaxAttempts: 4, PollWithin: 5000, DrainWithin: 500, Quantum: 5,
-			Classes: []fleet.Class{{LatencyObjective: 200, Timeout: 1000, PriorityWeight: 1, MaxAttempts: 4}},
+			Classes: []fleet.Class{{LatencyObjective: 200, ClientTimeout: 1000, PriorityWeight: 1, MaxAttempts: 4}},
 		},
 	}
 	b.controller = controller.New(log, controller.Config{Cluster: "boxes", Deployment: site, BatchIntervalMs: 50, LoadReports: loadreport.Config{MinReporters: 2, MaxAgeMs: 10000, MaxProxies: 100}},
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -10,26 +10,26 @@
 	NonIdempotent        // at most one attempt may have been executed
 )
 
-// Scope says which servers drop repeats of a deduplicated request.
-type Scope uint8
+// DedupScope says which servers drop repeats of a deduplicated request.
+type DedupScope uint8
 
 // Scopes of deduplication: repeats are dropped by all servers, by those of one zone, or by those of one cell.
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // Class is what is known of one kind of request.
 type Class struct {
 	Effect           Effect
-	Scope            Scope
+	DedupScope       DedupScope
 	LatencyObjective float64 // a response after that is late
-	ObjectiveStretch float64 // the objective grows by this multiple of the request's own work
-	Timeout          float64 // for which its client waits
+	ObjectivePerWork float64 // the objective grows by this multiple of the request's own work
+	ClientTimeout    float64 // for which its client waits
 	DedupWindow      float64 // for which servers drop repeats
 	PriorityWeight   float64
-	LateFactor       float64 // part of the weight that a late response keeps
+	LateWeightFactor float64 // part of the weight that a late response keeps
 	MaxAttempts      int     // 0: Limits.MaxAttempts
 	Stream           bool    // its response is streamed
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -121,7 +121,7 @@
 		giveUpAt:           min(now+g.settings.ClaimTimeout.Milliseconds(), x.Deadline-resultGraceMs-responseMarginMs),
 		allowWithoutQuorum: g.settings.ForwardsWithoutQuorum(className),
 	}
-	if class.Effect == fleet.Deduplicated && class.Scope == fleet.ScopeAll {
+	if class.Effect == fleet.Deduplicated && class.DedupScope == fleet.DedupAll {
 		c.options.DedupWindowMs = class.DedupWindow
 	}
 	if g.closed {
--- a/internal/node/clients/config.go
+++ b/internal/node/clients/config.go
@@ -34,7 +34,7 @@
 	for i, name := range d.RequestClasses {
 		if classID, known := id(name); known {
 			c.Classes[name] = &Class{classID, d.Limits.Classes[i]}
-			c.LongestTimeout = max(c.LongestTimeout, d.Limits.Classes[i].Timeout)
+			c.LongestTimeout = max(c.LongestTimeout, d.Limits.Classes[i].ClientTimeout)
 		}
 	}
 	c.WriteTimeout = max(c.LongestTimeout, minWriteTimeout)
@@ -50,5 +50,5 @@
 // Deadline returns when a request must have its response that arrived at a time from a client that waits for so many ms; +Inf:
 // the client does not say how long.
 func (c *Config) Deadline(class *fleet.Class, arrivedAt, clientLimit float64) float64 {
-	return arrivedAt + max(1, min(clientLimit, class.Timeout)-c.ReturnMargin)
+	return arrivedAt + max(1, min(clientLimit, class.ClientTimeout)-c.ReturnMargin)
 }
--- a/internal/node/clients/harness_test.go
+++ b/internal/node/clients/harness_test.go
@@ -78,9 +78,9 @@
 	return settings.Deployment{
 		RequestClasses: []string{"read", "put", "pay"}, Tenants: []string{"acme", "zeta"},
 		Limits: fleet.Limits{Quantum: 5, Classes: []fleet.Class{
-			{Timeout: 500},
-			{Timeout: 500, Effect: fleet.Deduplicated},
-			{Timeout: 500, Effect: fleet.NonIdempotent},
+			{ClientTimeout: 500},
+			{ClientTimeout: 500, Effect: fleet.Deduplicated},
+			{ClientTimeout: 500, Effect: fleet.NonIdempotent},
 		}},
 	}
 }
--- a/internal/node/fingerprint.go
+++ b/internal/node/fingerprint.go
@@ -38,7 +38,7 @@
 	}
 	classText struct {
 		Effect           fleet.Effect
-		Scope            fleet.Scope
+		Scope            fleet.DedupScope
 		SLOTime          float64
 		SLOStretch       float64
 		StatementTimeout float64
@@ -72,7 +72,7 @@
 
 func newClassText(c *fleet.Class) classText {
 	return classText{
-		Effect: c.Effect, Scope: c.Scope, SLOTime: c.LatencyObjective, SLOStretch: c.ObjectiveStretch, StatementTimeout: c.Timeout,
-		DedupSpan: c.DedupWindow, Importance: c.PriorityWeight, LateShare: c.LateFactor, MaxExecutions: c.MaxAttempts, Stream: c.Stream,
+		Effect: c.Effect, Scope: c.DedupScope, SLOTime: c.LatencyObjective, SLOStretch: c.ObjectivePerWork, StatementTimeout: c.ClientTimeout,
+		DedupSpan: c.DedupWindow, Importance: c.PriorityWeight, LateShare: c.LateWeightFactor, MaxExecutions: c.MaxAttempts, Stream: c.Stream,
 	}
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -129,8 +129,8 @@
 			Seed: 9, Nodes: 3, Zone: 1, Zones: 2, OriginKind: 1,
 			Classes: []fleet.Class{
 				{
-					Effect: fleet.Deduplicated, Scope: fleet.ScopeCell, LatencyObjective: 200, ObjectiveStretch: 1.5, Timeout: 600.25, DedupWindow: 5e3,
-					PriorityWeight: 3, LateFactor: 0.125, MaxAttempts: 2, Stream: true,
+					Effect: fleet.Deduplicated, DedupScope: fleet.DedupCell, LatencyObjective: 200, ObjectivePerWork: 1.5, ClientTimeout: 600.25, DedupWindow: 5e3,
+					PriorityWeight: 3, LateWeightFactor: 0.125, MaxAttempts: 2, Stream: true,
 				},
 				{Effect: fleet.NonIdempotent},
 			},
--- a/internal/node/requestclass/requestclass_test.go
+++ b/internal/node/requestclass/requestclass_test.go
@@ -29,7 +29,7 @@
 	m.current = map[string]fleet.Class{}
 	for _, name := range names {
 		class := fleet.Class{
-			Timeout: float64(rapid.IntRange(1, 3).Draw(t, "timeout")), Effect: fleet.Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
+			ClientTimeout: float64(rapid.IntRange(1, 3).Draw(t, "timeout")), Effect: fleet.Effect(rapid.IntRange(0, 2).Draw(t, "effect")),
 			MaxAttempts: rapid.IntRange(1, 2).Draw(t, "attempts"),
 		}
 		classes, m.current[name] = append(classes, class), class
--- a/internal/testbed/baseline/base.go
+++ b/internal/testbed/baseline/base.go
@@ -109,7 +109,7 @@
 		}
 		deduplicated := class.Effect == fleet.Deduplicated
 		withinWindow := now+limits.Quantum < attempt.SentAt+class.DedupWindow
-		retry.NoEffect = retry.NoEffect && deduplicated && class.Scope == fleet.ScopeAll
+		retry.NoEffect = retry.NoEffect && deduplicated && class.DedupScope == fleet.DedupAll
 		retry.Allowed = retry.Allowed && deduplicated && withinWindow && sharesDeduplication(attempt.Server)
 	}
 	return retry
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -75,7 +75,7 @@
 func (p *Policy) route(now float64, q *fleet.Request) fleet.Decision {
 	to := p.selectServer(q)
 	class := &p.limits.Classes[q.Class]
-	retry := RetryOf(now, &p.limits, q, func(earlier fleet.ServerID) bool { return p.shareDeduplication(class.Scope, earlier, to) })
+	retry := RetryOf(now, &p.limits, q, func(earlier fleet.ServerID) bool { return p.shareDeduplication(class.DedupScope, earlier, to) })
 	if to == fleet.NoServer || !retry.Allowed || q.NumAttempts >= p.limits.AttemptLimit(class) || q.Deadline-now <= p.limits.Quantum {
 		q.Closed = true
 		if retry.NoEffect {
@@ -87,12 +87,12 @@
 }
 
 // shareDeduplication reports whether two servers drop duplicates of each other's writes.
-func (p *Policy) shareDeduplication(scope fleet.Scope, a, b fleet.ServerID) bool {
+func (p *Policy) shareDeduplication(scope fleet.DedupScope, a, b fleet.ServerID) bool {
 	serverA, serverB := p.Endpoints[a], p.Endpoints[b]
 	switch scope {
-	case fleet.ScopeAll:
+	case fleet.DedupAll:
 		return true
-	case fleet.ScopeZone:
+	case fleet.DedupZone:
 		return serverA.Zone == serverB.Zone
 	}
 	return serverA.Zone == serverB.Zone && serverA.Cell == serverB.Cell
--- a/internal/testbed/controlplanebench/controlplanebench.go
+++ b/internal/testbed/controlplanebench/controlplanebench.go
@@ -55,7 +55,7 @@
 
 // newDeployment returns a deployment with one request class. Its ring points are adjusted once every latency objective.
 func newDeployment(seed uint64, latencyObjectiveMs float64) settings.Deployment {
-	class := fleet.Class{LatencyObjective: latencyObjectiveMs, Timeout: timeoutFactor * latencyObjectiveMs, PriorityWeight: 1, MaxAttempts: 4}
+	class := fleet.Class{LatencyObjective: latencyObjectiveMs, ClientTimeout: timeoutFactor * latencyObjectiveMs, PriorityWeight: 1, MaxAttempts: 4}
 	return settings.Deployment{
 		Zones: zones, Kinds: []string{"box", "origin"}, RequestClasses: []string{"read"}, NodeIndex: -1, ConnectTimeout: 250,
 		Limits: fleet.Limits{
