--- a/decide/decide.go
+++ b/decide/decide.go
@@ -82,8 +82,8 @@
 func deriveLimits(l fleet.Limits) limits {
 	d := limits{
 		zone: l.Zone, nodesPerZone: float64(l.Nodes) / float64(max(1, l.Zones)), originKind: l.OriginKind,
-		hedging: l.Hedging, cancellation: l.Cancellation, fullRefuses: l.FullRefuses, minObjective: math.Inf(1),
-		hedgeRate: 0.05 / (0.5 + 2*l.WasteCost), minWindow: min(1, max(0.1, 8/float64(max(1, l.Nodes)))),
+		hedging: l.Hedging, cancellation: l.Cancellation, fullRefuses: l.FullServersRefuse, minObjective: math.Inf(1),
+		hedgeRate: 0.05 / (0.5 + 2*l.UnusedAttemptCost), minWindow: min(1, max(0.1, 8/float64(max(1, l.Nodes)))),
 		coldCapacity: l.ColdCapacity, warmUpTime: l.WarmUpTime,
 		coldRate: l.OverloadFactor / 2, coldBurst: l.OverloadBurst / 2, slack: l.Quantum,
 	}
@@ -108,7 +108,7 @@
 	if d.period = d.minObjective; l.WarmUpTime > 0 {
 		d.period = l.WarmUpTime / 20
 	}
-	if l.RetryAfter {
+	if l.SendRetryAfter {
 		d.maxRetryAfter = l.MaxRetryAfter
 	}
 	if l.Subscribe {
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -28,8 +28,8 @@
 func testLimits() fleet.Limits {
 	return fleet.Limits{
 		Seed: 5, Nodes: 1, OriginKind: 1, MaxAttempts: 4, Hedging: true,
-		Cancellation: true,
-		RetryAfter:   true, MaxRetryAfter: 1000, DrainWithin: 500, ColdCapacity: 0.2, WarmUpTime: testWarmUpTime,
+		Cancellation:   true,
+		SendRetryAfter: true, MaxRetryAfter: 1000, StopSendingWithin: 500, ColdCapacity: 0.2, WarmUpTime: testWarmUpTime,
 		OverloadFactor: 4, OverloadBurst: 2000, AnswerSlack: 20, Quantum: 5, Classes: []fleet.Class{
 			{LatencyObjective: classObjective, ClientTimeout: clientTimeout, PriorityWeight: 1},
 			{
@@ -212,7 +212,7 @@
 	case fleet.Reject, fleet.Abort:
 		trace.answers++
 		h.checkAnswer(trace, d)
-		if d.RetryAfter > 0 && (!h.limits.RetryAfter || d.RetryAfter > h.limits.MaxRetryAfter) {
+		if d.RetryAfter > 0 && (!h.limits.SendRetryAfter || d.RetryAfter > h.limits.MaxRetryAfter) {
 			h.violated("the client is to come back after %v ms", d.RetryAfter)
 		}
 	case fleet.Probe, fleet.Broadcast:
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -170,7 +170,7 @@
 func closedAfterConnectFailure(t *testing.T, fullRefuses bool) (closed []fleet.ServerID, ejected bool) {
 	t.Helper()
 	limits := testLimits()
-	limits.FullRefuses = fullRefuses
+	limits.FullServersRefuse = fullRefuses
 	h := newHarness(limits)
 	h.listServers(12)
 	for key := range fleet.Key(60) {
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -41,7 +41,7 @@
 	limits.Seed = rapid.Uint64().Draw(t, "seed")
 	limits.Hedging = rapid.Bool().Draw(t, "hedging")
 	limits.Cancellation = rapid.Bool().Draw(t, "cancellation")
-	limits.RetryAfter = rapid.Bool().Draw(t, "retry after")
+	limits.SendRetryAfter = rapid.Bool().Draw(t, "retry after")
 	limits.MaxRetryAfter = rapid.Float64Range(0, 300).Draw(t, "max retry after")
 	limits.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "max attempts")
 	if rapid.Bool().Draw(t, "no origin") {
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -29,9 +29,9 @@
 				{Effect: fleet.Deduplicated, DedupScope: fleet.DedupAll, LatencyObjective: 1500, ClientTimeout: 3000, MaxAttempts: 4, Stream: true},
 				{Effect: fleet.NonIdempotent, DedupScope: fleet.DedupCell, LatencyObjective: 2, ClientTimeout: 4, MaxAttempts: 4},
 			},
-			MaxAttempts: 4, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1250, Subscribe: true,
-			PollWithin: 10000, DrainWithin: 6000, ColdCapacity: 0.3, WarmUpTime: 20000, OverloadFactor: 1.5, OverloadBurst: 250,
-			AnswerSlack: 50.5, Quantum: 0.25, WasteCost: 0.125,
+			MaxAttempts: 4, Hedging: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 1250, Subscribe: true,
+			PollWithin: 10000, StopSendingWithin: 6000, ColdCapacity: 0.3, WarmUpTime: 20000, OverloadFactor: 1.5, OverloadBurst: 250,
+			AnswerSlack: 50.5, Quantum: 0.25, UnusedAttemptCost: 0.125,
 		},
 	}
 	if got, err := Parse(text, 0x8c1f30d27a5be964); err != nil || !reflect.DeepEqual(got, want) {
--- a/internal/controlplane/controller/core.go
+++ b/internal/controlplane/controller/core.go
@@ -94,7 +94,7 @@
 	for _, class := range limits.Classes {
 		longestTimeout = max(longestTimeout, class.ClientTimeout)
 	}
-	c.slotRetentionMs = longestTimeout + limits.DrainWithin
+	c.slotRetentionMs = longestTimeout + limits.StopSendingWithin
 	// All modules have the same seed and get the same input, so that the ring of all servers is the same in each of them.
 	for i, zone := range config.Deployment.Zones {
 		limits.Zone = fleet.ZoneID(i)
--- a/internal/controlplane/controller/helpers_test.go
+++ b/internal/controlplane/controller/helpers_test.go
@@ -25,7 +25,7 @@
 			Zones: testZones, Kinds: []string{"box", "origin"}, RequestClasses: []string{"read"}, NodeIndex: -1, ConnectTimeout: 250,
 			Limits: fleet.Limits{
 				Seed: seed, Nodes: 4, Zones: len(testZones), OriginKind: 1, MaxAttempts: 4, PollWithin: 5000,
-				DrainWithin: 500, ColdCapacity: 0.2, WarmUpTime: 10_000, OverloadFactor: 3, OverloadBurst: 2000, Quantum: 5,
+				StopSendingWithin: 500, ColdCapacity: 0.2, WarmUpTime: 10_000, OverloadFactor: 3, OverloadBurst: 2000, Quantum: 5,
 				Classes: []fleet.Class{{LatencyObjective: 200, ClientTimeout: 1000, PriorityWeight: 1, MaxAttempts: 4}},
 			},
 		},
--- a/internal/controlplane/server/testbed_test.go
+++ b/internal/controlplane/server/testbed_test.go
@@ -62,7 +62,7 @@
 	site := settings.Deployment{
 		Zones: []string{"a", "b"}, Kinds: []string{"box", "origin"}, RequestClasses: []string{"read"}, NodeIndex: -1, ConnectTimeout: 250,
 		Limits: fleet.Limits{
-			Seed: 3, Nodes: 2, Zones: 2, OriginKind: 1, MaxAttempts: 4, PollWithin: 5000, DrainWithin: 500, Quantum: 5,
+			Seed: 3, Nodes: 2, Zones: 2, OriginKind: 1, MaxAttempts: 4, PollWithin: 5000, StopSendingWithin: 500, Quantum: 5,
 			Classes: []fleet.Class{{LatencyObjective: 200, ClientTimeout: 1000, PriorityWeight: 1, MaxAttempts: 4}},
 		},
 	}
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -43,25 +43,25 @@
 	OriginKind KindID // -1: there is no origin, servers fetch for themselves
 	Classes    []Class
 
-	MaxAttempts   int
-	Hedging       bool // two attempts of a request may be out
-	Cancellation  bool // an attempt may be stopped
-	FullRefuses   bool // a server with a full table of connections refuses connections; else it responds that it is full
-	RetryAfter    bool // a rejection may say when to come back
-	MaxRetryAfter float64
+	MaxAttempts       int
+	Hedging           bool // two attempts of a request may be out
+	Cancellation      bool // an attempt may be stopped
+	FullServersRefuse bool // a server with a full table of connections refuses connections; else it responds that it is full
+	SendRetryAfter    bool // a rejection may say when to come back
+	MaxRetryAfter     float64
 
-	Subscribe   bool    // changes of the endpoint list have to be asked for
-	PollWithin  float64 // a request to the discovery service is due by then
-	DrainWithin float64 // no attempt starts at a server later than this after it began to drain
+	Subscribe         bool    // changes of the endpoint list have to be asked for
+	PollWithin        float64 // a request to the discovery service is due by then
+	StopSendingWithin float64 // no attempt starts at a server later than this after it began to drain
 
 	ColdCapacity   float64 // share of its capacity that a server has at its start
 	WarmUpTime     float64 // until it has all of it
 	OverloadFactor float64 // multiple of its capacity at which a server that is warming up fails
 	OverloadBurst  float64 // work beyond its capacity, in ms, after which it fails
 
-	AnswerSlack float64 // how much earlier than a client's timeout a response has to be there
-	Quantum     float64 // time step of the platform
-	WasteCost   float64 // penalty of an attempt whose result is not used
+	AnswerSlack       float64 // how much earlier than a client's timeout a response has to be there
+	Quantum           float64 // time step of the platform
+	UnusedAttemptCost float64 // penalty of an attempt whose result is not used
 }
 
 // AttemptLimit is how many attempts a request of a class may have.
--- a/internal/node/clients/config.go
+++ b/internal/node/clients/config.go
@@ -38,7 +38,7 @@
 		}
 	}
 	c.WriteTimeout = max(c.LongestTimeout, minWriteTimeout)
-	if d.Limits.RetryAfter {
+	if d.Limits.SendRetryAfter {
 		c.RetryAfter = d.Limits.MaxRetryAfter
 	}
 	for i, name := range d.Tenants {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -65,7 +65,7 @@
 // the slot's next server.
 func SlotRetention(deployment *settings.Deployment) float64 {
 	_, longestTimeout := deployment.TimeBounds()
-	return longestTimeout + deployment.Limits.DrainWithin
+	return longestTimeout + deployment.Limits.StopSendingWithin
 }
 
 // PoolConfigs returns the configuration of the connection pools to a cache server and to the origin. Without the operator's
--- a/internal/node/fingerprint.go
+++ b/internal/node/fingerprint.go
@@ -56,11 +56,11 @@
 	l := &deployment.Limits
 	text := limitsText{
 		Nodes: l.Nodes, Zones: l.Zones, OriginKind: l.OriginKind,
-		MaxExecutions: l.MaxAttempts, SecondCopies: l.Hedging, Cancelling: l.Cancellation, FullFails: l.FullRefuses,
-		RetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter, Subscribe: l.Subscribe,
-		MustAskIn: l.PollWithin, StopSendingWithin: l.DrainWithin, StartCapacity: l.ColdCapacity,
+		MaxExecutions: l.MaxAttempts, SecondCopies: l.Hedging, Cancelling: l.Cancellation, FullFails: l.FullServersRefuse,
+		RetryAfter: l.SendRetryAfter, MaxRetryAfter: l.MaxRetryAfter, Subscribe: l.Subscribe,
+		MustAskIn: l.PollWithin, StopSendingWithin: l.StopSendingWithin, StartCapacity: l.ColdCapacity,
 		WarmWithin: l.WarmUpTime, FallMultiple: l.OverloadFactor, TipAfter: l.OverloadBurst, AnswerSlack: l.AnswerSlack,
-		Quantum: l.Quantum, WasteCost: l.WasteCost,
+		Quantum: l.Quantum, WasteCost: l.UnusedAttemptCost,
 	}
 	for i := range l.Classes {
 		text.Workloads = append(text.Workloads, newClassText(&l.Classes[i]))
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -134,9 +134,9 @@
 				},
 				{Effect: fleet.NonIdempotent},
 			},
-			MaxAttempts: 4, Hedging: true, Cancellation: true, FullRefuses: true, RetryAfter: true, MaxRetryAfter: 900, Subscribe: true,
-			PollWithin: 5e3, DrainWithin: 500, ColdCapacity: 0.2, WarmUpTime: 3e7, OverloadFactor: 2, OverloadBurst: 1e21, AnswerSlack: 20,
-			Quantum: 5, WasteCost: 0.75,
+			MaxAttempts: 4, Hedging: true, Cancellation: true, FullServersRefuse: true, SendRetryAfter: true, MaxRetryAfter: 900, Subscribe: true,
+			PollWithin: 5e3, StopSendingWithin: 500, ColdCapacity: 0.2, WarmUpTime: 3e7, OverloadFactor: 2, OverloadBurst: 1e21, AnswerSlack: 20,
+			Quantum: 5, UnusedAttemptCost: 0.75,
 		},
 	}
 	deployment, err := settings.Parse([]byte(settingsText), 7)
--- a/internal/node/inflight/inflight_test.go
+++ b/internal/node/inflight/inflight_test.go
@@ -50,8 +50,8 @@
 
 func limits() fleet.Limits {
 	return fleet.Limits{
-		Seed: 1, Nodes: 1, OriginKind: 1, MaxAttempts: 4, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1000,
-		Subscribe: true, PollWithin: 10000, DrainWithin: 500, Quantum: 5, Classes: []fleet.Class{
+		Seed: 1, Nodes: 1, OriginKind: 1, MaxAttempts: 4, Hedging: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 1000,
+		Subscribe: true, PollWithin: 10000, StopSendingWithin: 500, Quantum: 5, Classes: []fleet.Class{
 			{LatencyObjective: 300, ClientTimeout: 900, PriorityWeight: 1},
 			{LatencyObjective: 300, ClientTimeout: 900, PriorityWeight: 3, Effect: fleet.NonIdempotent},
 		},
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -62,7 +62,7 @@
 	if previous != nil {
 		previous.exited = true
 	}
-	deployment.Limits.FullRefuses = true // the wire has one outcome for a server that is down and for one with no connection left
+	deployment.Limits.FullServersRefuse = true // the wire has one outcome for a server that is down and for one with no connection left
 	n := &instance{
 		id: id, requests: map[fleet.RequestID]fleet.Ref{}, serverIDs: map[string]fleet.ServerID{},
 		classCount: len(deployment.RequestClasses), timerDueMs: math.Inf(1),
--- a/internal/testbed/controlplanebench/controlplanebench.go
+++ b/internal/testbed/controlplanebench/controlplanebench.go
@@ -59,7 +59,7 @@
 	return settings.Deployment{
 		Zones: zones, Kinds: []string{"box", "origin"}, RequestClasses: []string{"read"}, NodeIndex: -1, ConnectTimeout: 250,
 		Limits: fleet.Limits{
-			Seed: seed, Nodes: 2, Zones: len(zones), OriginKind: 1, MaxAttempts: 4, PollWithin: 5000, DrainWithin: 500, Quantum: 5,
+			Seed: seed, Nodes: 2, Zones: len(zones), OriginKind: 1, MaxAttempts: 4, PollWithin: 5000, StopSendingWithin: 500, Quantum: 5,
 			Classes: []fleet.Class{class},
 		},
 	}
