--- a/decide/admit.go
+++ b/decide/admit.go
@@ -72,7 +72,7 @@
 		}
 		c := &n.limits.classes[req.Class]
 		value := c.priority / (1 + (req.Deadline-n.now)/c.objective) // priority first, then the time left
-		if n.now+l.latency > req.Arrived+c.objective {
+		if n.now+l.latency > req.ArrivedAt+c.objective {
 			value *= c.lateFactor // it would be late: one that can still be in time goes first
 		}
 		if value > highest {
@@ -100,7 +100,7 @@
 	}
 	latency := max(l.latency, n.now-n.origin.silentSince)
 	c, left := &n.limits.classes[req.Class], req.Deadline-n.now-n.limits.slack
-	left = max(left*c.lateFactor, min(left, req.Arrived+c.objective-n.now)) // beyond that it is worth nothing
+	left = max(left*c.lateFactor, min(left, req.ArrivedAt+c.objective-n.now)) // beyond that it is worth nothing
 	wait := float64(len(l.waiting)+1) * latency / l.window
 	// What is expected is a mean: of a queue held to the edge half came late, and took the place of others.
 	others := len(l.waiting) > 1 || len(l.waiting) > 0 && req.Stage != stageWaiting
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -23,7 +23,7 @@
 				now += 0.1
 				routeDue(n, &slab, now)
 				req := slab.Alloc()
-				req.Key, req.HasKey, req.Arrived, req.Deadline = fleet.Key(fleet.Mix(uint64(i%5000))), true, now, now+1000
+				req.Key, req.HasKey, req.ArrivedAt, req.Deadline = fleet.Key(fleet.Mix(uint64(i%5000))), true, now, now+1000
 				if d := n.Route(now, req); d.Action == fleet.Send {
 					n.AttemptDone(now+0.05, req, cacheHit(d.Attempt, 5, report))
 				}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -149,7 +149,7 @@
 	if req == nil {
 		return n.maintain()
 	}
-	if req.Closed || req.Streamed {
+	if req.Closed || req.Streaming {
 		return fleet.Decision{}
 	}
 	if !req.HasKey && req.NumAttempts == 0 {
@@ -195,7 +195,7 @@
 	if req.InFlight > 0 && missed && req.Stage == stageAtCache && n.limits.hedging && n.originFree() {
 		return n.enforce(req, n.send(req, n.origin)) // a hedge that missed must not leave req with a silent server
 	}
-	if req.Streamed || req.InFlight > 0 {
+	if req.Streaming || req.InFlight > 0 {
 		return fleet.Decision{Action: fleet.Hold}
 	}
 	if req.Stage = stageReroute; s == n.origin || missed && n.origin != nil {
@@ -216,9 +216,9 @@
 	}
 	for len(n.timers) > 0 {
 		t := n.timers[0]
-		if req := n.requests.Get(t.Ref); req == nil || req.Closed || req.Wake != t.At || t.At <= now {
+		if req := n.requests.Get(t.Ref); req == nil || req.Closed || req.WakeAt != t.At || t.At <= now {
 			n.timers.PopMin()
-			if req != nil && !req.Closed && req.Wake == t.At {
+			if req != nil && !req.Closed && req.WakeAt == t.At {
 				return t.Ref, 0
 			}
 			continue
@@ -230,7 +230,7 @@
 }
 
 // ResponseStarted reports that the response to req streams: it belongs to the client now.
-func (n *Node) ResponseStarted(now float64, req *fleet.Request) { n.now, req.Streamed = now, true }
+func (n *Node) ResponseStarted(now float64, req *fleet.Request) { n.now, req.Streaming = now, true }
 
 // UploadDone reports that req's value is complete, its deadline known. An attempt in flight begins only now.
 func (n *Node) UploadDone(now float64, req *fleet.Request) {
@@ -249,7 +249,7 @@
 func (n *Node) cancelLoser(req *fleet.Request) fleet.Decision {
 	for i := range req.Attempts[:req.NumAttempts] {
 		e := &req.Attempts[i]
-		if n.limits.cancellation && !req.Streamed && e.Result == fleet.Pending && !e.Cancelled {
+		if n.limits.cancellation && !req.Streaming && e.Result == fleet.Pending && !e.Cancelled {
 			e.Cancelled = true
 			return fleet.Decision{Action: fleet.Cancel, Attempt: i}
 		}
@@ -264,7 +264,7 @@
 	switch {
 	case req.InFlight > 0:
 		return n.review(req)
-	case req.Deadline-n.now <= n.limits.slack || req.NumAttempts >= c.maxAttempts || req.Consumed:
+	case req.Deadline-n.now <= n.limits.slack || req.NumAttempts >= c.maxAttempts || req.ValueConsumed:
 		return n.reject(n.limits.minObjective)
 	case n.limits.originKind < 0:
 	case req.Write || st == stageForOrigin || st == stageWaiting || lastAttempt && n.originFree():
@@ -301,7 +301,7 @@
 
 // hold keeps req and has NextDue name it at the given time.
 func (n *Node) hold(req *fleet.Request, at float64) fleet.Decision {
-	req.Wake = at
+	req.WakeAt = at
 	n.timers.Add(fleet.Timer{At: at, Ref: req.Ref})
 	return fleet.Decision{Action: fleet.Hold}
 }
@@ -325,8 +325,8 @@
 		s := n.servers[d.Server]
 		d.SendBy = n.repeatableUntil(req, s)
 		// The timer of an earlier hold must not review this attempt: it once cancelled what must not be.
-		d.Attempt, req.Wake = req.NumAttempts, 0
-		req.Attempts[req.NumAttempts] = fleet.Attempt{Server: s.id, SentAt: n.now, Ahead: s.ahead()}
+		d.Attempt, req.WakeAt = req.NumAttempts, 0
+		req.Attempts[req.NumAttempts] = fleet.Attempt{Server: s.id, SentAt: n.now, RequestsAhead: s.ahead()}
 		req.NumAttempts++
 		if req.InFlight++; !req.Uploading {
 			n.recordSend(s, req)
@@ -348,7 +348,7 @@
 
 // maySend checks rules 1 to 4 for one more attempt of req at s.
 func (n *Node) maySend(req *fleet.Request, s *server) bool {
-	return !req.Closed && !req.Streamed && req.NumAttempts < n.limits.classes[req.Class].maxAttempts &&
+	return !req.Closed && !req.Streaming && req.NumAttempts < n.limits.classes[req.Class].maxAttempts &&
 		n.now < req.Deadline && s.state == fleet.Ready && n.hasColdQuota(s, req) &&
 		n.now <= n.repeatableUntil(req, s)
 }
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -34,7 +34,7 @@
 func newRead(slab *fleet.Slab, now float64, key fleet.Key) *fleet.Request {
 	req := slab.Alloc()
 	req.Class, req.Key, req.HasKey = 0, key, true
-	req.Arrived, req.Deadline = now, now+1000
+	req.ArrivedAt, req.Deadline = now, now+1000
 	return req
 }
 
--- a/decide/health.go
+++ b/decide/health.go
@@ -99,9 +99,9 @@
 		n.cacheInFlight--
 		done := o.Result == fleet.Completed || o.Result == fleet.TimedOut || responsive && !o.Result.NotExecuted()
 		switch {
-		case o.Result == fleet.Full:
+		case o.Result == fleet.Declined:
 			n.lateShare += 0.05 * (0.2 - n.lateShare)
-		case done && n.now-req.Arrived > 0.8*objective:
+		case done && n.now-req.ArrivedAt > 0.8*objective:
 			n.lateShare += 0.05 * (1 - n.lateShare)
 		case done:
 			n.lateShare -= 0.05 * n.lateShare
@@ -112,7 +112,7 @@
 		return
 	case fleet.TimedOut, fleet.Cancelled:
 		// It would have taken longer still: a server must not look quick because slow responses are cut off.
-		s.recordLatency(n, max(o.Took, s.latency), e.Ahead)
+		s.recordLatency(n, max(o.Took, s.latency), e.RequestsAhead)
 		// Slow is not dead: only a server that has answered nothing since the attempt left counts as silent.
 		if !responsive && o.Took >= objective/4 {
 			n.recordHealth(s, 1)
@@ -122,15 +122,15 @@
 		if o.Cache <= fleet.CacheHit {
 			took := min(o.Took, 4*s.expected(n)) // one heavy request says little of the server
 			// The time per request ahead stays near the shortest: waits behind other nodes' are not slowness.
-			one, weight := took/(1+e.Ahead), 0.02
+			one, weight := took/(1+e.RequestsAhead), 0.02
 			if one < s.perQueued {
 				weight = 0.1
 			}
 			s.perQueued += weight * (one - s.perQueued)
-			s.recordLatency(n, took, e.Ahead)
+			s.recordLatency(n, took, e.RequestsAhead)
 		}
 	}
-	if o.Result != fleet.Full && !o.Stale {
+	if o.Result != fleet.Declined && !o.StaleConnection {
 		n.recordHealth(s, blame[o.Result])
 	}
 	s.silentSince = n.now
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -53,7 +53,7 @@
 // newRead puts a read of a key into the slab.
 func newRead(slab *fleet.Slab, now float64, key fleet.Key) *fleet.Request {
 	req := slab.Alloc()
-	req.Key, req.HasKey, req.Arrived, req.Deadline = key, true, now, now+clientTimeout
+	req.Key, req.HasKey, req.ArrivedAt, req.Deadline = key, true, now, now+clientTimeout
 	return req
 }
 
@@ -169,7 +169,7 @@
 func (h *harness) request(class fleet.ClassID, key fleet.Key, write bool, timeout float64) *requestTrace {
 	req := h.slab.Alloc()
 	req.Class, req.Key, req.HasKey, req.Write = class, key, true, write
-	req.Arrived, req.Deadline = h.now, h.now+timeout
+	req.ArrivedAt, req.Deadline = h.now, h.now+timeout
 	trace := &requestTrace{req: req, ref: req.Ref, deadline: req.Deadline}
 	h.open = append(h.open, trace)
 	h.apply(trace, h.node.Route(h.now, req))
@@ -295,7 +295,7 @@
 	}
 	o := fleet.Outcome{
 		Attempt: i, Result: result, Took: h.now - a.sentAt, Closed: answered || trace.answers > 0 || trace.clientGone,
-		Stale: h.stale, Cache: cache, Report: fleet.NewLoadReport(),
+		StaleConnection: h.stale, Cache: cache, Report: fleet.NewLoadReport(),
 	}
 	if req := h.slab.Get(trace.ref); req != nil {
 		h.apply(trace, h.node.AttemptDone(h.now, req, o))
--- a/decide/routing_test.go
+++ b/decide/routing_test.go
@@ -14,7 +14,7 @@
 	oneRequest := func() {
 		k++
 		req := h.slab.Alloc()
-		req.Key, req.HasKey, req.Arrived, req.Deadline = k%50, true, h.now, h.now+500
+		req.Key, req.HasKey, req.ArrivedAt, req.Deadline = k%50, true, h.now, h.now+500
 		h.node.Route(h.now, req)
 		h.now += 2
 		h.node.AttemptDone(h.now, req, fleet.Outcome{
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -69,7 +69,7 @@
 	}
 	results := []fleet.Result{
 		fleet.Completed, fleet.Completed, fleet.Missed, fleet.Missed, fleet.Failed,
-		fleet.Full, fleet.ConnectFailed, fleet.Reset, fleet.NotSent,
+		fleet.Declined, fleet.ConnectFailed, fleet.Reset, fleet.NotSent,
 	}
 	trace := rapid.SampledFrom(h.open).Draw(t, "request")
 	for i := range trace.attempts {
@@ -124,7 +124,7 @@
 			}
 		}, fleet.Reject},
 		"deadline passed":      {func(h *harness, req *fleet.Request) { req.Deadline = h.now }, fleet.Reject},
-		"response is streamed": {func(_ *harness, req *fleet.Request) { req.Streamed = true }, fleet.Reject},
+		"response is streamed": {func(_ *harness, req *fleet.Request) { req.Streaming = true }, fleet.Reject},
 		"non-idempotent, may have been executed": {func(_ *harness, req *fleet.Request) {
 			req.Class, req.NumAttempts = nonIdempotentClass, 1
 			req.Attempts[0] = fleet.Attempt{Server: 1, Result: fleet.TimedOut}
--- a/internal/controlplane/controller/helpers_test.go
+++ b/internal/controlplane/controller/helpers_test.go
@@ -79,7 +79,7 @@
 // moduleOwner returns where the decision module itself, as in a node, sends a request of a key. The attempt is never made.
 func moduleOwner(m *zoneModule, now float64, key fleet.Key) fleet.ServerID {
 	q := m.slab.Alloc()
-	q.Key, q.HasKey, q.Arrived, q.Deadline = key, true, now, now+1000
+	q.Key, q.HasKey, q.ArrivedAt, q.Deadline = key, true, now, now+1000
 	q.Stage = 5 // a rerouted request, which is not counted when hot keys are detected
 	mv := m.Route(now, q)
 	id := fleet.NoServer
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -101,7 +101,7 @@
 
 func TestNeverRan(t *testing.T) {
 	for result := Pending; result <= Missed; result++ {
-		want := slices.Contains([]Result{Full, ConnectFailed, NotSent, Missed}, result)
+		want := slices.Contains([]Result{Declined, ConnectFailed, NotSent, Missed}, result)
 		if result.NotExecuted() != want {
 			t.Errorf("result %d: %v", result, !want)
 		}
--- a/internal/node/cacheserver/protocol.go
+++ b/internal/node/cacheserver/protocol.go
@@ -148,7 +148,7 @@
 		return response
 	}
 	if string(words[0]) == "BUSY" {
-		response.Result = fleet.Full
+		response.Result = fleet.Declined
 	}
 	if last := words[len(words)-1]; bytes.IndexByte(last, '=') > 0 {
 		response.Report = upstream.ParseReport(last)
--- a/internal/node/cacheserver/protocol_test.go
+++ b/internal/node/cacheserver/protocol_test.go
@@ -25,8 +25,8 @@
 		{"*3\r\n$1\r\nv\r\n$3\r\nhit\r\n$29\r\ncpu=0.178,waiting=4,x0=0.8710\r\n", fleet.Completed, fleet.CacheHit, "v", 4},
 		{"-ERR failed\r\n", fleet.Failed, 0, "", -1},
 		{"-ERR failed queue=7,util=x\r\n", fleet.Failed, 0, "", 7},
-		{"-BUSY\r\n", fleet.Full, 0, "", -1},
-		{"-BUSY queue=9\r\n", fleet.Full, 0, "", 9},
+		{"-BUSY\r\n", fleet.Declined, 0, "", -1},
+		{"-BUSY queue=9\r\n", fleet.Declined, 0, "", 9},
 		{"-BUSYBODY\r\n", fleet.Failed, 0, "", -1},
 		{"-SYNTAX\r\n", fleet.Failed, 0, "", -1},
 	} {
--- a/internal/node/exchange/attempterror.go
+++ b/internal/node/exchange/attempterror.go
@@ -47,8 +47,8 @@
 	switch e.Result {
 	case fleet.Reset, fleet.ConnectFailed:
 		return fleet.ConnectFailed
-	case fleet.Full:
-		return fleet.Full
+	case fleet.Declined:
+		return fleet.Declined
 	default:
 		return fleet.NotSent
 	}
--- a/internal/node/exchange/exchange_test.go
+++ b/internal/node/exchange/exchange_test.go
@@ -35,7 +35,7 @@
 	}{
 		{NotConnected, fleet.Reset, fleet.ConnectFailed},
 		{NotConnected, fleet.ConnectFailed, fleet.ConnectFailed},
-		{PartiallyWritten, fleet.Full, fleet.Full},
+		{PartiallyWritten, fleet.Declined, fleet.Declined},
 		{PartiallyWritten, fleet.TimedOut, fleet.NotSent},
 		{NotConnected, fleet.Cancelled, fleet.NotSent},
 		{FullyWritten, fleet.Reset, fleet.Reset},
--- a/internal/node/inflight/inflight.go
+++ b/internal/node/inflight/inflight.go
@@ -57,7 +57,7 @@
 	t.lastID++
 	request.ID, request.Class, request.Tenant = t.lastID, x.Class, x.Tenant
 	request.Key, request.HasKey, request.Write = x.KeyHash, true, x.Write
-	request.Arrived, request.Deadline, request.Work, request.Size = x.Arrived, x.Deadline, x.Work, x.Size
+	request.ArrivedAt, request.Deadline, request.Work, request.ValueSize = x.Arrived, x.Deadline, x.Work, x.Size
 	request.Uploading = x.Body != nil
 	if t.OnAdmit != nil {
 		t.OnAdmit(request, x.Key)
@@ -75,7 +75,7 @@
 		return
 	}
 	request := entry.Request
-	request.Arrived, request.Deadline = at, at+x.Timeout
+	request.ArrivedAt, request.Deadline = at, at+x.Timeout
 	t.Policy.UploadDone(now, request)
 	var none A
 	for i := range request.Attempts[:request.NumAttempts] {
@@ -108,18 +108,18 @@
 	if t.OnResult != nil && !completion.Stale {
 		t.OnResult(now, request.Attempts[number].Server, completion.Result)
 	}
-	request.Consumed = x.Body != nil && x.Body.Consumed()
+	request.ValueConsumed = x.Body != nil && x.Body.Consumed()
 	if completion.Result == fleet.Completed && completion.Stream == nil {
 		entry.Receipt = completion.Value
 	}
 	outcome := fleet.Outcome{
-		Attempt: number,
-		Result:  completion.Result,
-		Took:    max(0, completion.Took),
-		Closed:  request.Closed,
-		Stale:   completion.Stale,
-		Cache:   completion.Cache,
-		Report:  completion.Report,
+		Attempt:         number,
+		Result:          completion.Result,
+		Took:            max(0, completion.Took),
+		Closed:          request.Closed,
+		StaleConnection: completion.Stale,
+		Cache:           completion.Cache,
+		Report:          completion.Report,
 	}
 	if completion.Result == fleet.Completed && !request.Closed {
 		// The rest of a streamed value is between its server and its client: to the policy the request is closed.
--- a/internal/node/inflight/inflight_test.go
+++ b/internal/node/inflight/inflight_test.go
@@ -123,7 +123,7 @@
 	}
 	a := rapid.SampledFrom(s.servers.attempts).Draw(s.T, "attempt")
 	result := rapid.SampledFrom([]fleet.Result{
-		fleet.Completed, fleet.Failed, fleet.Full, fleet.Missed, fleet.Reset, fleet.NotSent,
+		fleet.Completed, fleet.Failed, fleet.Declined, fleet.Missed, fleet.Reset, fleet.NotSent,
 	}).Draw(s.T, "result")
 	if !a.ended {
 		a.ended = true
--- a/internal/node/origin/golden_test.go
+++ b/internal/node/origin/golden_test.go
@@ -51,8 +51,8 @@
 		{Name: "created", Want: upstream.Response{Result: fleet.Failed, Report: none}},
 		{Name: "not-found-declined", Want: upstream.Response{Result: fleet.Failed, Report: none}},
 		{Name: "unavailable", Want: upstream.Response{Result: fleet.Failed, Report: queue}},
-		{Name: "unavailable-declined", Want: upstream.Response{Result: fleet.Full, Report: queue}},
-		{Name: "timeout-declined", Want: upstream.Response{Result: fleet.Full, Report: none}},
+		{Name: "unavailable-declined", Want: upstream.Response{Result: fleet.Declined, Report: queue}},
+		{Name: "timeout-declined", Want: upstream.Response{Result: fleet.Declined, Report: none}},
 		{Name: "declined-no", Want: upstream.Response{Result: fleet.Failed, Report: none}},
 	})
 	for _, c := range []struct {
--- a/internal/node/origin/protocol.go
+++ b/internal/node/origin/protocol.go
@@ -161,7 +161,7 @@
 		response.Result = fleet.Completed
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get(declinedHeader) == "1" {
-			response.Result = fleet.Full
+			response.Result = fleet.Declined
 		}
 	}
 	return response
--- a/internal/node/origin/protocol_test.go
+++ b/internal/node/origin/protocol_test.go
@@ -25,8 +25,8 @@
 		{"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nvalue\r\n0\r\n\r\n", fleet.Completed, "value"},
 		{"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", fleet.Completed, ""},
 		{"HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", fleet.Failed, ""},
-		{"HTTP/1.1 503 Later\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", fleet.Full, ""},
-		{"HTTP/1.1 504 Later\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", fleet.Full, ""},
+		{"HTTP/1.1 503 Later\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", fleet.Declined, ""},
+		{"HTTP/1.1 504 Later\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", fleet.Declined, ""},
 		{
 			"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv",
 			fleet.Completed, "v",
@@ -106,7 +106,7 @@
 		}
 	}
 	r, err := Protocol{}.ReadUnsized(strings.NewReader("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\n\r\nno"), func([]byte) error { return nil })
-	if err != nil || r.Result != fleet.Full {
+	if err != nil || r.Result != fleet.Declined {
 		t.Errorf("%+v, %v", r, err)
 	}
 }
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -48,7 +48,7 @@
 		"clients_gone":   c.ClientsGone,
 		"missed":         c.Results[fleet.Missed],
 		"failed":         c.Results[fleet.Failed],
-		"full":           c.Results[fleet.Full],
+		"full":           c.Results[fleet.Declined],
 		"timed_out":      c.Results[fleet.TimedOut],
 		"connect_failed": c.Results[fleet.ConnectFailed],
 		"reset":          c.Results[fleet.Reset],
@@ -85,7 +85,7 @@
 
 // resultNames are the results of attempts in the log.
 var resultNames = [...]string{
-	fleet.Pending: "pending", fleet.Completed: "completed", fleet.Failed: "failed", fleet.Full: "full",
+	fleet.Pending: "pending", fleet.Completed: "completed", fleet.Failed: "failed", fleet.Declined: "full",
 	fleet.TimedOut: "timed out", fleet.ConnectFailed: "no connection", fleet.Reset: "reset", fleet.Cancelled: "cancelled",
 	fleet.NotSent: "not sent", fleet.Missed: "missed",
 }
@@ -102,7 +102,7 @@
 	var attempts strings.Builder
 	for i := range request.Attempts[:request.NumAttempts] {
 		a := &request.Attempts[i]
-		fmt.Fprintf(&attempts, "%s +%.0f %s, ", n.servers[a.Server].entry.ID, a.SentAt-request.Arrived, resultNames[a.Result])
+		fmt.Fprintf(&attempts, "%s +%.0f %s, ", n.servers[a.Server].entry.ID, a.SentAt-request.ArrivedAt, resultNames[a.Result])
 	}
 	outcome, retryAfter := "client gone", 0.0
 	if response := entry.Exchange.Response(); response != nil {
@@ -113,8 +113,8 @@
 		"key":            fmt.Sprintf("%016x", uint64(request.Key)),
 		"class":          int(request.Class),
 		"outcome":        outcome,
-		"elapsed_ms":     int(now - request.Arrived),
-		"timeout_ms":     int(request.Deadline - request.Arrived),
+		"elapsed_ms":     int(now - request.ArrivedAt),
+		"timeout_ms":     int(request.Deadline - request.ArrivedAt),
 		"retry_after_ms": int(retryAfter),
 		"attempts":       strings.TrimSuffix(attempts.String(), ", "),
 	}).Debug("request finished")
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -31,7 +31,7 @@
 	case connpool.Unavailable:
 		go e.fail(a, fleet.NotSent, errUnavailable)
 	case connpool.Rejected:
-		go e.fail(a, fleet.Full, errQueueFull)
+		go e.fail(a, fleet.Declined, errQueueFull)
 	}
 }
 
--- a/internal/node/upstream/endpoint.go
+++ b/internal/node/upstream/endpoint.go
@@ -72,7 +72,7 @@
 	timedOut := e.pool.Tick(e.group.Clock.Now())
 	e.mu.Unlock()
 	for _, a := range timedOut {
-		e.fail(a, fleet.Full, errWaitTimeout)
+		e.fail(a, fleet.Declined, errWaitTimeout)
 	}
 }
 
--- a/internal/node/upstream/reader.go
+++ b/internal/node/upstream/reader.go
@@ -51,7 +51,7 @@
 		return false
 	case a.Request.Body != nil && a.progress == exchange.PartiallyWritten:
 		e.mu.Unlock()
-		e.fail(a, fleet.Full, errEarlyResponse) // whatever it says: without its last byte the attempt has not run
+		e.fail(a, fleet.Declined, errEarlyResponse) // whatever it says: without its last byte the attempt has not run
 		return false
 	case c.Used && a.progress < exchange.FullyWritten:
 		e.unsolicited(at, c)
@@ -137,7 +137,7 @@
 	r.in.ReleaseIfEmpty()
 	c.current = nil
 	first := e.markEnded(a)
-	e.pool.Responded(at, c, response.Result == fleet.Full, response.Close || excess)
+	e.pool.Responded(at, c, response.Result == fleet.Declined, response.Close || excess)
 	e.mu.Unlock()
 	if first {
 		e.group.OnDone(a, Completion{At: at, Response: response})
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -96,7 +96,7 @@
 	q := n.slab.Alloc()
 	q.ID, q.Class, q.Tenant = fleet.RequestID(id), fleet.ClassID(class), fleet.TenantID(tenant)
 	q.Key, q.HasKey, q.Write = key, hasKey, write
-	q.Arrived, q.Deadline, q.Work, q.Size = h.nowMs, deadline, work, size
+	q.ArrivedAt, q.Deadline, q.Work, q.ValueSize = h.nowMs, deadline, work, size
 	n.requests[q.ID] = q.Ref
 	h.apply(n, q, n.module.Route(h.nowMs, q))
 	return nil
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -229,7 +229,7 @@
 	case "error":
 		return fleet.Failed
 	case "full":
-		return fleet.Full
+		return fleet.Declined
 	case "timeout":
 		return fleet.TimedOut
 	case "connect_failed":
--- a/internal/testbed/simulator/attempt.go
+++ b/internal/testbed/simulator/attempt.go
@@ -45,7 +45,7 @@
 	case connpool.Unavailable:
 		l.endAttemptLater(a, fleet.NotSent)
 	case connpool.Rejected:
-		l.endAttemptLater(a, fleet.Full)
+		l.endAttemptLater(a, fleet.Declined)
 	}
 	return a
 }
--- a/internal/testbed/simulator/conn.go
+++ b/internal/testbed/simulator/conn.go
@@ -136,7 +136,7 @@
 	c.current = nil
 	wasDone := a.done
 	a.done = true
-	l.pool.Responded(now, c, completion.Result == fleet.Full, isLast)
+	l.pool.Responded(now, c, completion.Result == fleet.Declined, isLast)
 	if !wasDone {
 		l.process.inflight.AttemptDone(now, a.exchange, a.index, completion)
 	}
@@ -147,7 +147,7 @@
 	completion := inflight.Completion{Result: fleet.Completed, Report: s.parseReport(e.Report)}
 	switch e.Outcome {
 	case servermodel.Rejected, servermodel.Expired:
-		completion.Result = fleet.Full
+		completion.Result = fleet.Declined
 	case servermodel.Failed:
 		completion.Result = fleet.Failed
 	case servermodel.CacheMiss:
--- a/internal/testbed/simulator/serverlink.go
+++ b/internal/testbed/simulator/serverlink.go
@@ -118,7 +118,7 @@
 func (l *serverLink) tick() {
 	l.tickAt = notScheduled
 	for _, a := range l.pool.Tick(l.process.localNow()) {
-		l.endAttempt(a, fleet.Full)
+		l.endAttempt(a, fleet.Declined)
 	}
 	l.process.runDueWork()
 }
