--- a/decide/ring.go
+++ b/decide/ring.go
@@ -222,7 +222,7 @@
 	c := map[bool]*hashRing{false: &n.ring, true: &n.zoneRing}[zone]
 	n.now, out = now, out[:0]
 	for i, s := range c.servers {
-		out = append(out, fleet.RingPoint{ID: s.id, At: c.point(i), Capacity: s.warmth(n)})
+		out = append(out, fleet.RingPoint{ID: s.id, Position: c.point(i), CapacityShare: s.warmth(n)})
 	}
 	return out, n.zoneShare * (1 - 4*n.meanUtil/n.zoneRing.capacity)
 }
--- a/internal/cluster/membership/list.go
+++ b/internal/cluster/membership/list.go
@@ -87,7 +87,7 @@
 		indirect:        map[uint32]indirectRequest{},
 		lastContactAt:   now,
 		declareDeadFrom: now,
-		nextProbeAt:     now + config.ProbeIntervalMs*fleet.Unit(config.Seed),
+		nextProbeAt:     now + config.ProbeIntervalMs*fleet.UnitInterval(config.Seed),
 	}
 	for i := range l.members {
 		l.members[i] = member{
@@ -146,7 +146,7 @@
 	for i := range 8 {
 		h.Write([]byte{byte(l.config.Seed >> (8 * i)), byte(l.randomDraws >> (8 * i))}) //nolint:errcheck // a hash never fails
 	}
-	return fleet.Unit(h.Sum64())
+	return fleet.UnitInterval(h.Sum64())
 }
 
 // timeMultiplier slows this node down while it is in bad health.
--- a/internal/cluster/participant/participant.go
+++ b/internal/cluster/participant/participant.go
@@ -212,7 +212,7 @@
 		return now
 	case change.TrialIntervalMs == 0:
 		config := p.Gossip.Config()
-		return now + trialSpread*config.EvidenceTTLMs*fleet.Unit(fleet.Mix(config.Seed+uint64(change.Server)))
+		return now + trialSpread*config.EvidenceTTLMs*fleet.UnitInterval(fleet.Mix(config.Seed+uint64(change.Server)))
 	default:
 		return math.Inf(1)
 	}
--- a/internal/controlplane/controller/core_test.go
+++ b/internal/controlplane/controller/core_test.go
@@ -27,7 +27,7 @@
 		addReports(c, &now, servers, 1)
 		next := points()
 		for i := range next {
-			if next[i].At < last[i].At {
+			if next[i].Position < last[i].Position {
 				adjustments++
 			}
 		}
--- a/internal/controlplane/controller/helpers_test.go
+++ b/internal/controlplane/controller/helpers_test.go
@@ -97,7 +97,7 @@
 		for _, p := range []string{"p1", "p2", "p3"} {
 			reports := map[string]loadreport.Report{}
 			for i := range servers {
-				u := 0.1 + 0.8*fleet.Unit(uint64(i)*1000+uint64(*now)) // none stays the busiest
+				u := 0.1 + 0.8*fleet.UnitInterval(uint64(i)*1000+uint64(*now)) // none stays the busiest
 				reports[fmt.Sprintf("127.0.0.1:%d", 1000+i)] = loadreport.Report{Utilization: u, QueueLength: u, HitRate: 0.8, Responses: 100}
 			}
 			c.AddLoadReports(*now, p, reports)
--- a/internal/controlplane/ringcache/cache_test.go
+++ b/internal/controlplane/ringcache/cache_test.go
@@ -29,7 +29,7 @@
 	for i := range servers {
 		slot := fleet.ServerID(i)
 		input.Servers = append(input.Servers, snapshot.Server{Slot: slot, ID: fmt.Sprint("s", i), Addr: "127.0.0.1:1", State: fleet.Ready})
-		input.Ring = append(input.Ring, fleet.RingPoint{ID: slot, At: (float64(i) + adjusted) / float64(servers), Capacity: 1})
+		input.Ring = append(input.Ring, fleet.RingPoint{ID: slot, Position: (float64(i) + adjusted) / float64(servers), CapacityShare: 1})
 	}
 	built, err := b.Build(snapshot.Version{Epoch: 5, Sequence: sequence}, sequence, input)
 	if err != nil {
--- a/internal/controlplane/snapshot/golden_test.go
+++ b/internal/controlplane/snapshot/golden_test.go
@@ -24,12 +24,12 @@
 			Slot: fleet.ServerID(i), ID: fmt.Sprintf("s%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i),
 			Zone: []string{"a", "b", ""}[i%3], State: fleet.Ready, StartedAtMs: float64(1_700_000_000_000 + i),
 		}
-		p := fleet.RingPoint{ID: s.Slot, At: (float64(i) - 0.25) / 66, Capacity: 1}
+		p := fleet.RingPoint{ID: s.Slot, Position: (float64(i) - 0.25) / 66, CapacityShare: 1}
 		switch i {
 		case 5:
 			s.State = fleet.Draining
 		case 7:
-			p.Capacity = 0.2
+			p.CapacityShare = 0.2
 		case 8:
 			s.Addr = "cache.example:1"
 		}
@@ -142,7 +142,7 @@
 		t.Fatalf("%d points, want %d", len(decoded), len(points))
 	}
 	for i, x := range decoded {
-		if x.Place != uint32(points[i].ID) || x.At != points[i].At || (x.Part > 0) != (points[i].ID == 7) {
+		if x.Place != uint32(points[i].ID) || x.At != points[i].Position || (x.Part > 0) != (points[i].ID == 7) {
 			t.Errorf("point %v, want %v", x, points[i])
 		}
 	}
--- a/internal/controlplane/snapshot/ring.go
+++ b/internal/controlplane/snapshot/ring.go
@@ -117,7 +117,7 @@
 	for start := 0; start < len(points); start += entriesPerPart {
 		part := &wire.Points{Circle: circle}
 		for i := start; i < min(start+entriesPerPart, len(points)); i++ {
-			part.Points = append(part.Points, &wire.Point{Place: uint32(points[i].ID), At: points[i].At, Part: limits[i]})
+			part.Points = append(part.Points, &wire.Point{Place: uint32(points[i].ID), At: points[i].Position, Part: limits[i]})
 		}
 		if err := r.add(PointsPart(circle), start/entriesPerPart, &wire.Part{Kind: &wire.Part_Points{Points: part}}); err != nil {
 			return err
@@ -139,16 +139,16 @@
 func slowStartLimits(points []fleet.RingPoint) []float64 {
 	sum, anyCold := 0.0, false
 	for _, p := range points {
-		sum += slowStartStep(p.Capacity)
-		anyCold = anyCold || p.Capacity < 1
+		sum += slowStartStep(p.CapacityShare)
+		anyCold = anyCold || p.CapacityShare < 1
 	}
 	limits := make([]float64, len(points))
 	if !anyCold || len(points) < 2 {
 		return limits
 	}
 	for i, p := range points {
-		if p.Capacity < 1 {
-			limits[i] = min(arcLength(points, i), slowStartStep(p.Capacity)/sum)
+		if p.CapacityShare < 1 {
+			limits[i] = min(arcLength(points, i), slowStartStep(p.CapacityShare)/sum)
 		}
 	}
 	return limits
@@ -156,11 +156,11 @@
 
 // ascendingPoints returns points in ascending order from 0 on. A first point that was adjusted back past 0 becomes the last one.
 func ascendingPoints(points []fleet.RingPoint) []fleet.RingPoint {
-	if len(points) == 0 || points[0].At >= 0 {
+	if len(points) == 0 || points[0].Position >= 0 {
 		return points
 	}
 	first := points[0]
-	first.At++
+	first.Position++
 	return append(slices.Clone(points[1:]), first)
 }
 
@@ -170,5 +170,5 @@
 		return 1
 	}
 	predecessor := points[(i+len(points)-1)%len(points)]
-	return fleet.ArcLength(predecessor.At, points[i].At)
+	return fleet.ArcLength(predecessor.Position, points[i].Position)
 }
--- a/internal/controlplane/snapshot/snapshot_test.go
+++ b/internal/controlplane/snapshot/snapshot_test.go
@@ -23,7 +23,7 @@
 			Zone:  input.Zones[i%2],
 			State: fleet.Ready,
 		})
-		p := fleet.RingPoint{ID: fleet.ServerID(i), At: (float64(i) + 0.5) / float64(servers), Capacity: 1}
+		p := fleet.RingPoint{ID: fleet.ServerID(i), Position: (float64(i) + 0.5) / float64(servers), CapacityShare: 1}
 		input.Ring = append(input.Ring, p)
 		if i%2 == 1 {
 			input.ZoneRing = append(input.ZoneRing, p)
@@ -60,7 +60,7 @@
 	var b, other Builder
 	input := testInput(200)
 	first := mustBuild(t, &b, 1, input)
-	input.Ring[70].At -= 0.001
+	input.Ring[70].Position -= 0.001
 	second := mustBuild(t, &b, 2, input)
 	changed := map[string]bool{}
 	for _, x := range second.Resources(RingPartType).Items {
@@ -100,7 +100,7 @@
 func TestEndpoints(t *testing.T) {
 	var b Builder
 	input := testInput(8)
-	input.Ring[2].At += 0.05 // its arc grows, and its successor's shrinks
+	input.Ring[2].Position += 0.05 // its arc grows, and its successor's shrinks
 	input.Servers[0].State = fleet.Draining
 	input.Servers[4].Addr = "cache.example:1"
 	input.Servers[6].State = fleet.Gone
@@ -128,7 +128,7 @@
 
 // TestSlowStart checks that a server in slow start gets a part of its arc that grows in steps, as a limit and as a weight.
 func TestSlowStart(t *testing.T) {
-	points := []fleet.RingPoint{{ID: 0, At: 0.25, Capacity: 1}, {ID: 1, At: 0.5, Capacity: 0.2}, {ID: 2, At: 0.75, Capacity: 1}, {ID: 3, At: 1 - 1e-9, Capacity: 1}}
+	points := []fleet.RingPoint{{ID: 0, Position: 0.25, CapacityShare: 1}, {ID: 1, Position: 0.5, CapacityShare: 0.2}, {ID: 2, Position: 0.75, CapacityShare: 1}, {ID: 3, Position: 1 - 1e-9, CapacityShare: 1}}
 	limits := slowStartLimits(points)
 	want := math.Floor(0.2*slowStartSteps) / slowStartSteps
 	if limits[0] != 0 || math.Abs(limits[1]-want/(3+want)) > 1e-9 {
@@ -137,7 +137,7 @@
 	if w := endpointWeights(points); w[1] >= w[0]/2 || w[1] == 0 {
 		t.Errorf("weights %v", w)
 	}
-	points[1].Capacity += 1e-4
+	points[1].CapacityShare += 1e-4
 	if again := slowStartLimits(points); again[1] != limits[1] {
 		t.Error("each moment has a snapshot of its own while a server warms up")
 	}
@@ -145,8 +145,8 @@
 
 // TestAscendingPoints checks that a point before 0 becomes the last one.
 func TestAscendingPoints(t *testing.T) {
-	got := ascendingPoints([]fleet.RingPoint{{ID: 3, At: -0.1}, {ID: 1, At: 0.2}, {ID: 2, At: 0.6}})
-	if len(got) != 3 || got[0].ID != 1 || got[2].ID != 3 || math.Abs(got[2].At-0.9) > 1e-9 {
+	got := ascendingPoints([]fleet.RingPoint{{ID: 3, Position: -0.1}, {ID: 1, Position: 0.2}, {ID: 2, Position: 0.6}})
+	if len(got) != 3 || got[0].ID != 1 || got[2].ID != 3 || math.Abs(got[2].Position-0.9) > 1e-9 {
 		t.Errorf("%v", got)
 	}
 }
--- a/internal/controlplane/stream/stream_test.go
+++ b/internal/controlplane/stream/stream_test.go
@@ -47,7 +47,7 @@
 			Zone:  "a",
 			State: fleet.Ready,
 		})
-		input.Ring = append(input.Ring, fleet.RingPoint{ID: fleet.ServerID(i), At: (float64(i) + adjusted) / float64(servers+1), Capacity: 1})
+		input.Ring = append(input.Ring, fleet.RingPoint{ID: fleet.ServerID(i), Position: (float64(i) + adjusted) / float64(servers+1), CapacityShare: 1})
 	}
 	built, err := m.builder.Build(snapshot.Version{Epoch: 5, Sequence: m.sequence}, 1, input)
 	if err != nil {
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -87,8 +87,8 @@
 		name      string
 		got, want float64
 	}{
-		{"Unit", Unit(1), 0.7044485202539007},
-		{"HomePoint", HomePoint("s-1"), 0.7868623057953976},
+		{"UnitInterval", UnitInterval(1), 0.7044485202539007},
+		{"InitialPoint", InitialPoint("s-1"), 0.7868623057953976},
 		{"Point", Key(7).Point(), 0.4532343027862311},
 		{"Sample", Key(7).Sample(), 0.8520852044655691},
 		{"Random", Random(3, 4), 0.8150851125281021},
--- a/internal/fleet/ring.go
+++ b/internal/fleet/ring.go
@@ -8,9 +8,9 @@
 
 // RingPoint is a server's point on a hash ring, which is [0,1) closed to a circle. Its arc ends there and begins behind the point before it.
 type RingPoint struct {
-	ID       ServerID
-	At       float64 // below 1; that of the first point may be below 0
-	Capacity float64 // share of its capacity that the server surely has; below 1 it may serve only a part of its arc
+	ID            ServerID
+	Position      float64 // below 1; that of the first point may be below 0
+	CapacityShare float64 // share of its capacity that the server surely has; below 1 it may serve only a part of its arc
 }
 
 // Mix spreads the bits of an FNV hash, whose high ones hardly differ for similar names.
@@ -22,21 +22,21 @@
 	return h ^ h>>33
 }
 
-// Unit maps a hash to [0,1).
-func Unit(h uint64) float64 { return float64(Mix(h)>>11) / (1 << 53) }
+// UnitInterval maps a hash to [0,1).
+func UnitInterval(h uint64) float64 { return float64(Mix(h)>>11) / (1 << 53) }
 
-// HomePoint is where a server's point is on the ring at first: the hash of its id.
-func HomePoint(name string) float64 {
+// InitialPoint is where a server's point is on the ring at first: the hash of its id.
+func InitialPoint(name string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // a hash takes every byte
-	return Unit(h.Sum64())
+	return UnitInterval(h.Sum64())
 }
 
 // Point is the point of a key on the ring.
-func (k Key) Point() float64 { return Unit(uint64(k)) }
+func (k Key) Point() float64 { return UnitInterval(uint64(k)) }
 
 // Sample is a number in [0,1) by which a share of all keys is chosen. It is independent of the key's point.
-func (k Key) Sample() float64 { return Unit(Mix(uint64(k)) + 1) }
+func (k Key) Sample() float64 { return UnitInterval(Mix(uint64(k)) + 1) }
 
 // ArcLength is the distance from a forward to b on the ring. Either may be outside [0,1).
 func ArcLength(a, b float64) float64 {
@@ -51,5 +51,5 @@
 	binary.LittleEndian.PutUint64(b[8:], counter)
 	h := fnv.New64a()
 	_, _ = h.Write(b[:]) // a hash takes every byte
-	return Unit(h.Sum64())
+	return UnitInterval(h.Sum64())
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -219,7 +219,7 @@
 func (n *Node) MaxRequestTimeout() float64 { return n.frontend.Config().LongestTimeout }
 
 // random draws from [0,1). The draws follow from the seed alone.
-func (n *Node) random() float64 { return fleet.Unit(n.seed + n.randomDraws.Add(1)) }
+func (n *Node) random() float64 { return fleet.UnitInterval(n.seed + n.randomDraws.Add(1)) }
 
 func (n *Node) logPanic(p any) {
 	n.log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("recovered from a panic")
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -65,7 +65,9 @@
 			p.caches = append(p.caches, endpoint)
 		}
 	}
-	slices.SortFunc(p.caches, func(a, b fleet.Endpoint) int { return cmp.Compare(fleet.HomePoint(a.Name), fleet.HomePoint(b.Name)) })
+	slices.SortFunc(p.caches, func(a, b fleet.Endpoint) int {
+		return cmp.Compare(fleet.InitialPoint(a.Name), fleet.InitialPoint(b.Name))
+	})
 }
 
 // hasOrigin reports whether there is an origin beside the caches.
@@ -111,7 +113,7 @@
 		return p.caches[int(p.uniform()*float64(len(p.caches)))].ID
 	}
 	owner, _ := slices.BinarySearchFunc(p.caches, q.Key.Point(), func(endpoint fleet.Endpoint, point float64) int {
-		return cmp.Compare(fleet.HomePoint(endpoint.Name), point)
+		return cmp.Compare(fleet.InitialPoint(endpoint.Name), point)
 	})
 	return p.caches[(owner+q.NumAttempts)%len(p.caches)].ID
 }
@@ -124,5 +126,5 @@
 	binary.LittleEndian.PutUint64(b[8:], p.drawCount)
 	h := fnv.New64a()
 	_, _ = h.Write(b[:]) // a hash never fails
-	return fleet.Unit(h.Sum64())
+	return fleet.UnitInterval(h.Sum64())
 }
--- a/internal/testbed/simulator/node.go
+++ b/internal/testbed/simulator/node.go
@@ -52,8 +52,8 @@
 	deployment.Limits.Subscribe = true // over HTTP nothing comes unasked
 	n := &simNode{
 		sim: s, index: index, deployment: deployment, operatorFile: file,
-		clockSkewMs: s.experiment.Nodes.ClockSkew.Milliseconds() * (2*fleet.Unit(seed) - 1),
-		clockDrift:  s.experiment.Nodes.ClockDrift * (2*fleet.Unit(fleet.Mix(seed+1)) - 1),
+		clockSkewMs: s.experiment.Nodes.ClockSkew.Milliseconds() * (2*fleet.UnitInterval(seed) - 1),
+		clockDrift:  s.experiment.Nodes.ClockDrift * (2*fleet.UnitInterval(fleet.Mix(seed+1)) - 1),
 	}
 	n.names = clients.NewConfig(deployment, func(name string) (fleet.ClassID, bool) {
 		place := slices.Index(deployment.RequestClasses, name)
--- a/internal/testbed/simulator/process.go
+++ b/internal/testbed/simulator/process.go
@@ -112,7 +112,7 @@
 // uniform draws from [0,1).
 func (p *process) uniform() float64 {
 	p.drawCount++
-	return fleet.Unit(p.node.deployment.Limits.Seed + p.drawCount)
+	return fleet.UnitInterval(p.node.deployment.Limits.Seed + p.drawCount)
 }
 
 // runDueWork has the policy do everything that is due, and schedules the next call.
--- a/internal/testbed/simulator/ringowners.go
+++ b/internal/testbed/simulator/ringowners.go
@@ -52,7 +52,7 @@
 func (p *process) ownerOf(points []fleet.RingPoint, position float64) (name string) {
 	nearest := 2.0 // more than the whole ring
 	for _, point := range points {
-		if distance := fleet.ArcLength(position, point.At); distance < nearest {
+		if distance := fleet.ArcLength(position, point.Position); distance < nearest {
 			name, nearest = p.links[point.ID].server.Name, distance
 		}
 	}
