--- a/cmd/mintspring/snapshot.go
+++ b/cmd/mintspring/snapshot.go
@@ -34,15 +34,15 @@
 	p := cli.NewPrinter(out)
 	takenAt := time.UnixMilli(int64(s.TakenAt))
 	p.Printf("node %s of zone %s, %s, %v ago; %d servers, %d popular keys, window at the origin %.1f\n", s.Node, s.Zone,
-		takenAt.UTC().Format(time.RFC3339), now.Sub(takenAt).Round(time.Second), len(s.Servers), len(s.Global.Keys), s.Global.Window)
+		takenAt.UTC().Format(time.RFC3339), now.Sub(takenAt).Round(time.Second), len(s.Servers), len(s.Global.Keys), s.Global.OriginWindow)
 	p.Printf("%-32s %-20s %6s %9s %9s %8s %6s %6s\n", "server", "started at", "moved", "pace ms", "reply ms", "failures", "hits", "queue")
 	for i := range s.Servers {
 		v := &s.Servers[i]
 		startedAt := "long ago"
-		if v.Started > 0 {
-			startedAt = time.UnixMilli(int64(v.Started)).UTC().Format(time.RFC3339)
+		if v.StartedAt > 0 {
+			startedAt = time.UnixMilli(int64(v.StartedAt)).UTC().Format(time.RFC3339)
 		}
-		p.Printf("%-32s %-20s %6.3f %9.1f %9.1f %8.2f %6.2f %6.1f\n", v.Name, startedAt, v.ArcShed, v.PerQueued, v.RT, v.Failures, v.HitRatio, v.QueuePeak)
+		p.Printf("%-32s %-20s %6.3f %9.1f %9.1f %8.2f %6.2f %6.1f\n", v.Name, startedAt, v.ShedArcShare, v.TimePerQueued, v.ResponseTime, v.Failures, v.HitRatio, v.QueuePeak)
 	}
 	return p.Err()
 }
@@ -69,7 +69,7 @@
 	}
 	var servers []snapshot.CurrentServer
 	for i := range s.Servers {
-		servers = append(servers, snapshot.CurrentServer{Name: s.Servers[i].Name, StartedAt: s.Servers[i].Started, Ready: true})
+		servers = append(servers, snapshot.CurrentServer{Name: s.Servers[i].Name, StartedAt: s.Servers[i].StartedAt, Ready: true})
 	}
 	trust := s.Assess(float64(now.UnixMilli()), config, servers)
 	reasons := ""
--- a/cmd/mintspring/snapshot_test.go
+++ b/cmd/mintspring/snapshot_test.go
@@ -16,7 +16,7 @@
 func TestSnapshotCommands(t *testing.T) {
 	now := time.UnixMilli(1_700_000_600_000)
 	file := filepath.Join(t.TempDir(), "learnt")
-	s := &snapshot.State{TakenAt: 1_700_000_000_000, Node: "n3", Zone: "a", Servers: []snapshot.Server{{Name: "s-1", ServerSnapshot: fleet.ServerSnapshot{PerQueued: 12.5}}}}
+	s := &snapshot.State{TakenAt: 1_700_000_000_000, Node: "n3", Zone: "a", Servers: []snapshot.Server{{Name: "s-1", ServerSnapshot: fleet.ServerSnapshot{TimePerQueued: 12.5}}}}
 	writeFile(t, file, string(snapshot.Append(nil, s)))
 	var out strings.Builder
 	if err := printSnapshot(file, now, &out); err != nil || !strings.Contains(out.String(), "node n3 of zone a, 2023-11-14T22:13:20Z, 10m0s ago; 1 servers") ||
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -105,12 +105,12 @@
 	}
 	var snapshot fleet.Snapshot
 	before.Export(now, &snapshot)
-	fmt.Printf("%s answers in %.0f ms\n", serverNames[1], snapshot.Servers[1].RT)
+	fmt.Printf("%s answers in %.0f ms\n", serverNames[1], snapshot.Servers[1].ResponseTime)
 
 	after, _ := newNode(now)
 	after.Restore(now, &snapshot)
 	after.Export(now, &snapshot)
-	fmt.Printf("the new node expects %.0f ms\n", snapshot.Servers[1].RT)
+	fmt.Printf("the new node expects %.0f ms\n", snapshot.Servers[1].ResponseTime)
 	// Output:
 	// cache-b answers in 8 ms
 	// the new node expects 8 ms
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -15,27 +15,27 @@
 func (n *Node) Export(now float64, snap *fleet.Snapshot) {
 	*snap = fleet.Snapshot{
 		Trust: 1, Servers: snap.Servers[:0], Keys: snap.Keys[:0], KeySum: n.keyCounts.Sum(), Util: n.meanUtil,
-		Window: n.originLimit.window, OriginRT: n.originLimit.latency,
-		ZoneShare: n.zoneShare, ColdLoad: n.slowStart.Rate,
+		OriginWindow: n.originLimit.window, OriginResponseTime: n.originLimit.latency,
+		ZoneShare: n.zoneShare, CacheLoad: n.slowStart.Rate,
 	}
 	for _, s := range n.servers {
 		if s == nil || s.state != fleet.Ready {
 			continue
 		}
 		v := fleet.ServerSnapshot{
-			ID: s.id, Trust: 1, Started: s.started, ArcShed: s.shed, Step: s.step, PerQueued: s.perQueued,
-			Ahead: s.latencyAhead, Failures: s.failures, Backoff: s.backoff,
-			HitRatio: s.hitRatio, QueuePeak: s.queuePeak, At: s.latencyAt,
+			ID: s.id, Trust: 1, StartedAt: s.started, ShedArcShare: s.shed, AdjustmentStep: s.step, TimePerQueued: s.perQueued,
+			RequestsAhead: s.latencyAhead, Failures: s.failures, Backoff: s.backoff,
+			HitRatio: s.hitRatio, QueuePeak: s.queuePeak, LastResponseAt: s.latencyAt,
 		}
 		// What has decayed is exported as decayed: it must not come back through a restart.
 		w := max(0, 1-(now-s.latencyAt)/(evidencePeriods*n.limits.period))
 		usual := s.perQueued * (1 + s.latencyAhead)
-		v.RT = usual + w*max(0, s.latency-usual)
+		v.ResponseTime = usual + w*max(0, s.latency-usual)
 		snap.Servers = append(snap.Servers, v)
 	}
 	for i := range uint64(hotkeys.Buckets) {
 		if count := n.keyCounts.Count(i); count >= minKeyCount {
-			snap.Keys = append(snap.Keys, fleet.KeyCount{Slot: int32(i), Count: count})
+			snap.Keys = append(snap.Keys, fleet.KeyCount{Bucket: int32(i), Count: count})
 		}
 	}
 }
@@ -51,35 +51,35 @@
 			continue
 		}
 		s := n.servers[v.ID]
-		if s == nil || s.state != fleet.Ready || s.started != v.Started || s.warmth(n) < 1 {
+		if s == nil || s.state != fleet.Ready || s.started != v.StartedAt || s.warmth(n) < 1 {
 			continue // another process, or a cold one, of which a snapshot says nothing
 		}
 		t := v.Trust
 		if s.latencyAt > 0 { // this node has evidence too: of the two the younger counts for more
-			t *= (now - s.latencyAt) / max(1, now-s.latencyAt+max(0, now-v.At))
+			t *= (now - s.latencyAt) / max(1, now-s.latencyAt+max(0, now-v.LastResponseAt))
 		}
-		blend(&s.shed, min(v.ArcShed, 0.75), t)
-		blend(&s.step, min(max(v.Step, 0.02), firstStep), t)
-		blend(&s.perQueued, min(v.PerQueued, s.perQueued), t) // a slow one's falls fast, and rises late
-		blend(&s.latency, min(v.RT, 4*n.limits.minObjective), t)
+		blend(&s.shed, min(v.ShedArcShare, 0.75), t)
+		blend(&s.step, min(max(v.AdjustmentStep, 0.02), firstStep), t)
+		blend(&s.perQueued, min(v.TimePerQueued, s.perQueued), t) // a slow one's falls fast, and rises late
+		blend(&s.latency, min(v.ResponseTime, 4*n.limits.minObjective), t)
 		blend(&s.hitRatio, min(v.HitRatio, 1), t)
 		blend(&s.queuePeak, max(v.QueuePeak, 1), t)
 		blend(&s.failures, min(v.Failures, 0.9*outlierLimit), t)
-		blend(&s.latencyAhead, v.Ahead, t)
+		blend(&s.latencyAhead, v.RequestsAhead, t)
 		s.latencyAt = max(s.latencyAt, now-(1-restoredShare*min(v.Trust, 1))*evidencePeriods*n.limits.period)
 	}
 	if t := min(max(snap.Trust, 0), 1); t > 0 {
 		for _, k := range snap.Keys {
-			if k.Slot >= 0 && k.Slot < hotkeys.Buckets {
-				n.keyCounts.AddAt(uint64(k.Slot), float32(t*min(k.Count, 1e6)))
+			if k.Bucket >= 0 && k.Bucket < hotkeys.Buckets {
+				n.keyCounts.AddToBucket(uint64(k.Bucket), float32(t*min(k.Count, 1e6)))
 			}
 		}
 		l := &n.originLimit
-		blend(&l.latency, min(max(snap.OriginRT, 1), n.limits.minObjective), t)
+		blend(&l.latency, min(max(snap.OriginResponseTime, 1), n.limits.minObjective), t)
 		blend(&n.meanUtil, min(snap.Util, 1), t)
 		blend(&n.zoneShare, min(snap.ZoneShare, 1), t)
-		blend(&n.slowStart.Rate, max(snap.ColdLoad, 0), t)
-		l.window = min(l.window, math.Max(n.limits.minWindow, l.window+t*(snap.Window-l.window)))
+		blend(&n.slowStart.Rate, max(snap.CacheLoad, 0), t)
+		l.window = min(l.window, math.Max(n.limits.minWindow, l.window+t*(snap.OriginWindow-l.window)))
 	}
 	n.applyShed()
 }
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -64,7 +64,7 @@
 		t.Errorf("%d of 10000 keys have the owner of before", k)
 	}
 	if s, was := restored.servers[3], before.servers[3]; s.perQueued > was.perQueued+1e-9 ||
-		s.latency != snap.Servers[3].RT || restored.originLimit.window > blank.originLimit.window {
+		s.latency != snap.Servers[3].ResponseTime || restored.originLimit.window > blank.originLimit.window {
 		t.Errorf("time per queued request %v of %v, window %v", s.perQueued, was.perQueued, restored.originLimit.window)
 	}
 	for i := range snap.Servers {
@@ -83,7 +83,7 @@
 	n := New(1000, testLimits(), &slab)
 	n.UpdateEndpoints(1000, fleet.ListFull, endpointList(1))
 	n.Restore(1000, &fleet.Snapshot{Trust: 1, Servers: []fleet.ServerSnapshot{
-		{ID: 0, Trust: 1, Failures: 1, Backoff: 1e6, PerQueued: 1e9, RT: 1e9, QueuePeak: 1},
+		{ID: 0, Trust: 1, Failures: 1, Backoff: 1e6, TimePerQueued: 1e9, ResponseTime: 1e9, QueuePeak: 1},
 	}})
 	if d := n.Route(1000, newRead(&slab, 1000, 5)); d.Action != fleet.Send {
 		t.Errorf("the first request is answered with %v", d.Action)
@@ -131,14 +131,14 @@
 	upTo := func(limit float64, name string) float64 { return rapid.Float64Range(0, limit).Draw(t, name) }
 	trust := rapid.Float64Range(-1, 3).Draw(t, "trust")
 	snap := fleet.Snapshot{
-		Trust: trust, Window: upTo(100, "window"), OriginRT: upTo(1e4, "origin latency"),
+		Trust: trust, OriginWindow: upTo(100, "window"), OriginResponseTime: upTo(1e4, "origin latency"),
 		Util: upTo(2, "utilization"), ZoneShare: upTo(2, "zone share"),
 	}
 	for i := range list {
 		snap.Servers = append(snap.Servers, fleet.ServerSnapshot{
-			ID: fleet.ServerID(i), Trust: trust, Started: list[i].StartedAt, ArcShed: upTo(2, "shed"),
-			Step: upTo(2, "step"), PerQueued: upTo(1e6, "time per queued request"), RT: upTo(1e6, "latency"),
-			Ahead: upTo(100, "ahead"), Failures: upTo(1, "failures"), Backoff: upTo(1e6, "backoff"),
+			ID: fleet.ServerID(i), Trust: trust, StartedAt: list[i].StartedAt, ShedArcShare: upTo(2, "shed"),
+			AdjustmentStep: upTo(2, "step"), TimePerQueued: upTo(1e6, "time per queued request"), ResponseTime: upTo(1e6, "latency"),
+			RequestsAhead: upTo(100, "ahead"), Failures: upTo(1, "failures"), Backoff: upTo(1e6, "backoff"),
 			HitRatio: upTo(2, "hit ratio"), QueuePeak: upTo(100, "queue peak"),
 		})
 	}
@@ -202,7 +202,7 @@
 		s := n.servers[1]
 		s.latency, s.latencyAhead, s.latencyAt, s.hitRatio = 100, 2, now-ownAge, 0.2
 		n.Restore(now, &fleet.Snapshot{Servers: []fleet.ServerSnapshot{
-			{ID: 1, Trust: 1, PerQueued: s.perQueued, RT: 20, Ahead: 1, HitRatio: 0.8, QueuePeak: 1, At: now - restoredAge},
+			{ID: 1, Trust: 1, TimePerQueued: s.perQueued, ResponseTime: 20, RequestsAhead: 1, HitRatio: 0.8, QueuePeak: 1, LastResponseAt: now - restoredAge},
 		}})
 		weight := ownAge / (ownAge + restoredAge)
 		for what, c := range map[string]struct{ got, want float64 }{
@@ -231,8 +231,8 @@
 	var snap fleet.Snapshot
 	n.Export(3000, &snap)
 	for _, v := range snap.Servers {
-		if want := map[bool]float64{true: 2030}[v.ID == d.Server]; v.At != want {
-			t.Errorf("server %d last responded at %v, want %v", v.ID, v.At, want)
+		if want := map[bool]float64{true: 2030}[v.ID == d.Server]; v.LastResponseAt != want {
+			t.Errorf("server %d last responded at %v, want %v", v.ID, v.LastResponseAt, want)
 		}
 	}
 }
@@ -243,7 +243,7 @@
 	n := New(1000, testLimits(), &slab)
 	n.UpdateEndpoints(1000, fleet.ListFull, endpointList(1000))
 	for i := range uint64(hotkeys.Buckets) {
-		n.keyCounts.AddAt(i, 5)
+		n.keyCounts.AddToBucket(i, 5)
 	}
 	var snap fleet.Snapshot
 	b.ReportAllocs()
--- a/internal/hotkeys/hotkeys.go
+++ b/internal/hotkeys/hotkeys.go
@@ -29,10 +29,10 @@
 }
 
 // Add counts one request for a key.
-func (c *Counts) Add(key uint64) { c.AddAt(key%Buckets, 1) }
+func (c *Counts) Add(key uint64) { c.AddToBucket(key%Buckets, 1) }
 
-// AddAt adds a count to a bucket.
-func (c *Counts) AddAt(bucket uint64, count float32) {
+// AddToBucket adds a count to a bucket.
+func (c *Counts) AddToBucket(bucket uint64, count float32) {
 	scaled := count * c.currentUnit()
 	c.buckets[bucket] += scaled
 	c.sum += scaled
--- a/internal/node/serverclock_test.go
+++ b/internal/node/serverclock_test.go
@@ -27,8 +27,8 @@
 		tc.node.inflight.Policy.(snapshotPolicy).Export(now, &exported)
 		slot, known := tc.node.serverTable.IDs[id]
 		for _, s := range exported.Servers {
-			if known && s.ID == slot && s.Started > 0 {
-				started = s.Started
+			if known && s.ID == slot && s.StartedAt > 0 {
+				started = s.StartedAt
 			}
 		}
 	})
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -76,7 +76,7 @@
 		t.Fatalf("%d of %d servers", len(known.Servers), len(written.Servers))
 	}
 	for i, v := range known.Servers {
-		if was := written.Servers[i]; v.Name != was.Name || v.PerQueued > 1.02*was.PerQueued || math.Abs(v.ArcShed-was.ArcShed) > 0.02 {
+		if was := written.Servers[i]; v.Name != was.Name || v.TimePerQueued > 1.02*was.TimePerQueued || math.Abs(v.ShedArcShare-was.ShedArcShare) > 0.02 {
 			t.Errorf("server %d: %+v, was %+v", i, v, was)
 		}
 	}
@@ -174,7 +174,7 @@
 		return &snapshot.State{
 			TakenAt: at, PolicyFingerprint: k.snapshots.trust.PolicyFingerprint, Node: "n0", Zone: k.snapshots.trust.Zone,
 			Servers: []snapshot.Server{{Name: "s0"}, {Name: "s1"}, {Name: "s2"}, {Name: "o"}},
-			Global:  fleet.Snapshot{KeySum: 50, Keys: []fleet.KeyCount{{Slot: 1, Count: 50}}, Window: 4, OriginRT: 20},
+			Global:  fleet.Snapshot{KeySum: 50, Keys: []fleet.KeyCount{{Bucket: 1, Count: 50}}, OriginWindow: 4, OriginResponseTime: 20},
 		}
 	}
 	for _, c := range []struct{ at, want float64 }{{now - 100, 50}, {now - 200, 50}, {now - 50, 50}} {
@@ -198,7 +198,7 @@
 	took := func() (ms float64) {
 		for _, s := range k.currentSnapshot(t).Servers {
 			if s.Name == "s0" {
-				ms = s.RT
+				ms = s.ResponseTime
 			}
 		}
 		return ms
@@ -207,7 +207,7 @@
 	now := k.clock.Now()
 	k.inbox.post(snapshotFound{k.snapshots, &snapshot.State{
 		TakenAt: now, PolicyFingerprint: k.snapshots.trust.PolicyFingerprint, Node: "n0", Zone: k.snapshots.trust.Zone,
-		Servers: []snapshot.Server{{Name: "s0", ServerSnapshot: fleet.ServerSnapshot{RT: 700, PerQueued: 700, QueuePeak: 1, At: now}}, {Name: "s1"}, {Name: "s2"}, {Name: "o"}},
+		Servers: []snapshot.Server{{Name: "s0", ServerSnapshot: fleet.ServerSnapshot{ResponseTime: 700, TimePerQueued: 700, QueuePeak: 1, LastResponseAt: now}}, {Name: "s1"}, {Name: "s2"}, {Name: "o"}},
 	}})
 	if with := took(); own == 0 || with < own+100 {
 		t.Errorf("the response time of s0 is %.1f ms, and %.1f after a younger snapshot with 700", own, with)
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -28,7 +28,7 @@
 	if policy, ok := n.inflight.Policy.(snapshotPolicy); ok {
 		var raw fleet.Snapshot
 		state.Snapshot = snapshot.Append(nil, n.takeSnapshot(now, policy, n.transferTrust(), &raw))
-		state.ColdWorkRate = raw.ColdLoad
+		state.ColdWorkRate = raw.CacheLoad
 	}
 	return state
 }
@@ -72,7 +72,7 @@
 		n.log.WithError(err).Warn("cannot parse the predecessor's snapshot; starting without it")
 		return
 	}
-	s.Global.ColdLoad = state.ColdWorkRate
+	s.Global.CacheLoad = state.ColdWorkRate
 	n.restoreSnapshot(now, policy, s, n.transferTrust())
 }
 
--- a/internal/state/snapshot/codec.go
+++ b/internal/state/snapshot/codec.go
@@ -67,7 +67,7 @@
 	keys := s.Global.Keys[:min(len(s.Global.Keys), maxKeys)]
 	w.u32(uint32(len(keys)))
 	for _, key := range keys {
-		w.u32(uint32(key.Slot))
+		w.u32(uint32(key.Bucket))
 		w.f64(key.Count)
 	}
 	b = w.buf
@@ -106,7 +106,7 @@
 		*figure = r.f64()
 	}
 	for range r.count(maxKeys) {
-		key := fleet.KeyCount{Slot: int32(r.u32()), Count: r.f64()}
+		key := fleet.KeyCount{Bucket: int32(r.u32()), Count: r.f64()}
 		if s.Global.Keys = append(s.Global.Keys, key); r.failed {
 			break
 		}
@@ -158,13 +158,13 @@
 // serverFields are the figures of a server in the order of the binary form.
 func serverFields(s *fleet.ServerSnapshot) []*float64 {
 	return []*float64{
-		&s.Started, &s.ArcShed, &s.Step, &s.PerQueued, &s.RT, &s.Ahead, &s.Failures, &s.Backoff, &s.HitRatio, &s.QueuePeak, &s.At,
+		&s.StartedAt, &s.ShedArcShare, &s.AdjustmentStep, &s.TimePerQueued, &s.ResponseTime, &s.RequestsAhead, &s.Failures, &s.Backoff, &s.HitRatio, &s.QueuePeak, &s.LastResponseAt,
 	}
 }
 
 // globalFields are the figures that belong to no single server, in the order of the binary form.
 func globalFields(l *fleet.Snapshot) []*float64 {
-	return []*float64{&l.Window, &l.OriginRT, &l.Util, &l.ZoneShare, &l.KeySum}
+	return []*float64{&l.OriginWindow, &l.OriginResponseTime, &l.Util, &l.ZoneShare, &l.KeySum}
 }
 
 // writer appends little-endian values.
--- a/internal/state/snapshot/example_test.go
+++ b/internal/state/snapshot/example_test.go
@@ -19,8 +19,8 @@
 	names := []string{"cache-a", "cache-b"}
 	const takenAt = 1_700_000_000_000.0
 	learned := fleet.Snapshot{
-		Window: 12, OriginRT: 40,
-		Servers: []fleet.ServerSnapshot{{ID: 0, Started: 1000, RT: 9}, {ID: 1, Started: 2000, RT: 14}},
+		OriginWindow: 12, OriginResponseTime: 40,
+		Servers: []fleet.ServerSnapshot{{ID: 0, StartedAt: 1000, ResponseTime: 9}, {ID: 1, StartedAt: 2000, ResponseTime: 14}},
 	}
 	taken := snapshot.New(takenAt, config, &learned, func(id fleet.ServerID) string { return names[id] })
 	stored := snapshot.Append(nil, taken)
@@ -37,9 +37,9 @@
 	ids := map[string]fleet.ServerID{"cache-a": 4, "cache-b": 5} // slots of the new process
 	restored, trust := read.Restore(takenAt+hour/2, config, current, ids)
 	for _, s := range restored.Servers {
-		fmt.Printf("server %d: latency %.0f ms, trust %.2f\n", s.ID, s.RT, s.Trust)
+		fmt.Printf("server %d: latency %.0f ms, trust %.2f\n", s.ID, s.ResponseTime, s.Trust)
 	}
-	fmt.Printf("origin: window %.0f, trust %.2f\n", restored.Window, trust.Global)
+	fmt.Printf("origin: window %.0f, trust %.2f\n", restored.OriginWindow, trust.Global)
 	fmt.Println(trust.Reasons)
 	// Output:
 	// server 4: latency 9 ms, trust 0.35
--- a/internal/state/snapshot/golden_test.go
+++ b/internal/state/snapshot/golden_test.go
@@ -18,17 +18,17 @@
 			TakenAt: 1764650000123.5, PolicyFingerprint: 0x8c1f30d27a5be964, Node: "node-3", Zone: "zone-b",
 			Servers: []Server{
 				{Name: "box-0", ServerSnapshot: fleet.ServerSnapshot{
-					Started: 1764640000000, ArcShed: 0.125, Step: 0.0625, PerQueued: 12.5, RT: 31.75,
-					Ahead: 1.5, Failures: 0.25, Backoff: 500, HitRatio: 0.875, QueuePeak: 4.5, At: 1764649999000,
+					StartedAt: 1764640000000, ShedArcShare: 0.125, AdjustmentStep: 0.0625, TimePerQueued: 12.5, ResponseTime: 31.75,
+					RequestsAhead: 1.5, Failures: 0.25, Backoff: 500, HitRatio: 0.875, QueuePeak: 4.5, LastResponseAt: 1764649999000,
 				}},
 				{Name: "box-1", ServerSnapshot: fleet.ServerSnapshot{
-					Started: 2, ArcShed: 3, Step: 4, PerQueued: 5, RT: 6, Ahead: 7, Failures: 8, Backoff: 9,
-					HitRatio: 10, QueuePeak: 11, At: 12,
+					StartedAt: 2, ShedArcShare: 3, AdjustmentStep: 4, TimePerQueued: 5, ResponseTime: 6, RequestsAhead: 7, Failures: 8, Backoff: 9,
+					HitRatio: 10, QueuePeak: 11, LastResponseAt: 12,
 				}},
 			},
 			Global: fleet.Snapshot{
-				Window: 3.5, OriginRT: 20.25, Util: 0.375, ZoneShare: 0.9375, KeySum: 40.5,
-				Keys: []fleet.KeyCount{{Slot: 3, Count: 12.5}, {Slot: 2047, Count: math.Pi}},
+				OriginWindow: 3.5, OriginResponseTime: 20.25, Util: 0.375, ZoneShare: 0.9375, KeySum: 40.5,
+				Keys: []fleet.KeyCount{{Bucket: 3, Count: 12.5}, {Bucket: 2047, Count: math.Pi}},
 			},
 		},
 	} {
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -16,14 +16,14 @@
 	s := &State{
 		TakenAt: 1000, PolicyFingerprint: 7, Node: "n1", Zone: "a",
 		Global: fleet.Snapshot{
-			Trust: 0, KeySum: 40, Window: 3, OriginRT: 20, Util: 0.4, ZoneShare: 0.9,
-			Keys: []fleet.KeyCount{{Slot: 3, Count: 12.5}, {Slot: 2047, Count: 2}},
+			Trust: 0, KeySum: 40, OriginWindow: 3, OriginResponseTime: 20, Util: 0.4, ZoneShare: 0.9,
+			Keys: []fleet.KeyCount{{Bucket: 3, Count: 12.5}, {Bucket: 2047, Count: 2}},
 		},
 	}
 	for i := range servers {
 		s.Servers = append(s.Servers, Server{fmt.Sprint("s", i), fleet.ServerSnapshot{
-			Started: float64(i), ArcShed: 0.1, Step: 0.2,
-			PerQueued: 12, RT: 30, Ahead: 1, Failures: 0.2, Backoff: 500, HitRatio: 0.8, QueuePeak: 4, At: 990,
+			StartedAt: float64(i), ShedArcShare: 0.1, AdjustmentStep: 0.2,
+			TimePerQueued: 12, ResponseTime: 30, RequestsAhead: 1, Failures: 0.2, Backoff: 500, HitRatio: 0.8, QueuePeak: 4, LastResponseAt: 990,
 		}})
 	}
 	return s
@@ -60,7 +60,7 @@
 		t.Errorf("another version: %v", err)
 	}
 	bad := testState(1)
-	bad.Servers[0].PerQueued = math.NaN()
+	bad.Servers[0].TimePerQueued = math.NaN()
 	if _, err := Parse(Append(nil, bad)); !errors.Is(err, ErrCorrupt) {
 		t.Errorf("NaN as a figure: %v", err)
 	}
--- a/internal/state/snapshot/trust.go
+++ b/internal/state/snapshot/trust.go
@@ -99,7 +99,7 @@
 func (s *State) unchangedServers(servers []CurrentServer) (unchanged []string, ready int) {
 	startedAt := make(map[string]float64, len(s.Servers))
 	for i := range s.Servers {
-		startedAt[s.Servers[i].Name] = s.Servers[i].Started
+		startedAt[s.Servers[i].Name] = s.Servers[i].StartedAt
 	}
 	for _, server := range servers {
 		if !server.Ready {
--- a/internal/state/snapshotfile/golden_test.go
+++ b/internal/state/snapshotfile/golden_test.go
@@ -45,7 +45,7 @@
 			t.Errorf("%s: written as %x, want %x, %v", e.Name(), b, a, err)
 		}
 	}
-	if s, err := Load(golden); err != nil || s.TakenAt != 3 || len(s.Servers) != 1 || s.Servers[0].Name != "s" || s.Servers[0].PerQueued != 3 {
+	if s, err := Load(golden); err != nil || s.TakenAt != 3 || len(s.Servers) != 1 || s.Servers[0].Name != "s" || s.Servers[0].TimePerQueued != 3 {
 		t.Errorf("the directory is loaded as %+v, %v", s, err)
 	}
 	if s, err := ReadFile(filepath.Join(golden, "learnt.before")); err != nil || s.TakenAt != 2 {
--- a/internal/state/snapshotfile/store_test.go
+++ b/internal/state/snapshotfile/store_test.go
@@ -16,7 +16,7 @@
 )
 
 func encodedState(at float64) []byte {
-	return snapshot.Append(nil, &snapshot.State{TakenAt: at, Node: "n", Servers: []snapshot.Server{{Name: "s", ServerSnapshot: fleet.ServerSnapshot{PerQueued: 3}}}})
+	return snapshot.Append(nil, &snapshot.State{TakenAt: at, Node: "n", Servers: []snapshot.Server{{Name: "s", ServerSnapshot: fleet.ServerSnapshot{TimePerQueued: 3}}}})
 }
 
 // syncedStore is a store whose current file is known to be on the disk.
@@ -57,7 +57,7 @@
 			t.Fatal(err)
 		}
 		_ = c.Wait() // the error says that it was killed
-		if s, err := Load(dir); err != nil || s == nil || s.Servers[0].PerQueued != 3 {
+		if s, err := Load(dir); err != nil || s == nil || s.Servers[0].TimePerQueued != 3 {
 			t.Fatalf("after a kill the snapshot is %+v, %v", s, err)
 		}
 	}
@@ -162,7 +162,7 @@
 func BenchmarkSave(b *testing.B) {
 	s := &snapshot.State{TakenAt: 1}
 	for i := range 1000 {
-		s.Servers = append(s.Servers, snapshot.Server{Name: fmt.Sprintf("s-%08x", i), ServerSnapshot: fleet.ServerSnapshot{PerQueued: 3, QueuePeak: 1}})
+		s.Servers = append(s.Servers, snapshot.Server{Name: fmt.Sprintf("s-%08x", i), ServerSnapshot: fleet.ServerSnapshot{TimePerQueued: 3, QueuePeak: 1}})
 	}
 	d := dirFileSystem(b.TempDir())
 	for b.Loop() {
