--- a/cmd/mintspring/run.go
+++ b/cmd/mintspring/run.go
@@ -48,7 +48,7 @@
 	nodeConfig := config.NodeConfig()
 	nodeConfig.Operator = operator
 	if handover != nil && handover.State.Clock > 0 {
-		nodeConfig.Clock = clock.At(handover.State.ClockNow())
+		nodeConfig.Clock = clock.StartAt(handover.State.ClockNow())
 	}
 	n := node.New(nodeConfig, log)
 	n.StartHandover(dir, handover)
--- a/decide/list.go
+++ b/decide/list.go
@@ -69,7 +69,7 @@
 	if s == nil || m.State == fleet.Ready && (s.state != fleet.Ready || m.StartedAt != s.started) {
 		restarted := &server{
 			id: m.ID, report: fleet.NewLoadReport(), step: firstStep, backoff: n.limits.period,
-			homePoint: fleet.InitialPoint(m.Name), size: 1, bucket: slowstart.Bucket{Tokens: n.random(), At: n.now},
+			homePoint: fleet.InitialPoint(m.Name), size: 1, bucket: slowstart.Bucket{Tokens: n.random(), UpdatedAt: n.now},
 			perQueued: n.limits.minObjective / 8, latency: n.limits.minObjective / 8,
 		}
 		if s != nil {
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -20,8 +20,8 @@
 	return &Clock{start: now, startMs: float64(now.UnixMicro()) / 1000} //nolint:forbidigo // read once; from here on the monotonic clock counts
 }
 
-// At starts a clock at a time in Unix milliseconds: the clock of another process goes on.
-func At(ms float64) *Clock { return &Clock{start: time.Now(), startMs: ms} }
+// StartAt starts a clock at a time in Unix milliseconds: the clock of another process goes on.
+func StartAt(ms float64) *Clock { return &Clock{start: time.Now(), startMs: ms} }
 
 // Now is the time in Unix milliseconds.
 func (c *Clock) Now() float64 {
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -32,9 +32,9 @@
 
 // Bucket is the token bucket of one server in slow start. A token is the work of a mean request.
 type Bucket struct {
-	Tokens float64
-	At     float64 // time at which Tokens was computed
-	Leases Leases
+	Tokens    float64
+	UpdatedAt float64 // time at which Tokens was computed
+	Leases    Leases
 
 	wantedCost  float64 // of requests since lastQuotaAt
 	demand      float64 // per ms
@@ -89,8 +89,8 @@
 		b.lastAllowAt = now
 		b.wantedCost += m.cost(work)
 	}
-	b.Tokens += rate * (now - b.At)
-	b.At = now
+	b.Tokens += rate * (now - b.UpdatedAt)
+	b.UpdatedAt = now
 	b.Tokens -= math.Floor(max(0, b.Tokens-limit)) // hundreds of nodes must not save up one request each
 	return b.Tokens >= max(1, min(m.cost(work), limit))
 }
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -93,7 +93,7 @@
 			next[i] = now + gaps[i]
 			bucket := &Bucket{} // of another server
 			if now <= startsAt {
-				buckets[i].At = now
+				buckets[i].UpdatedAt = now
 			} else if meters[i].Allow(now, &buckets[i], multiple, warm, burst, 0) {
 				bucket = &buckets[i]
 				sent = append(sent, now)
@@ -162,7 +162,7 @@
 func (f *leaseFleet) allowed(now float64, i int, isLender bool) bool {
 	bucket := &f.buckets[i]
 	if now <= serverStarts+1 {
-		bucket.At = now
+		bucket.UpdatedAt = now
 	}
 	if f.leases && now >= leasesStart && now <= leasesStart+gap {
 		own, _ := f.meters[i].Quota(now, bucket, multiple, warm)
@@ -228,7 +228,7 @@
 // Nothing that is borrowed is saved up.
 func TestBorrowedIsNotSavedUp(t *testing.T) {
 	m := Meter{Rate: 1e-6}
-	b := Bucket{At: 1, Leases: Leases{Count: 1}}
+	b := Bucket{UpdatedAt: 1, Leases: Leases{Count: 1}}
 	b.Leases.Borrowed[0] = Lease{Rate: 1, Until: 1e9}
 	n := 0
 	for m.Allow(1e6, &b, multiple, warm, burst, 0) {
