--- a/internal/controlplane/snapshot/snapshot_test.go
+++ b/internal/controlplane/snapshot/snapshot_test.go
@@ -128,7 +128,10 @@
 
 // TestSlowStart checks that a server in slow start gets a part of its arc that grows in steps, as a limit and as a weight.
 func TestSlowStart(t *testing.T) {
-	points := []fleet.RingPoint{{ID: 0, Position: 0.25, CapacityShare: 1}, {ID: 1, Position: 0.5, CapacityShare: 0.2}, {ID: 2, Position: 0.75, CapacityShare: 1}, {ID: 3, Position: 1 - 1e-9, CapacityShare: 1}}
+	points := []fleet.RingPoint{
+		{ID: 0, Position: 0.25, CapacityShare: 1}, {ID: 1, Position: 0.5, CapacityShare: 0.2},
+		{ID: 2, Position: 0.75, CapacityShare: 1}, {ID: 3, Position: 1 - 1e-9, CapacityShare: 1},
+	}
 	limits := slowStartLimits(points)
 	want := math.Floor(0.2*slowStartSteps) / slowStartSteps
 	if limits[0] != 0 || math.Abs(limits[1]-want/(3+want)) > 1e-9 {
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -207,7 +207,10 @@
 	now := k.clock.Now()
 	k.inbox.post(snapshotFound{k.snapshots, &snapshot.State{
 		TakenAt: now, PolicyFingerprint: k.snapshots.trust.PolicyFingerprint, Node: "n0", Zone: k.snapshots.trust.Zone,
-		Servers: []snapshot.Server{{Name: "s0", ServerSnapshot: fleet.ServerSnapshot{ResponseTime: 700, TimePerQueued: 700, QueuePeak: 1, LastResponseAt: now}}, {Name: "s1"}, {Name: "s2"}, {Name: "o"}},
+		Servers: []snapshot.Server{
+			{Name: "s0", ServerSnapshot: fleet.ServerSnapshot{ResponseTime: 700, TimePerQueued: 700, QueuePeak: 1, LastResponseAt: now}},
+			{Name: "s1"}, {Name: "s2"}, {Name: "o"},
+		},
 	}})
 	if with := took(); own == 0 || with < own+100 {
 		t.Errorf("the response time of s0 is %.1f ms, and %.1f after a younger snapshot with 700", own, with)
--- a/internal/node/upstream/pooling_test.go
+++ b/internal/node/upstream/pooling_test.go
@@ -207,7 +207,8 @@
 		}
 	}
 	c := r.endpoint.group.Stats()
-	if c.Opened != 2 || results[fleet.Completed] < 4 || results[fleet.Declined] != 20-results[fleet.Completed] || c.WaitTimeouts+c.QueueFull != results[fleet.Declined] || c.WaitTimeouts == 0 || c.QueueFull == 0 {
+	if c.Opened != 2 || results[fleet.Completed] < 4 || results[fleet.Declined] != 20-results[fleet.Completed] ||
+		c.WaitTimeouts+c.QueueFull != results[fleet.Declined] || c.WaitTimeouts == 0 || c.QueueFull == 0 {
 		t.Errorf("outcomes %v, stats %+v", results, c)
 	}
 }
--- a/internal/state/snapshot/codec.go
+++ b/internal/state/snapshot/codec.go
@@ -158,7 +158,8 @@
 // serverFields are the figures of a server in the order of the binary form.
 func serverFields(s *fleet.ServerSnapshot) []*float64 {
 	return []*float64{
-		&s.StartedAt, &s.ShedArcShare, &s.AdjustmentStep, &s.TimePerQueued, &s.ResponseTime, &s.RequestsAhead, &s.Failures, &s.Backoff, &s.HitRatio, &s.QueuePeak, &s.LastResponseAt,
+		&s.StartedAt, &s.ShedArcShare, &s.AdjustmentStep, &s.TimePerQueued, &s.ResponseTime, &s.RequestsAhead,
+		&s.Failures, &s.Backoff, &s.HitRatio, &s.QueuePeak, &s.LastResponseAt,
 	}
 }
 
