--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -15,7 +15,7 @@
 		}
 		time.Sleep(1500 * time.Microsecond)
 		if elapsed := c.Now() - start; elapsed < 1.499 || elapsed > 1.501 {
-			t.Errorf("%v ms have passed, want 1.5", elapsed)
+			t.Errorf("%v ms elapsed, want 1.5", elapsed)
 		}
 	})
 }
--- a/internal/fleet/decision.go
+++ b/internal/fleet/decision.go
@@ -1,20 +1,20 @@
 package fleet
 
-// Action is what the caller of the decision module is to do.
+// Action is what the caller of the decision module has to do.
 type Action uint8
 
 // Actions of a Decision.
 const (
 	NoAction  Action = iota
-	Hold             // keep the request until the module is due
+	Hold             // keep the request until NextDue names it
 	Send             // start an attempt
-	Reject           // respond that nothing was executed
-	Abort            // respond that it may have been executed
-	Cancel           // stop an attempt
-	Subscribe        // watch the endpoint list
+	Reject           // respond that the request was not executed
+	Abort            // respond that the request may have been executed
+	Cancel           // cancel an attempt
+	Subscribe        // subscribe to the endpoint list
 	PollList         // request the endpoint list once
-	Probe            // check a server's health
-	Broadcast        // send Body to the other nodes
+	Probe            // run a health check on a server
+	Broadcast        // send Body to all other nodes
 )
 
 // Decision is one answer of the decision module.
@@ -22,9 +22,9 @@
 	Action     Action
 	Server     ServerID // Send, Probe
 	Attempt    int      // Send, Cancel: index in Request.Attempts
-	Timeout    float64  // Send: of the attempt, in ms
-	SendBy     float64  // Send: its last byte may not leave later, for it could repeat an effect then; 0 or +Inf: at any time
-	RetryAfter float64  // Reject: ms after which the client may come back; 0: unknown
+	Timeout    float64  // Send: time limit of the attempt, in ms
+	SendBy     float64  // Send: deadline for the attempt's last byte, which could repeat the request's effect later; 0 or +Inf: none
+	RetryAfter float64  // Reject: time in ms after which the client may retry; 0: unknown
 	Body       []byte   // Broadcast
 
 	CloseIdle  bool // also close the idle connections to IdleServer
--- a/internal/fleet/fleet_test.go
+++ b/internal/fleet/fleet_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A Ref finds its request until that is freed, and nothing after, even once the slot is used again.
+// A Ref finds its request until the request is freed, and nothing afterwards, even if the slot is reused.
 func TestSlabRefs(t *testing.T) {
 	var s Slab
 	if s.Get(NoRequest) != nil {
@@ -22,16 +22,16 @@
 	if s.Get(refA) != nil {
 		t.Error("a Ref finds a request that was freed")
 	}
-	again := s.Alloc()
-	if again != a || again.Closed || s.Get(refA) != nil || s.Get(again.Ref) != again {
-		t.Errorf("the slot is reused as %+v, and its old Ref finds %v", again, s.Get(refA))
+	reused := s.Alloc()
+	if reused != a || reused.Closed || s.Get(refA) != nil || s.Get(reused.Ref) != reused {
+		t.Errorf("the slot is reused as %+v, and the stale Ref finds %v", reused, s.Get(refA))
 	}
 	if c := s.Alloc(); c == a || c == b {
-		t.Error("one slot has two requests")
+		t.Error("two requests share a slot")
 	}
 }
 
-// A request that is freed twice gives its slot back once: two requests once got the same slot after that.
+// A second Free of a request must not release the slot again, which would give the slot to two requests.
 func TestSlabFreeTwice(t *testing.T) {
 	var s Slab
 	request := s.Alloc()
@@ -41,7 +41,7 @@
 	}
 	s.Free(request)
 	if a, b := s.Alloc(), s.Alloc(); a == b {
-		t.Errorf("two requests have the slot %d", a.Ref.slot)
+		t.Errorf("two requests share slot %d", a.Ref.slot)
 	}
 }
 
@@ -69,7 +69,7 @@
 		h.PopMin()
 	}
 	if len(h) != 0 {
-		t.Errorf("%d timers are left", len(h))
+		t.Errorf("%d timers remain", len(h))
 	}
 }
 
@@ -81,7 +81,7 @@
 	}
 }
 
-// Hashes decide where every key goes and must be the same on all nodes and in all versions.
+// Hashes decide which server owns a key and must be equal on all nodes and in all versions.
 func TestHashesAreStable(t *testing.T) {
 	for _, c := range []struct {
 		name      string
@@ -99,7 +99,7 @@
 	}
 }
 
-func TestNeverRan(t *testing.T) {
+func TestNotExecuted(t *testing.T) {
 	for result := Pending; result <= Missed; result++ {
 		want := slices.Contains([]Result{Declined, ConnectFailed, NotSent, Missed}, result)
 		if result.NotExecuted() != want {
@@ -109,18 +109,18 @@
 }
 
 func TestAttemptLimit(t *testing.T) {
-	for _, c := range []struct{ limit, ofClass, want int }{{4, 0, 4}, {4, 2, 2}, {0, 0, 1}, {100, 0, MaxAttempts}, {1, 3, 3}} {
+	for _, c := range []struct{ limit, classLimit, want int }{{4, 0, 4}, {4, 2, 2}, {0, 0, 1}, {100, 0, MaxAttempts}, {1, 3, 3}} {
 		l := Limits{MaxAttempts: c.limit}
-		if got := l.AttemptLimit(&Class{MaxAttempts: c.ofClass}); got != c.want {
-			t.Errorf("%d, for the class %d: %d, want %d", c.limit, c.ofClass, got, c.want)
+		if got := l.AttemptLimit(&Class{MaxAttempts: c.classLimit}); got != c.want {
+			t.Errorf("limit %d, class limit %d: got %d, want %d", c.limit, c.classLimit, got, c.want)
 		}
 	}
 }
 
-func TestNewLoadReportStatesNothing(t *testing.T) {
+func TestNewLoadReportIsEmpty(t *testing.T) {
 	r, other := NewLoadReport(), NewLoadReport()
-	for _, v := range []float64{r.Util, r.Queue, r.Inflight, r.Latency, r.Rate, r.Errors, r.HitRatio, r.X1} {
-		if !math.IsNaN(v) {
+	for _, figure := range []float64{r.Util, r.Queue, r.Inflight, r.Latency, r.Rate, r.Errors, r.HitRatio, r.X1} {
+		if !math.IsNaN(figure) {
 			t.Errorf("%+v", r)
 		}
 	}
@@ -129,6 +129,6 @@
 	}
 	other.Queue = 3
 	if r.SameLoad(&other) {
-		t.Error("another queue is the same load")
+		t.Error("reports with different queues have the same load")
 	}
 }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -20,51 +20,51 @@
 	DedupCell
 )
 
-// Class is what is known of one kind of request.
+// Class describes a request class.
 type Class struct {
 	Effect           Effect
 	DedupScope       DedupScope
-	LatencyObjective float64 // a response after that is late
-	ObjectivePerWork float64 // the objective grows by this multiple of the request's own work
-	ClientTimeout    float64 // for which its client waits
-	DedupWindow      float64 // for which servers drop repeats
+	LatencyObjective float64 // responses that take longer are late
+	ObjectivePerWork float64 // increase of the objective per ms of the request's work
+	ClientTimeout    float64 // how long clients wait for a response
+	DedupWindow      float64 // how long servers drop repeats of a request
 	PriorityWeight   float64
-	LateWeightFactor float64 // part of the weight that a late response keeps
-	MaxAttempts      int     // 0: Limits.MaxAttempts
-	Stream           bool    // its response is streamed
+	LateWeightFactor float64 // factor on PriorityWeight for a late response
+	MaxAttempts      int     // per request; 0: Limits.MaxAttempts
+	Stream           bool    // responses are streamed
 }
 
-// Limits are the settings that a decision module is started with.
+// Limits is the configuration of a decision module.
 type Limits struct {
 	Seed       uint64
 	Nodes      int
 	Zone       ZoneID // of this node
 	Zones      int
-	OriginKind KindID // -1: there is no origin, servers fetch for themselves
+	OriginKind KindID // kind of the origin; -1: there is no origin, and servers fetch missing keys themselves
 	Classes    []Class
 
 	MaxAttempts       int
-	Hedging           bool // two attempts of a request may be out
-	Cancellation      bool // an attempt may be stopped
-	FullServersRefuse bool // a server with a full table of connections refuses connections; else it responds that it is full
-	SendRetryAfter    bool // a rejection may say when to come back
+	Hedging           bool // a request may have two attempts in flight
+	Cancellation      bool // attempts in flight may be cancelled
+	FullServersRefuse bool // servers at their connection limit refuse connections; otherwise they respond that they are full
+	SendRetryAfter    bool // rejections may tell clients when to retry
 	MaxRetryAfter     float64
 
-	Subscribe         bool    // changes of the endpoint list have to be asked for
-	PollWithin        float64 // a request to the discovery service is due by then
-	StopSendingWithin float64 // no attempt starts at a server later than this after it began to drain
+	Subscribe         bool    // the endpoint list has to be subscribed to; otherwise it is pushed
+	PollWithin        float64 // while it is not subscribed, the module requests the endpoint list within this time
+	StopSendingWithin float64 // longest time after the start of a drain in which attempts may still start at the server
 
-	ColdCapacity   float64 // share of its capacity that a server has at its start
-	WarmUpTime     float64 // until it has all of it
-	OverloadFactor float64 // multiple of its capacity at which a server that is warming up fails
-	OverloadBurst  float64 // work beyond its capacity, in ms, after which it fails
+	ColdCapacity   float64 // share of its capacity that a server has when it starts
+	WarmUpTime     float64 // time from its start until a server has its full capacity
+	OverloadFactor float64 // load, as a multiple of its capacity, at which a warming server fails
+	OverloadBurst  float64 // work beyond its capacity, in ms, after which a warming server fails
 
-	AnswerSlack       float64 // how much earlier than a client's timeout a response has to be there
+	AnswerSlack       float64 // margin before a client's timeout by which its response has to be ready
 	Quantum           float64 // time step of the platform
-	UnusedAttemptCost float64 // penalty of an attempt whose result is not used
+	UnusedAttemptCost float64 // penalty for an attempt whose result is not used
 }
 
-// AttemptLimit is how many attempts a request of a class may have.
+// AttemptLimit returns how many attempts a request of a class may have.
 func (l *Limits) AttemptLimit(class *Class) int {
 	limit := l.MaxAttempts
 	if class.MaxAttempts > 0 {
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -1,9 +1,10 @@
 package fleet
 
-// MaxAttempts is the most attempts that any request may have.
+// MaxAttempts is the upper bound of attempts per request.
 const MaxAttempts = 8
 
-// Request is one request in flight. The caller of the decision module sets what the client has sent; the module owns Stage and WakeAt.
+// Request is a client's request in flight. The caller of the decision module fills in what the client sent; the module owns Stage and
+// WakeAt.
 type Request struct {
 	Ref       Ref
 	ID        RequestID
@@ -14,45 +15,45 @@
 	Write     bool
 	ArrivedAt float64
 	Deadline  float64
-	Work      float64 // as the client states it, in ms; 0: it does not
-	ValueSize float64 // of the value, as the client states it; 0: it does not
+	Work      float64 // in ms, as stated by the client; 0: not stated
+	ValueSize float64 // as stated by the client; 0: not stated
 
-	Attempts    [MaxAttempts]Attempt // the first NumAttempts
+	Attempts    [MaxAttempts]Attempt // the first NumAttempts are in use
 	NumAttempts int
 	InFlight    int // attempts whose result is pending
 
-	Uploading     bool // its value is still being read: no attempt can have been executed
-	ValueConsumed bool // its value has been streamed, and is not available to another attempt
-	Closed        bool // it has its response, or its client is gone
-	Streaming     bool // its response is being streamed
+	Uploading     bool // its value is still being received, so that no attempt can have been executed
+	ValueConsumed bool // its value has been streamed to a server and is not available to another attempt
+	Closed        bool // it has been answered, or its client has disconnected
+	Streaming     bool // its response is being streamed to the client
 
-	Stage  uint8
-	WakeAt float64 // when the module looks at it again; 0: it does not
+	Stage  uint8   // routing stage, defined by the decision module
+	WakeAt float64 // when NextDue returns the request; 0: no timer
 }
 
-// Attempt is one sending of a request to a server.
+// Attempt is one attempt to execute a request at a server.
 type Attempt struct {
 	Server        ServerID
 	SentAt        float64
 	Result        Result
-	Cancelled     bool    // by this node; the result is still pending
-	RequestsAhead float64 // requests that it found at the server
+	Cancelled     bool    // cancelled by this node; the result may still be pending
+	RequestsAhead float64 // requests at the server when the attempt was sent
 }
 
-// Result is how an attempt ended.
+// Result is the result of an attempt.
 type Result uint8
 
 // Results of an attempt.
 const (
-	Pending       Result = iota // it is still out
+	Pending       Result = iota // still in flight
 	Completed                   // executed
 	Failed                      // the server responded with an error
 	Declined                    // the server declined it
 	TimedOut                    // no response within its timeout
 	ConnectFailed               // no connection could be established
 	Reset                       // the connection was lost after the last byte of the request
-	Cancelled                   // stopped by this node
-	NotSent                     // stopped before its last byte was sent
+	Cancelled                   // cancelled by this node
+	NotSent                     // cancelled before its last byte was sent
 	Missed                      // the cache does not have the key
 )
 
@@ -61,24 +62,24 @@
 	return r == Declined || r == ConnectFailed || r == NotSent || r == Missed
 }
 
-// CacheStatus is what a cache server says of how it came by a response.
+// CacheStatus is what a cache server reports about its lookup of the key.
 type CacheStatus uint8
 
-// Statuses of a cache.
+// Results of a lookup.
 const (
 	CacheUnknown CacheStatus = iota
 	CacheHit
 	CacheMiss
-	CacheMissFetching // another request is fetching the key
+	CacheMissFetching // miss, while another request is fetching the key
 )
 
-// Outcome is the end of one attempt, as the decision module is given it.
+// Outcome tells the decision module how an attempt ended.
 type Outcome struct {
 	Attempt         int // index in Request.Attempts
 	Result          Result
-	Took            float64
-	Closed          bool // the request needs no further attempt
-	StaleConnection bool // lost with a connection that had been idle, which says nothing of the server
+	Took            float64 // in ms
+	Closed          bool    // the request needs no further attempt
+	StaleConnection bool    // lost with a connection that had been idle, which says nothing about the server
 	Cache           CacheStatus
 	Report          LoadReport
 }
--- a/internal/fleet/ring.go
+++ b/internal/fleet/ring.go
@@ -6,14 +6,15 @@
 	"math"
 )
 
-// RingPoint is a server's point on a hash ring, which is [0,1) closed to a circle. Its arc ends there and begins behind the point before it.
+// RingPoint is a server's point on a hash ring, the interval [0,1) closed to a circle. The server's arc ends at its point and begins after
+// the preceding point.
 type RingPoint struct {
 	ID            ServerID
-	Position      float64 // below 1; that of the first point may be below 0
-	CapacityShare float64 // share of its capacity that the server surely has; below 1 it may serve only a part of its arc
+	Position      float64 // below 1; the position of the first point may be below 0
+	CapacityShare float64 // lower bound of the share of its capacity that the server has; below 1 it may serve only a part of its arc
 }
 
-// Mix spreads the bits of an FNV hash, whose high ones hardly differ for similar names.
+// Mix is the 64-bit finalizer of MurmurHash3. It mixes FNV hashes, whose high bits hardly differ between similar names.
 func Mix(h uint64) uint64 {
 	h ^= h >> 33
 	h *= 0xff51afd7ed558ccd
@@ -25,26 +26,26 @@
 // UnitInterval maps a hash to [0,1).
 func UnitInterval(h uint64) float64 { return float64(Mix(h)>>11) / (1 << 53) }
 
-// InitialPoint is where a server's point is on the ring at first: the hash of its id.
+// InitialPoint returns the position of a server's point before any adjustment: the hash of the server's name.
 func InitialPoint(name string) float64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(name)) // a hash takes every byte
 	return UnitInterval(h.Sum64())
 }
 
-// Point is the point of a key on the ring.
+// Point returns the position of a key on the ring.
 func (k Key) Point() float64 { return UnitInterval(uint64(k)) }
 
-// Sample is a number in [0,1) by which a share of all keys is chosen. It is independent of the key's point.
+// Sample returns a number in [0,1) for selecting a share of all keys. It is independent of the key's point.
 func (k Key) Sample() float64 { return UnitInterval(Mix(uint64(k)) + 1) }
 
-// ArcLength is the distance from a forward to b on the ring. Either may be outside [0,1).
-func ArcLength(a, b float64) float64 {
-	d := b - a
-	return d - math.Floor(d)
+// ArcLength returns the distance on the ring from one position forward to another. Both may be outside [0,1).
+func ArcLength(from, to float64) float64 {
+	distance := to - from
+	return distance - math.Floor(distance)
 }
 
-// Random returns the draw of a counter under a seed, in [0,1): equal arguments give equal draws, on every machine.
+// Random returns the pseudo-random number in [0,1) for a seed and a counter. It is the same on every machine.
 func Random(seed, counter uint64) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
--- a/internal/fleet/slab.go
+++ b/internal/fleet/slab.go
@@ -1,21 +1,21 @@
 package fleet
 
-// Ref refers to a request in a slab. It finds nothing once the request was freed, even if its slot is used again.
+// Ref refers to a request in a slab. It becomes stale when the request is freed, and stays stale when the slot is reused.
 type Ref struct {
 	slot       int32
-	generation uint32 // of the slot, from 1: odd while the slot has a request, even while it is free
+	generation uint32 // of the slot, from 1: odd while the slot is in use, even while it is free
 }
 
 // NoRequest is the zero Ref, which refers to nothing.
 var NoRequest Ref
 
-// Slab holds requests in slots that are reused, so that a new request allocates nothing once the slab has grown. The zero value is empty.
+// Slab holds requests in slots that are reused: once the slab has grown, a new request causes no allocation. The zero value is empty.
 type Slab struct {
 	slots []*Request
 	free  []int32
 }
 
-// Alloc returns an empty request. It is valid until Free.
+// Alloc returns an empty request, which is valid until it is freed.
 func (s *Slab) Alloc() *Request {
 	if len(s.free) == 0 {
 		request := &Request{Ref: Ref{int32(len(s.slots)), 1}}
@@ -29,7 +29,7 @@
 	return request
 }
 
-// Get returns the request that a Ref refers to, nil if it was freed.
+// Get returns the request that a Ref refers to, or nil if it was freed.
 func (s *Slab) Get(ref Ref) *Request {
 	if ref.generation%2 == 0 || int(ref.slot) >= len(s.slots) {
 		return nil
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Free gives the slot of a request back. Freeing a request that was freed already does nothing.
+// Free releases the slot of a request. Freeing a request a second time has no effect.
 func (s *Slab) Free(request *Request) {
 	if s.Get(request.Ref) != request {
 		return
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -1,37 +1,37 @@
 package fleet
 
-// Snapshot is what a decision module has learned, to survive a restart. One that is given out states all; of one that is restored each part
-// counts as far as it is trusted.
+// Snapshot is the state that a decision module has learned and keeps across a restart. Restoring weighs each part by its Trust; exported
+// snapshots have full trust.
 type Snapshot struct {
-	Trust              float64 // of all but Servers, from 0 to 1
+	Trust              float64 // in all fields but Servers, from 0 to 1
 	Servers            []ServerSnapshot
 	Keys               []KeyCount
-	KeySum             float64 // of all counts
-	OriginWindow       float64 // requests that may be out at the origin
-	OriginResponseTime float64 // its response time
-	Util               float64 // mean utilisation of the caches
-	ZoneShare          float64 // share of keys that are sent within the zone
-	CacheLoad          float64 // work sent to all caches, per ms. Only a hot restart hands it on; it is in no file
+	KeySum             float64 // sum of the counts of all keys, listed in Keys or not
+	OriginWindow       float64 // requests that may be in flight at the origin
+	OriginResponseTime float64 // of the origin
+	Util               float64 // mean utilization of the caches
+	ZoneShare          float64 // share of keys that are routed within the zone
+	CacheLoad          float64 // work per ms sent to all caches; handed over in a hot restart, but not stored in files
 }
 
-// ServerSnapshot is what was learned of one server.
+// ServerSnapshot is the learned state of one server.
 type ServerSnapshot struct {
 	ID             ServerID
 	Trust          float64 // from 0 to 1
-	StartedAt      float64 // of the process of which it was learned, Unix ms
-	ShedArcShare   float64 // share of its arc of the ring that its neighbours have taken over
+	StartedAt      float64 // start of the process that the state belongs to, Unix ms
+	ShedArcShare   float64 // share of its arc that adjustments have moved to its successor
 	AdjustmentStep float64 // relative size of the next adjustment of its ring point
 	TimePerQueued  float64 // response time per request ahead
-	ResponseTime   float64 // recent response time
-	RequestsAhead  float64 // requests that were ahead then
+	ResponseTime   float64 // recent
+	RequestsAhead  float64 // at the server when ResponseTime was measured
 	Failures       float64 // recent share of failures
-	Backoff        float64 // between two trial requests
+	Backoff        float64 // time between two trial requests
 	HitRatio       float64
-	QueuePeak      float64 // of its queue
-	LastResponseAt float64 // when it last responded; 0: it has not
+	QueuePeak      float64 // recent peak of the reported queue
+	LastResponseAt float64 // 0: never
 }
 
-// KeyCount is one slot of the counts of keys.
+// KeyCount is the count of one bucket of keys.
 type KeyCount struct {
 	Bucket int32
 	Count  float64
--- a/internal/hotkeys/hotkeys.go
+++ b/internal/hotkeys/hotkeys.go
@@ -1,24 +1,24 @@
-// Package hotkeys estimates how often keys were requested lately: decaying counts by the hash of the key, in constant space. Keys in the
-// same bucket share a count. The package does no I/O, reads no clock and does not allocate after the names of the hottest keys have been
-// stored. One goroutine must own a Counts or a Top.
+// Package hotkeys estimates how often keys were requested recently. It keeps decaying counts in a fixed number of buckets, which keys are
+// assigned to by their hash; keys in the same bucket share a count. The package does no I/O, reads no clock and does not allocate after the
+// names of the hottest keys have been stored. Counts and Top are not safe for concurrent use.
 package hotkeys
 
 // Buckets is the number of counts.
 const Buckets = 2048
 
 const (
-	decayFactor = 0.95 // what is left of a count after each step
-	maxUnit     = 1e9  // the unit at which the counts are scaled back
-	topKeys     = 8    // keys that Top keeps
+	decayFactor = 0.95 // of a count in each step
+	maxUnit     = 1e9  // the counts are rescaled when the unit exceeds it
+	topKeys     = 8    // keys that Top holds
 )
 
 // Counts are the decaying counts of one node. The zero value is ready for use.
 //
-// Instead of shrinking all counts at each step, the unit in which new requests are counted grows.
+// Instead of shrinking all counts, each step of decay increases the unit in which new requests are counted.
 type Counts struct {
 	buckets [Buckets]float32
-	unit    float32 // 0 stands for 1
-	sum     float32 // of all keys
+	unit    float32 // stored count of one request; 0 stands for 1
+	sum     float32 // of all buckets
 }
 
 func (c *Counts) currentUnit() float32 {
@@ -38,7 +38,7 @@
 	c.sum += scaled
 }
 
-// Decay takes one step.
+// Decay multiplies all counts by decayFactor.
 func (c *Counts) Decay() {
 	c.unit = c.currentUnit() / decayFactor
 	if c.unit <= maxUnit {
@@ -50,16 +50,17 @@
 	c.sum, c.unit = c.sum/c.unit, 1
 }
 
-// Count returns the count of a key.
+// Count returns the decayed count of a key.
 func (c *Counts) Count(key uint64) float64 { return float64(c.buckets[key%Buckets] / c.currentUnit()) }
 
-// Sum returns the count of all keys together.
+// Sum returns the sum of the decayed counts of all keys.
 func (c *Counts) Sum() float64 { return float64(c.sum / c.currentUnit()) }
 
-// Top keeps the names of the keys with the greatest counts, as far as the buckets distinguish them. The zero value is ready for use.
+// Top holds the names of the keys with the greatest counts. It cannot tell keys in the same bucket apart by their counts. The zero value is
+// ready for use.
 type Top struct {
-	keys [topKeys]topKey
-	n    int
+	keys  [topKeys]topKey
+	count int // of keys that are in use
 }
 
 type topKey struct {
@@ -67,10 +68,10 @@
 	name []byte
 }
 
-// Offer considers a key that was just counted. The name is copied.
+// Offer adds a key that was just counted, if its count is among the greatest. The name is copied.
 func (t *Top) Offer(c *Counts, key uint64, name []byte) {
 	least := 0
-	for i := range t.keys[:t.n] {
+	for i := range t.keys[:t.count] {
 		if t.keys[i].key == key {
 			return
 		}
@@ -78,9 +79,9 @@
 			least = i
 		}
 	}
-	if t.n < len(t.keys) {
-		least = t.n
-		t.n++
+	if t.count < len(t.keys) {
+		least = t.count
+		t.count++
 	} else if c.Count(key) <= c.Count(t.keys[least].key) {
 		return
 	}
@@ -88,9 +89,9 @@
 	t.keys[least].name = append(t.keys[least].name[:0], name...)
 }
 
-// Each passes the keys and their names to visit. The names must not be kept.
+// Each calls visit for each key. The names are valid until the next Offer.
 func (t *Top) Each(visit func(key uint64, name []byte)) {
-	for i := range t.keys[:t.n] {
+	for i := range t.keys[:t.count] {
 		visit(t.keys[i].key, t.keys[i].name)
 	}
 }
--- a/internal/transient/transient.go
+++ b/internal/transient/transient.go
@@ -1,4 +1,4 @@
-// Package transient tells failures of system calls that may be over in a moment from others, and makes such calls again.
+// Package transient recognizes transient failures of system calls and retries such calls.
 package transient
 
 import (
@@ -8,30 +8,30 @@
 	"time"
 )
 
-// retryInterval is the time between two tries of a call.
+// retryInterval is the pause before each retry.
 const retryInterval = 20 * time.Millisecond
 
-// errnos are those that Linux documents for open(2), socket(2), connect(2) and dup(2) where the machine is short of something for the moment,
-// where a call was interrupted, and where a device failed.
-var errnos = [...]error{
+// transientErrors are the errors that Linux documents for open(2), socket(2), connect(2) and dup(2) when a resource is temporarily
+// exhausted, a call was interrupted, or a device failed.
+var transientErrors = [...]error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EINTR, syscall.EIO,
 }
 
-// Is reports whether an error may be over in a moment.
+// Is reports whether an error is transient.
 func Is(err error) bool {
-	return slices.ContainsFunc(errnos[:], func(errno error) bool { return errors.Is(err, errno) })
+	return slices.ContainsFunc(transientErrors[:], func(target error) bool { return errors.Is(err, target) })
 }
 
-// Retry makes a call, and makes it again as long as its error may be over in a moment, for so long from the first failure on. It returns the
+// Retry calls a function and retries it while its error is transient. The timeout runs from the end of the first call. Retry returns the
 // last error.
-func Retry(patience time.Duration, call func() error) error {
-	return RetryIf(patience, Is, call)
+func Retry(timeout time.Duration, call func() error) error {
+	return RetryIf(timeout, Is, call)
 }
 
-// RetryIf is Retry for errors of the caller's choice.
-func RetryIf(patience time.Duration, mayPass func(error) bool, call func() error) error {
-	err := call() // may have waited for long
-	for deadline := time.Now().Add(patience); mayPass(err) && time.Now().Before(deadline); err = call() {
+// RetryIf is like Retry, but retries the errors that isTransient reports.
+func RetryIf(timeout time.Duration, isTransient func(error) bool, call func() error) error {
+	err := call() // may block for a long time, which does not count towards the timeout
+	for deadline := time.Now().Add(timeout); isTransient(err) && time.Now().Before(deadline); err = call() {
 		time.Sleep(retryInterval)
 	}
 	return err
--- a/internal/transient/transient_test.go
+++ b/internal/transient/transient_test.go
@@ -10,27 +10,27 @@
 	"time"
 )
 
-// A call is made again until it succeeds, fails for good, or the patience is over.
+// A call is retried until it succeeds, fails permanently, or the timeout is over.
 func TestRetry(t *testing.T) {
-	shortage := fmt.Errorf("reading: %w", &os.PathError{Op: "open", Path: "f", Err: syscall.ENFILE})
-	final := os.ErrNotExist
+	transientErr := fmt.Errorf("reading: %w", &os.PathError{Op: "open", Path: "f", Err: syscall.ENFILE})
+	permanentErr := os.ErrNotExist
 	for name, c := range map[string]struct {
-		failures int // before the last result
+		failures int // transient ones, before the last result
 		last     error
 		want     error
 		calls    int
 	}{
-		"at once":       {0, nil, nil, 1},
-		"in the end":    {3, nil, nil, 4},
-		"for good":      {0, final, final, 1},
-		"for good then": {2, final, final, 3},
-		"too long":      {1000, nil, syscall.ENFILE, 6},
+		"success":                     {0, nil, nil, 1},
+		"success after retries":       {3, nil, nil, 4},
+		"permanent error":             {0, permanentErr, permanentErr, 1},
+		"permanent error after retry": {2, permanentErr, permanentErr, 3},
+		"timeout":                     {1000, nil, syscall.ENFILE, 6},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			calls := 0
 			err := Retry(5*retryInterval-time.Millisecond, func() error {
 				if calls++; calls <= c.failures {
-					return shortage
+					return transientErr
 				}
 				return c.last
 			})
