--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -1,14 +1,14 @@
-// Package slowstart meters the work that a node sends to servers which have just started. Each node keeps to its quota: the share of the
-// server's capacity that corresponds to the node's share of the traffic, so that all nodes together keep to the capacity without exchanging
+// Package slowstart limits the work that a node sends to servers that have just started. Each node keeps within its quota: the share of the
+// server's capacity that corresponds to the node's share of the traffic. All nodes together thus keep within the capacity without exchanging
 // messages. Nodes that do exchange messages may lease parts of their quotas to one another (Leases).
 //
-// The bound: a server in slow start bears twice what is taken as its capacity here (the caller's multiple is half of the one at which it
-// fails), measured over twice the burst. By traffic alone, all nodes send it in such a window the capacity of the window and what they had saved
-// up, which is half of that: one and a half times the capacity. A node leases out at most half of its quota, its borrower stops before it
-// resumes, and nothing is saved up of what is borrowed. Only where lenders lose their traffic after they leased is there more, at most half
-// the capacity for the duration of a lease: two times.
+// A server in slow start fails at twice the capacity that is assumed here (callers pass half of the factor at which it fails), measured
+// over a window of twice the burst. Without leases, all nodes together send at most 1.5 times the capacity in such a window: the capacity
+// of the window, and the saved tokens, which are worth half of that. A node leases out at most half of its quota, the borrower stops before
+// the lender resumes, and borrowed rates save up no tokens. More is sent only if lenders lose their traffic after they leased: at most half
+// the capacity for the duration of a lease, which makes twice the capacity in all.
 //
-// The package does no I/O and reads no clock; times are float64 ms. One goroutine must own a Meter and its buckets.
+// The package does no I/O and reads no clock; times are float64 ms. A Meter and its buckets are not safe for concurrent use.
 package slowstart
 
 import "math"
@@ -17,42 +17,42 @@
 	rateSmoothing   = 0.3  // weight of the latest period in the rate
 	workSmoothing   = 0.02 // weight of the latest request in the mean work
 	demandSmoothing = 0.5  // weight of the latest period in the demand
-	minCost         = 0.25 // of a request whose work is known
-	maxLeases       = 8    // leases that Leases holds
+	minCost         = 0.25 // least cost of a request whose work is known
+	maxLeases       = 8    // leases that a node may borrow for one server
 )
 
 // Meter measures the work that this node sends to all cache servers.
 type Meter struct {
-	Rate float64 // per ms, in units of the mean request
+	Rate float64 // per ms, in units of the mean work of a request
 
 	windowStart float64 // 0: before the first request
 	windowCost  float64
-	meanWork    float64 // of requests, in the unit in which work is reported
+	meanWork    float64 // of requests, in the unit of the callers
 }
 
-// Bucket is the token bucket of one server in slow start. A token is the work of a mean request.
+// Bucket is the token bucket of one server in slow start. A token is worth the mean work of a request.
 type Bucket struct {
 	Tokens    float64
 	UpdatedAt float64 // time at which Tokens was computed
 	Leases    Leases
 
-	wantedCost  float64 // of requests since lastQuotaAt
-	demand      float64 // per ms
+	demandCost  float64 // of requests that were considered since lastQuotaAt
+	demand      float64 // smoothed demandCost per ms
 	lastAllowAt float64
 	lastQuotaAt float64
 }
 
-// Leases are the parts of quotas that nodes have leased to one another for one server, as work per ms.
+// Leases are the parts of quotas for one server that this node has lent and borrowed, as work per ms.
 type Leases struct {
-	Lent     float64 // of this node's quota, to other nodes
+	Lent     float64 // part of this node's quota that other nodes have
 	Borrowed [maxLeases]Lease
-	Count    int // of Borrowed that are in use
+	Count    int // used entries of Borrowed
 }
 
 // Lease is a borrowed rate and the time at which it expires.
 type Lease struct{ Rate, Until float64 }
 
-// borrowedAt returns the rate borrowed at a time. A process that was suspended has only what has not expired.
+// borrowedAt returns the sum of the borrowed rates that have not expired, so that a process that was suspended uses no expired lease.
 func (l *Leases) borrowedAt(now float64) (rate float64) {
 	for _, lease := range l.Borrowed[:l.Count] {
 		if now < lease.Until {
@@ -62,17 +62,18 @@
 	return rate
 }
 
-// Quota returns this node's quota of a server by its traffic, and its demand there since the last call, as work per ms. A node without demand has a
-// quota all the same, which it can lease out. The server's capacity is a multiple of what each of the warm servers carries.
-func (m *Meter) Quota(now float64, b *Bucket, multiple, warm float64) (own, demand float64) {
+// Quota returns this node's quota of a server, by the node's traffic, and its demand for the server, smoothed over the calls; both as work
+// per ms. A node without demand has a quota too, which it can lease out. The server's capacity is capacityFactor times the work that each
+// of the warm servers gets.
+func (m *Meter) Quota(now float64, b *Bucket, capacityFactor, warmServers float64) (own, demand float64) {
 	if elapsed := now - b.lastQuotaAt; elapsed > 0 {
-		b.demand += demandSmoothing * (b.wantedCost/elapsed - b.demand)
-		b.wantedCost, b.lastQuotaAt = 0, now
+		b.demand += demandSmoothing * (b.demandCost/elapsed - b.demand)
+		b.demandCost, b.lastQuotaAt = 0, now
 	}
-	return multiple * m.Rate / warm, b.demand
+	return capacityFactor * m.Rate / warmServers, b.demand
 }
 
-// cost returns the tokens for a request of so much work; 0 stands for work that is not known.
+// cost returns the number of tokens that a request costs; work of 0 is unknown.
 func (m *Meter) cost(work float64) float64 {
 	if work > 0 && m.meanWork > 0 {
 		return max(work/m.meanWork, minCost)
@@ -80,23 +81,25 @@
 	return 1
 }
 
-// Allow reports whether a server in slow start may be sent a request. Its capacity is a multiple of what each of the warm servers carries,
-// and burst is the time in ms whose capacity may be used at once. Spend takes the tokens.
-func (m *Meter) Allow(now float64, b *Bucket, multiple, warm, burst, work float64) bool {
-	own := multiple * m.Rate / warm
+// Allow reports whether a request may be sent to a server in slow start. The server's capacity is capacityFactor times the work that each
+// of the warm servers gets, and burst is the time in ms whose quota may be used at once. Spend takes the tokens.
+func (m *Meter) Allow(now float64, b *Bucket, capacityFactor, warmServers, burst, work float64) bool {
+	own := capacityFactor * m.Rate / warmServers
 	rate, limit := max(0, own-b.Leases.Lent)+b.Leases.borrowedAt(now), own*burst
-	if b.lastAllowAt != now { // a request may be considered more than once
+	if b.lastAllowAt != now { // Allow may be called more than once for a request
 		b.lastAllowAt = now
-		b.wantedCost += m.cost(work)
+		b.demandCost += m.cost(work)
 	}
 	b.Tokens += rate * (now - b.UpdatedAt)
 	b.UpdatedAt = now
-	b.Tokens -= math.Floor(max(0, b.Tokens-limit)) // hundreds of nodes must not save up one request each
+	// Tokens above the limit are dropped in whole tokens, so that a node whose limit is below one token reaches one from time to time. With a
+	// limit of at least one token each, hundreds of nodes could together save up hundreds of requests.
+	b.Tokens -= math.Floor(max(0, b.Tokens-limit))
 	return b.Tokens >= max(1, min(m.cost(work), limit))
 }
 
-// Spend records a request that is sent to a cache server: its tokens, and the rate measured over periods in ms. The tokens matter only
-// while the server is in slow start.
+// Spend records a request that is sent to a cache server. It takes the request's tokens, which matter only while the server is in slow
+// start, and updates the rate, which is measured over periods of the given length in ms.
 func (m *Meter) Spend(now float64, b *Bucket, period, work float64) {
 	if m.meanWork == 0 {
 		m.meanWork = work
@@ -106,7 +109,7 @@
 	b.Tokens -= cost
 	m.windowCost += cost
 	if m.windowStart == 0 {
-		m.windowStart = now // the time before the first request says nothing of the rate
+		m.windowStart = now // the time before the first request does not count
 	}
 	if elapsed := now - m.windowStart; elapsed >= period {
 		m.Rate += rateSmoothing * (m.windowCost/elapsed - m.Rate)
