--- a/cmd/simhost/main.go
+++ b/cmd/simhost/main.go
@@ -1,5 +1,5 @@
-// Command simhost hosts instances of the decision module for the operators' simulator, on standard input and output. It exits with 1
-// when the input cannot be read.
+// Command simhost hosts instances of the decision module for the operators' simulator, which it talks to over standard input and output. It
+// exits with status 1 if the input is malformed or on an I/O error.
 package main
 
 import (
@@ -10,7 +10,7 @@
 	"mintspring/internal/simwire"
 )
 
-// gcPercent has garbage collected rarely: an instance has little processor time to spare, and the ordinary path allocates nothing.
+// gcPercent makes garbage collections rare: CPU time is scarce, and the common path does not allocate.
 const gcPercent = 800
 
 func main() {
--- a/internal/simwire/actions.go
+++ b/internal/simwire/actions.go
@@ -9,7 +9,7 @@
 	"mintspring/internal/fleet"
 )
 
-// actionWriter writes actions to the simulator. It keeps the first error, which flush returns.
+// actionWriter writes actions for the simulator. Errors of its methods are deferred: flush returns the first one.
 type actionWriter struct {
 	out          *bufio.Writer
 	numberBuffer []byte
@@ -19,94 +19,94 @@
 	return actionWriter{out: bufio.NewWriterSize(out, outputBufferBytes)}
 }
 
-// flush sends what was written, and returns the first error since the writer was made.
+// flush sends the buffered actions and returns the first error since the writer was created.
 func (w *actionWriter) flush() error { return w.out.Flush() }
 
-// text writes a text as it is.
+// text writes a string unchanged.
 func (w *actionWriter) text(s string) {
 	_, _ = w.out.WriteString(s) // flush returns the error
 }
 
-// integer writes a field with its value; name includes the space before and the equals sign.
+// integer writes a field with an integer value; name includes the leading space and the equals sign.
 func (w *actionWriter) integer(name string, value int64) {
 	w.text(name)
 	w.numberBuffer = strconv.AppendInt(w.numberBuffer[:0], value, 10)
 	_, _ = w.out.Write(w.numberBuffer) // flush returns the error
 }
 
-// action begins an action of an instance.
-func (w *actionWriter) action(name string, n *instance) {
+// action writes the name of an action and its instance.
+func (w *actionWriter) action(name string, inst *instance) {
 	w.text(name)
-	w.integer(" Who=", n.id)
+	w.integer(" Who=", inst.id)
 }
 
-// requestAction begins an action that is about a request.
-func (w *actionWriter) requestAction(name string, n *instance, q *fleet.Request) {
-	w.action(name, n)
-	w.integer(" Job=", int64(q.ID))
+// requestAction writes the name of an action, its instance and its request.
+func (w *actionWriter) requestAction(name string, inst *instance, request *fleet.Request) {
+	w.action(name, inst)
+	w.integer(" Job=", int64(request.ID))
 }
 
-// server writes the field that names a server.
-func (w *actionWriter) server(n *instance, id fleet.ServerID) {
+// server writes the field with a server's name.
+func (w *actionWriter) server(inst *instance, id fleet.ServerID) {
 	w.text(" Server=")
-	w.text(n.serverNames[id])
+	w.text(inst.serverNames[id])
 }
 
 // end ends an action.
 func (w *actionWriter) end() { w.text("\n") }
 
-// serverAction writes an action that names a server and nothing else.
-func (w *actionWriter) serverAction(name string, n *instance, id fleet.ServerID) {
-	w.action(name, n)
-	w.server(n, id)
+// serverAction writes an action that has no parameter but a server.
+func (w *actionWriter) serverAction(name string, inst *instance, id fleet.ServerID) {
+	w.action(name, inst)
+	w.server(inst, id)
 	w.end()
 }
 
-// timer has the simulator report when a time has passed.
-func (w *actionWriter) timer(n *instance, micros int64) {
-	w.action("DEFER", n)
+// timer asks the simulator for a timer event after the given time.
+func (w *actionWriter) timer(inst *instance, micros int64) {
+	w.action("DEFER", inst)
 	w.integer(" In=", micros)
-	w.integer(" KeyBack=", n.timerSequence)
+	w.integer(" KeyBack=", inst.timerSequence)
 	w.end()
 }
 
-// decision writes a decision of the module.
-func (w *actionWriter) decision(n *instance, q *fleet.Request, d fleet.Decision) {
+// decision writes the actions for a decision. Decisions about the instance itself have no request.
+func (w *actionWriter) decision(inst *instance, request *fleet.Request, d fleet.Decision) {
 	switch d.Action {
 	case fleet.Send:
-		w.requestAction("SEND", n, q)
-		w.server(n, d.Server)
+		w.requestAction("SEND", inst, request)
+		w.server(inst, d.Server)
 		w.integer(" Limit=", max(1, int64(d.Timeout*microsPerMs)))
 		w.end()
 	case fleet.Reject:
-		w.requestAction("DENY", n, q)
+		w.requestAction("DENY", inst, request)
 		if d.RetryAfter > 0 {
 			w.integer(" Wait=", int64(d.RetryAfter*microsPerMs))
 		}
 		w.end()
 	case fleet.Abort:
-		w.requestAction("ABORT", n, q)
+		w.requestAction("ABORT", inst, request)
 		w.end()
 	case fleet.Cancel:
-		w.requestAction("WITHDRAW", n, q)
+		w.requestAction("WITHDRAW", inst, request)
 		w.integer(" Go=", int64(d.Attempt))
 		w.end()
 	case fleet.Subscribe:
-		w.action("KEEP_INFORMED", n)
+		w.action("KEEP_INFORMED", inst)
 		w.text(" Active=1")
 		w.end()
 	case fleet.PollList:
-		w.action("FETCH", n)
+		w.action("FETCH", inst)
 		w.end()
 	case fleet.Probe:
-		w.serverAction("PROBE", n, d.Server)
+		w.serverAction("PROBE", inst, d.Server)
 	case fleet.Broadcast:
-		w.action("PUBLISH", n)
+		w.action("PUBLISH", inst)
 		w.text(" Whom=* Contents=")
 		w.text(base64.StdEncoding.EncodeToString(d.Body))
 		w.end()
 	}
 	if d.CloseIdle {
-		w.serverAction("LET_GO", n, d.IdleServer)
+		w.serverAction("LET_GO", inst, d.IdleServer)
 	}
 }
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -9,37 +9,37 @@
 	"mintspring/internal/fleet"
 )
 
-// handleEvent reads one message of a batch into the call on the module that it stands for. Events of instances that have exited
-// are read and dropped.
+// handleEvent handles a message of a batch by making the corresponding call on the module. Messages for instances that have exited
+// are parsed and dropped.
 func (h *Host) handleEvent() error {
 	m := &h.message
 	if string(m.name) == "LEDGER" {
 		return h.readEndpointList()
 	}
 	id := m.requiredInteger("Who")
-	n := h.instances[id]
-	h.touch(n)
+	inst := h.instances[id]
+	h.touch(inst)
 	switch string(m.name) {
 	case "SPAWN":
-		return h.handleSpawn(id, n)
+		return h.handleSpawn(id, inst)
 	case "EXIT":
-		h.handleExit(n)
+		h.handleExit(inst)
 	case "KNOCK":
-		return h.handleRequest(n)
+		return h.handleRequest(inst)
 	case "VERDICT":
-		h.handleOutcome(n)
+		h.handleOutcome(inst)
 	case "ELAPSED":
-		h.handleTimer(n)
+		h.handleTimer(inst)
 	case "DROPPED":
-		h.handleClientGone(n)
+		h.handleClientGone(inst)
 	case "BEGUN":
-		h.handleAttemptStarted(n)
+		h.handleAttemptStarted(inst)
 	case "ANNOUNCE":
-		return h.handleListEvent(n)
+		return h.handleListEvent(inst)
 	case "STATUS_BACK":
-		h.handleProbeResult(n)
+		h.handleProbeResult(inst)
 	case "INBOX":
-		m.integer("From") // messages of other nodes are checked and not used: no decision may depend on their arrival
+		m.integer("From") // messages of other nodes are parsed but not used: no decision may depend on their arrival
 		m.base64("Contents")
 	default:
 		return fmt.Errorf("message %q is not known", m.name)
@@ -47,7 +47,7 @@
 	return m.err
 }
 
-// handleSpawn starts an instance, in place of the one that had its number.
+// handleSpawn starts an instance and replaces a previous one with the same ID.
 func (h *Host) handleSpawn(id int64, previous *instance) error {
 	m := &h.message
 	seed := m.requiredInteger("Prng")
@@ -62,48 +62,48 @@
 	if previous != nil {
 		previous.exited = true
 	}
-	deployment.Limits.FullServersRefuse = true // the wire has one outcome for a server that is down and for one with no connection left
-	n := &instance{
+	deployment.Limits.FullServersRefuse = true // the wire has one result for a server that is down and for one at its connection limit
+	inst := &instance{
 		id: id, requests: map[fleet.RequestID]fleet.Ref{}, serverIDs: map[string]fleet.ServerID{},
 		classCount: len(deployment.RequestClasses), timerDueMs: math.Inf(1),
 	}
-	n.module = decide.New(h.nowMs, deployment.Limits, &n.slab)
-	h.instances[id] = n
-	h.touch(n)
+	inst.module = decide.New(h.nowMs, deployment.Limits, &inst.slab)
+	h.instances[id] = inst
+	h.touch(inst)
 	return nil
 }
 
 // handleExit ends an instance.
-func (h *Host) handleExit(n *instance) {
-	if n != nil && h.message.err == nil {
-		n.exited = true
-		delete(h.instances, n.id)
+func (h *Host) handleExit(inst *instance) {
+	if inst != nil && h.message.err == nil {
+		inst.exited = true
+		delete(h.instances, inst.id)
 	}
 }
 
-// handleRequest handles a request of a client.
-func (h *Host) handleRequest(n *instance) error {
+// handleRequest routes a client's request.
+func (h *Host) handleRequest(inst *instance) error {
 	m := &h.message
 	id, class, tenant := m.requiredInteger("Job"), m.integer("Priority"), m.integer("Team")
 	key, hasKey := m.ringKey("PathKey")
 	deadline, work, size, write := m.milliseconds("DropDead"), m.milliseconds("Expected"), m.float("ObjectSize"), m.boolean("Write")
-	if m.err != nil || n == nil {
+	if m.err != nil || inst == nil {
 		return m.err
 	}
-	if class < 0 || class >= int64(n.classCount) {
-		return fmt.Errorf("workload %d is not among the settings", class)
+	if class < 0 || class >= int64(inst.classCount) {
+		return fmt.Errorf("workload %d is not in the settings", class)
 	}
-	q := n.slab.Alloc()
-	q.ID, q.Class, q.Tenant = fleet.RequestID(id), fleet.ClassID(class), fleet.TenantID(tenant)
-	q.Key, q.HasKey, q.Write = key, hasKey, write
-	q.ArrivedAt, q.Deadline, q.Work, q.ValueSize = h.nowMs, deadline, work, size
-	n.requests[q.ID] = q.Ref
-	h.apply(n, q, n.module.Route(h.nowMs, q))
+	request := inst.slab.Alloc()
+	request.ID, request.Class, request.Tenant = fleet.RequestID(id), fleet.ClassID(class), fleet.TenantID(tenant)
+	request.Key, request.HasKey, request.Write = key, hasKey, write
+	request.ArrivedAt, request.Deadline, request.Work, request.ValueSize = h.nowMs, deadline, work, size
+	inst.requests[request.ID] = request.Ref
+	h.apply(inst, request, inst.module.Route(h.nowMs, request))
 	return nil
 }
 
-// handleOutcome records how an attempt ended.
-func (h *Host) handleOutcome(n *instance) {
+// handleOutcome reports the end of an attempt to the module.
+func (h *Host) handleOutcome(inst *instance) {
 	m := &h.message
 	id := fleet.RequestID(m.requiredInteger("Job"))
 	outcome := fleet.Outcome{
@@ -113,67 +113,67 @@
 	if status := m.integer("Detail"); status >= 0 && status <= maxCacheStatus {
 		outcome.Cache = fleet.CacheStatus(status)
 	}
-	if m.err != nil || n == nil {
+	if m.err != nil || inst == nil {
 		return
 	}
-	if q := n.request(id); q != nil {
-		h.apply(n, q, n.module.AttemptDone(h.nowMs, q, outcome))
+	if request := inst.request(id); request != nil {
+		h.apply(inst, request, inst.module.AttemptDone(h.nowMs, request, outcome))
 	}
 }
 
-// handleTimer records that a timer has fired. One that was set again meanwhile is still pending.
-func (h *Host) handleTimer(n *instance) {
-	if sequence := h.message.integer("KeyBack"); n != nil && sequence == n.timerSequence {
-		n.timerDueMs = math.Inf(1)
+// handleTimer records that a timer has fired. It ignores timers that a later one has replaced.
+func (h *Host) handleTimer(inst *instance) {
+	if sequence := h.message.integer("KeyBack"); inst != nil && sequence == inst.timerSequence {
+		inst.timerDueMs = math.Inf(1)
 	}
 }
 
-// handleClientGone records that the client of a request has gone.
-func (h *Host) handleClientGone(n *instance) {
+// handleClientGone reports to the module that the client of a request has disconnected.
+func (h *Host) handleClientGone(inst *instance) {
 	id := fleet.RequestID(h.message.requiredInteger("Job"))
-	if n == nil || h.message.err != nil {
+	if inst == nil || h.message.err != nil {
 		return
 	}
-	if q := n.request(id); q != nil && !q.Closed {
-		n.module.ClientGone(h.nowMs, q)
-		n.releaseIfDone(q)
+	if request := inst.request(id); request != nil && !request.Closed {
+		inst.module.ClientGone(h.nowMs, request)
+		inst.releaseIfDone(request)
 	}
 }
 
-// handleAttemptStarted records that a server has begun to work on an attempt.
-func (h *Host) handleAttemptStarted(n *instance) {
+// handleAttemptStarted reports to the module that a server has begun to work on an attempt.
+func (h *Host) handleAttemptStarted(inst *instance) {
 	m := &h.message
 	id := fleet.RequestID(m.requiredInteger("Job"))
-	m.integer("Go") // the module does not need the attempt's number, but a field that is not a number is an error
-	if n == nil || m.err != nil {
+	m.integer("Go") // not used, but a value that is not a number is an error
+	if inst == nil || m.err != nil {
 		return
 	}
-	if q := n.request(id); q != nil {
-		n.module.ResponseStarted(h.nowMs, q)
+	if request := inst.request(id); request != nil {
+		inst.module.ResponseStarted(h.nowMs, request)
 	}
 }
 
-// handleProbeResult handles the result of a health check.
-func (h *Host) handleProbeResult(n *instance) {
+// handleProbeResult reports the result of a health check to the module.
+func (h *Host) handleProbeResult(inst *instance) {
 	m := &h.message
 	result, took, report := m.result(), m.milliseconds("CostTime"), m.loadReport()
 	name, _ := m.field("Server")
-	if n == nil || m.err != nil {
+	if inst == nil || m.err != nil {
 		return
 	}
-	if id, known := n.serverIDs[string(name)]; known {
-		n.module.ProbeDone(h.nowMs, id, result, took, report)
+	if id, known := inst.serverIDs[string(name)]; known {
+		inst.module.ProbeDone(h.nowMs, id, result, took, report)
 	}
 }
 
-// Bounds of codes on the wire.
+// Highest codes on the wire.
 const (
 	maxServerState = int64(fleet.Ready)
 	maxListMode    = 3
 	maxCacheStatus = 3
 )
 
-// readEndpointList reads a list into its slot, in place of the one that was there, also within a batch.
+// readEndpointList reads an endpoint list and replaces the list in its slot, also for later messages of the same batch.
 func (h *Host) readEndpointList() error {
 	m := &h.message
 	slot, count := m.requiredInteger("Slot"), m.requiredInteger("Elements")
@@ -195,7 +195,7 @@
 	return nil
 }
 
-// readListEntry reads one entry of a list.
+// readListEntry reads the next message, which must be an entry of an endpoint list.
 func (h *Host) readListEntry() (listEntry, error) {
 	if err := h.readMessage(); err != nil {
 		return listEntry{}, err
@@ -203,7 +203,7 @@
 	m := &h.message
 	name, found := m.field("Server")
 	if string(m.name) != "SERVER" || !found {
-		return listEntry{}, fmt.Errorf("message %q where a list entry should stand", m.name)
+		return listEntry{}, fmt.Errorf("message %q where a list entry is expected", m.name)
 	}
 	state := m.integer("Mode")
 	if state < 0 || state > maxServerState {
@@ -216,8 +216,8 @@
 	}}, m.err
 }
 
-// handleListEvent hands a list of a slot to an instance.
-func (h *Host) handleListEvent(n *instance) error {
+// handleListEvent gives the endpoint list in a slot to an instance.
+func (h *Host) handleListEvent(inst *instance) error {
 	m := &h.message
 	mode, slot := m.integer("Mode"), m.integer("Slot")
 	if m.err != nil {
@@ -226,7 +226,7 @@
 	if mode < 0 || mode > maxListMode || slot < 0 || slot >= maxEndpointLists {
 		return fmt.Errorf("list event of mode %d for list %d is out of range", mode, slot)
 	}
-	if n == nil {
+	if inst == nil {
 		return nil
 	}
 	h.endpointBuffer = h.endpointBuffer[:0]
@@ -234,10 +234,10 @@
 		for i := range h.endpointLists[slot] {
 			entry := &h.endpointLists[slot][i]
 			endpoint := entry.Endpoint
-			endpoint.ID, endpoint.Name = n.serverID(entry.name), entry.name
+			endpoint.ID, endpoint.Name = inst.serverID(entry.name), entry.name
 			h.endpointBuffer = append(h.endpointBuffer, endpoint)
 		}
 	}
-	n.module.UpdateEndpoints(h.nowMs, fleet.ListMode(mode), h.endpointBuffer)
+	inst.module.UpdateEndpoints(h.nowMs, fleet.ListMode(mode), h.endpointBuffer)
 	return nil
 }
--- a/internal/simwire/golden_test.go
+++ b/internal/simwire/golden_test.go
@@ -8,42 +8,41 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// golden reads a fixture. The fixtures were written by this program before its names changed; the wire is another program's, so that no
-// byte of it may change.
+// golden returns the content of a fixture. The fixtures pin the wire format: it belongs to another program, so that no byte may change.
 func golden(t *testing.T, name string) string {
 	t.Helper()
 	return string(goldentest.Read(t, name))
 }
 
-// diff names the first line in which two texts differ.
+// diff fails the test with the first line in which two texts differ.
 func diff(t *testing.T, got, want string) {
 	t.Helper()
 	if got == want {
 		return
 	}
-	g, w := bytes.Split([]byte(got), []byte("\n")), bytes.Split([]byte(want), []byte("\n"))
-	for i := range min(len(g), len(w)) {
-		if !bytes.Equal(g[i], w[i]) {
-			t.Fatalf("line %d is %q, was %q", i+1, g[i], w[i])
+	gotLines, wantLines := bytes.Split([]byte(got), []byte("\n")), bytes.Split([]byte(want), []byte("\n"))
+	for i := range min(len(gotLines), len(wantLines)) {
+		if !bytes.Equal(gotLines[i], wantLines[i]) {
+			t.Fatalf("line %d is %q, want %q", i+1, gotLines[i], wantLines[i])
 		}
 	}
-	t.Fatalf("%d lines, were %d", len(g), len(w))
+	t.Fatalf("%d lines, want %d", len(gotLines), len(wantLines))
 }
 
-// TestGoldenSession plays a recorded input of two instances, with every message of the wire in it, and compares the actions.
+// TestGoldenSession runs a recorded input of two instances, with every message of the protocol in it, and compares the actions.
 func TestGoldenSession(t *testing.T) {
-	out, err := play(t, golden(t, "session.in"))
+	out, err := runHost(t, golden(t, "session.in"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	diff(t, out, golden(t, "session.out"))
 }
 
-// TestGoldenActions writes each decision that the module can take.
+// TestGoldenActions compares the actions for each kind of decision.
 func TestGoldenActions(t *testing.T) {
 	var out bytes.Buffer
 	h := &Host{out: newActionWriter(&out)}
-	n := &instance{id: 7, serverNames: []string{"10.0.0.1:11211", "10.0.0.2:11211"}}
+	inst := &instance{id: 7, serverNames: []string{"10.0.0.1:11211", "10.0.0.2:11211"}}
 	for _, decision := range []fleet.Decision{
 		{Action: fleet.Hold},
 		{Action: fleet.Send, Server: 1, Attempt: 0, Timeout: 399.25},
@@ -59,9 +58,9 @@
 		{Action: fleet.Hold, CloseIdle: true, IdleServer: 1},
 		{Action: fleet.Abort, CloseIdle: true, IdleServer: 0},
 	} {
-		q := n.slab.Alloc()
-		q.ID = 42
-		h.apply(n, q, decision)
+		request := inst.slab.Alloc()
+		request.ID = 42
+		h.apply(inst, request, decision)
 	}
 	if err := h.out.flush(); err != nil {
 		t.Fatal(err)
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -1,8 +1,8 @@
-// Package simwire hosts instances of the decision module on the text wire of the operators' simulator: it reads messages straight
-// into calls on the module and writes the module's decisions back. It keeps timers and the requests in flight, and decides nothing.
+// Package simwire hosts instances of the decision module for the operators' simulator. It translates the messages of the simulator's text
+// protocol into calls on the module, and the module's decisions into actions. It keeps timers and requests in flight, but decides nothing.
 //
-// A batch of messages begins with ROUND and ends with OVER_TO_YOU, and is answered by actions and END. Times on the wire are in
-// microseconds, times of the module in milliseconds.
+// A batch of messages begins with ROUND and ends with OVER_TO_YOU. The response to a batch consists of actions and ends with END. Times on
+// the wire are in microseconds, times of the module in milliseconds.
 package simwire
 
 import (
@@ -22,31 +22,31 @@
 	outputBufferBytes = 1 << 16
 	// maxEndpointLists is the number of slots for endpoint lists.
 	maxEndpointLists = 16
-	// maxTimerMicros bounds the time that a timer is set to.
+	// maxTimerMicros is the longest time that a timer is set to.
 	maxTimerMicros = 4e9
 	// microsPerMs converts between the wire's times and the module's.
 	microsPerMs = 1000
 )
 
-// errInputEnded says that the input ended within a batch.
+// errInputEnded is the error for an input that ends within a batch.
 var errInputEnded = errors.New("input ends within a batch")
 
-// Host runs the instances of one process. One goroutine may use it.
+// Host runs the instances of one process. It is not safe for concurrent use.
 type Host struct {
 	in       *bufio.Reader
-	longLine []byte // a line that does not fit the input's buffer
+	longLine []byte // buffer for a line longer than the input's buffer
 	lineNo   int
-	message  message // the one read last
+	message  message // last one read
 	out      actionWriter
 
 	nowMs          float64
 	instances      map[int64]*instance
-	touched        []*instance // those with events in this batch
+	touched        []*instance // instances with messages in this batch
 	endpointLists  [maxEndpointLists][]listEntry
 	endpointBuffer []fleet.Endpoint
 }
 
-// instance is one hosted instance of the module.
+// instance is a hosted instance of the decision module.
 type instance struct {
 	id          int64
 	module      *decide.Node
@@ -54,15 +54,15 @@
 	requests    map[fleet.RequestID]fleet.Ref
 	serverIDs   map[string]fleet.ServerID // by name
 	serverNames []string                  // by ID
-	classCount  int                       // request classes that the settings name
+	classCount  int                       // number of request classes in the settings
 
-	timerDueMs    float64 // when the pending timer is due; +Inf for none
-	timerSequence int64   // of the timer that was set last
-	isTouched     bool    // it is among the touched ones
+	timerDueMs    float64 // when the pending timer is due; +Inf: none
+	timerSequence int64   // number of the last timer set
+	isTouched     bool    // it is in Host.touched
 	exited        bool
 }
 
-// listEntry is an endpoint with its server's name, which each instance turns into an ID of its own.
+// listEntry is an endpoint with its server's name, which each instance maps to an ID of its own.
 type listEntry struct {
 	name string
 	fleet.Endpoint
@@ -75,7 +75,7 @@
 	}
 }
 
-// Run serves until the input ends. A line that cannot be read ends it with an error that names the line.
+// Run processes batches until the input ends or has an error. An error in a line names the line's number.
 func (h *Host) Run() error {
 	for {
 		line, err := h.readLine()
@@ -97,7 +97,8 @@
 	}
 }
 
-// readLine returns the next line without its end; it is valid until the next call. A last line that is cut short is an error.
+// readLine returns the next line without its line ending; the slice is valid until the next call. A last line without a line ending is an
+// error.
 func (h *Host) readLine() ([]byte, error) {
 	h.longLine = h.longLine[:0]
 	for {
@@ -124,7 +125,7 @@
 	}
 }
 
-// readMessage reads a message within a batch, where the input may not end.
+// readMessage reads a message within a batch. The end of the input is an error there.
 func (h *Host) readMessage() error {
 	line, err := h.readLine()
 	if errors.Is(err, io.EOF) {
@@ -137,7 +138,7 @@
 	return h.message.err
 }
 
-// handleBatch reads a batch of which the first line has been read, and writes the actions that answer it.
+// handleBatch processes the batch that begins with the given line and writes the resulting actions.
 func (h *Host) handleBatch(first []byte) error {
 	m := &h.message
 	if m.parse(first); m.err != nil {
@@ -161,10 +162,10 @@
 	if m.err != nil {
 		return m.err
 	}
-	for _, n := range h.touched {
-		n.isTouched = false
-		if !n.exited {
-			h.runDueWork(n)
+	for _, inst := range h.touched {
+		inst.isTouched = false
+		if !inst.exited {
+			h.runDueWork(inst)
 		}
 	}
 	h.touched = h.touched[:0]
@@ -172,61 +173,63 @@
 	return nil
 }
 
-// touch has an instance do its due work at the end of the batch.
-func (h *Host) touch(n *instance) {
-	if n != nil && !n.isTouched {
-		n.isTouched = true
-		h.touched = append(h.touched, n)
+// touch schedules an instance's due work for the end of the batch.
+func (h *Host) touch(inst *instance) {
+	if inst != nil && !inst.isTouched {
+		inst.isTouched = true
+		h.touched = append(h.touched, inst)
 	}
 }
 
-// runDueWork has the module do everything that is due, and sets the instance's timer.
-func (h *Host) runDueWork(n *instance) {
+// runDueWork calls the module for all work that is due, and sets a timer for the next.
+func (h *Host) runDueWork(inst *instance) {
 	for {
-		ref, waitMs := n.module.NextDue(h.nowMs)
+		ref, waitMs := inst.module.NextDue(h.nowMs)
 		if waitMs <= 0 {
-			q := n.slab.Get(ref)
-			h.apply(n, q, n.module.Route(h.nowMs, q))
+			request := inst.slab.Get(ref)
+			h.apply(inst, request, inst.module.Route(h.nowMs, request))
 			continue
 		}
-		if dueMs := h.nowMs + waitMs; dueMs < n.timerDueMs && !math.IsInf(dueMs, 1) {
-			n.timerDueMs = dueMs
-			n.timerSequence++
-			h.out.timer(n, int64(min(math.Ceil(waitMs*microsPerMs), maxTimerMicros)))
+		if dueMs := h.nowMs + waitMs; dueMs < inst.timerDueMs && !math.IsInf(dueMs, 1) {
+			inst.timerDueMs = dueMs
+			inst.timerSequence++
+			h.out.timer(inst, int64(min(math.Ceil(waitMs*microsPerMs), maxTimerMicros)))
 		}
 		return
 	}
 }
 
-// apply writes a decision, which is about a request unless q is nil.
-func (h *Host) apply(n *instance, q *fleet.Request, decision fleet.Decision) {
-	h.out.decision(n, q, decision)
-	if q != nil {
-		n.releaseIfDone(q)
+// apply writes a decision; request is nil for decisions about the instance itself.
+func (h *Host) apply(inst *instance, request *fleet.Request, decision fleet.Decision) {
+	h.out.decision(inst, request, decision)
+	if request != nil {
+		inst.releaseIfDone(request)
 	}
 }
 
-// request returns a request in flight by its ID, nil for one that is not.
-func (n *instance) request(id fleet.RequestID) *fleet.Request { return n.slab.Get(n.requests[id]) }
+// request returns the request in flight with an ID, or nil.
+func (inst *instance) request(id fleet.RequestID) *fleet.Request {
+	return inst.slab.Get(inst.requests[id])
+}
 
-// releaseIfDone frees a request once it is answered and nothing of it is in flight.
-func (n *instance) releaseIfDone(q *fleet.Request) {
-	if !q.Closed || q.InFlight != 0 || n.slab.Get(q.Ref) != q {
+// releaseIfDone frees a request that is closed and has no attempt in flight.
+func (inst *instance) releaseIfDone(request *fleet.Request) {
+	if !request.Closed || request.InFlight != 0 || inst.slab.Get(request.Ref) != request {
 		return
 	}
-	if n.requests[q.ID] == q.Ref {
-		delete(n.requests, q.ID)
+	if inst.requests[request.ID] == request.Ref {
+		delete(inst.requests, request.ID)
 	}
-	n.slab.Free(q)
+	inst.slab.Free(request)
 }
 
-// serverID returns the ID of a server by its name, a new one for a name that the instance has not seen yet.
-func (n *instance) serverID(name string) fleet.ServerID {
-	id, known := n.serverIDs[name]
+// serverID returns the ID for a server name. It assigns a new ID to a name that the instance has not seen yet.
+func (inst *instance) serverID(name string) fleet.ServerID {
+	id, known := inst.serverIDs[name]
 	if !known {
-		id = fleet.ServerID(len(n.serverNames))
-		n.serverIDs[name] = id
-		n.serverNames = append(n.serverNames, name)
+		id = fleet.ServerID(len(inst.serverNames))
+		inst.serverIDs[name] = id
+		inst.serverNames = append(inst.serverNames, name)
 	}
 	return id
 }
--- a/internal/simwire/message.go
+++ b/internal/simwire/message.go
@@ -11,24 +11,24 @@
 	"mintspring/internal/fleet"
 )
 
-// message is one line of the wire: a name and name=value fields in any order. Its methods read fields; they keep the first error
-// and return a zero value for a field that is missing or bad. Nothing is copied: the values are parts of the line.
+// message is a line of the protocol: a name, and name=value fields in any order. Methods that read fields return a zero value for a field
+// that is missing or malformed, and record the first error. Values are not copied: they are slices of the line.
 type message struct {
 	name   []byte
 	fields []byte
-	err    error // the first bad value met
+	err    error // first error
 }
 
 var (
 	fieldSeparator = []byte(" ")
-	// envPrefix begins a field whose value runs to the end of the line.
+	// envPrefix is the start of the field Env, whose value extends to the end of the line.
 	envPrefix = []byte("Env=")
 )
 
-// maxFloat is the greatest size of a number that is read.
+// maxFloat is the largest absolute value that is accepted.
 const maxFloat = 1e300
 
-// parse splits off the name of a message and checks that every field has a name.
+// parse splits a line into its name and its fields, and checks that every field has a name.
 func (m *message) parse(line []byte) {
 	m.err = nil
 	m.name, m.fields, _ = bytes.Cut(line, fieldSeparator)
@@ -45,7 +45,7 @@
 	}
 }
 
-// field returns the value of a field, and whether there is one.
+// field returns the value of a field and whether the message has the field.
 func (m *message) field(name string) (value []byte, found bool) {
 	for rest := m.fields; len(rest) > 0; {
 		if bytes.HasPrefix(rest, envPrefix) {
@@ -63,14 +63,14 @@
 	return nil, false
 }
 
-// setError notes a bad value, unless there was one before.
+// setError records a malformed value, unless there has been an error before.
 func (m *message) setError(name string, value []byte) {
 	if m.err == nil {
 		m.err = fmt.Errorf("bad value %q for %s", value, name)
 	}
 }
 
-// integer reads an integer; 0 for none.
+// integer returns the value of an integer field, or 0 if the field is missing.
 func (m *message) integer(name string) int64 {
 	value, found := m.field(name)
 	if !found {
@@ -92,7 +92,7 @@
 	return x
 }
 
-// parseDigits reads a decimal number without a sign. It allocates nothing, unlike package strconv on a slice of bytes.
+// parseDigits parses a decimal number without a sign. Unlike package strconv on a byte slice, it does not allocate.
 func parseDigits(digits []byte) (x int64, ok bool) {
 	const maxDigits = 19
 	if len(digits) == 0 || len(digits) > maxDigits {
@@ -107,7 +107,7 @@
 	return x, true
 }
 
-// requiredInteger reads an integer that has to be there.
+// requiredInteger returns the value of an integer field. A missing field is an error.
 func (m *message) requiredInteger(name string) int64 {
 	if _, found := m.field(name); !found && m.err == nil {
 		m.err = fmt.Errorf("%s is missing", name)
@@ -115,10 +115,10 @@
 	return m.integer(name)
 }
 
-// milliseconds reads a time, which the wire has in microseconds.
+// milliseconds returns the value of a time field, which is in microseconds on the wire.
 func (m *message) milliseconds(name string) float64 { return float64(m.integer(name)) / microsPerMs }
 
-// float reads a number; 0 for none.
+// float returns the value of a number field, or 0 if the field is missing.
 func (m *message) float(name string) float64 {
 	value, found := m.field(name)
 	if !found {
@@ -127,7 +127,7 @@
 	return m.parseFloat(name, value)
 }
 
-// parseFloat reads a number that is part of a field.
+// parseFloat parses a number that is all or part of a field's value.
 func (m *message) parseFloat(name string, value []byte) float64 {
 	x, err := strconv.ParseFloat(string(value), 64)
 	if err != nil || math.IsNaN(x) || math.Abs(x) > maxFloat {
@@ -137,7 +137,7 @@
 	return x
 }
 
-// boolean reads 0 or 1; false for none.
+// boolean returns the value of a field that is 0 or 1, or false if the field is missing.
 func (m *message) boolean(name string) bool {
 	value, found := m.field(name)
 	switch {
@@ -150,7 +150,7 @@
 	return false
 }
 
-// ringKey reads a key of up to 16 hexadecimal digits, and whether there is one.
+// ringKey returns the value of a key field of up to 16 hexadecimal digits, and whether the message has the field.
 func (m *message) ringKey(name string) (key fleet.Key, found bool) {
 	const maxDigits = 16
 	value, found := m.field(name)
@@ -185,7 +185,7 @@
 	return 0, false
 }
 
-// base64 reads bytes in base64; nil for none, which is also written as "-".
+// base64 returns the decoded value of a base64 field, or nil if the field is missing or "-".
 func (m *message) base64(name string) []byte {
 	value, found := m.field(name)
 	if !found || string(value) == "-" {
@@ -199,7 +199,7 @@
 	return decoded[:n]
 }
 
-// loadReport reads a load report; names that are not known are skipped.
+// loadReport returns the load report of a message. Unknown names of figures are skipped.
 func (m *message) loadReport() fleet.LoadReport {
 	const field = "Usage"
 	report := fleet.NewLoadReport()
@@ -212,14 +212,14 @@
 			m.setError(field, pair)
 			return report
 		}
-		if at := settings.ReportField(&report, name); at != nil {
-			*at, report.Present = m.parseFloat(field, value), true
+		if figure := settings.ReportField(&report, name); figure != nil {
+			*figure, report.Present = m.parseFloat(field, value), true
 		}
 	}
 	return report
 }
 
-// result reads how an attempt or a health check ended.
+// result returns the result of an attempt or a health check.
 func (m *message) result() fleet.Result {
 	const field = "Result"
 	value, _ := m.field(field)
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// env is the settings of an instance with one class of requests.
+// env holds the settings of an instance with one request class.
 const env = `{"Workloads":[{"Effect":"pure","SloTime":300000,"StatementTimeout":900000,"Importance":1}],` +
 	`"Discovery":"subscribe","Later":{"x":[1]},"PolicyLimits":{"MaxExecutions":3},"Guarantees":{"MustAskIn":9000000}}`
 
-// play runs a host over an input and returns what it wrote.
-func play(t *testing.T, in string) (string, error) {
+// runHost runs a host on an input and returns its output.
+func runHost(t *testing.T, in string) (string, error) {
 	t.Helper()
 	var out bytes.Buffer
 	err := NewHost(strings.NewReader(in), &out).Run()
@@ -19,7 +19,7 @@
 }
 
 func TestBatches(t *testing.T) {
-	out, err := play(t, "ROUND Moment=1000\nOVER_TO_YOU\n"+
+	out, err := runHost(t, "ROUND Moment=1000\nOVER_TO_YOU\n"+
 		"ROUND Moment=5000000\nSPAWN Who=3 Prng=9 New=1 Env="+env+"\n"+
 		"LEDGER Elements=1 Slot=0\nSERVER Server=10.0.0.1:11211 Mode=2 Size=1.5\n"+
 		"ANNOUNCE Slot=0 Stamp=4 Mode=2 Who=3\n"+
@@ -36,18 +36,18 @@
 		}
 	}
 	if strings.Count(out, "END\n") != 4 {
-		t.Errorf("the output has not one END for each batch: %s", out)
+		t.Errorf("want one END for each batch, output: %s", out)
 	}
 }
 
-// An instance that ends and starts anew within one batch knows nothing of before: neither its requests nor its servers. A timer of one that
-// has ended has no answer.
+// An instance that exits and is spawned again within a batch keeps neither requests nor servers. A timer event for an instance that has
+// exited is ignored.
 func TestInstanceRestartsWithinABatch(t *testing.T) {
 	const spawn = "SPAWN Who=3 Prng=9 Env=" + env + "\n"
 	list := func(server string) string {
 		return "LEDGER Elements=1 Slot=0\nSERVER Server=" + server + " Mode=2\nANNOUNCE Slot=0 Stamp=4 Mode=2 Who=3\n"
 	}
-	out, err := play(t, "ROUND Moment=5000000\n"+spawn+list("10.0.0.1:1")+"KNOCK PathKey=91f03b7c55d20a64 Job=77 Who=3 DropDead=5400000\nOVER_TO_YOU\n"+
+	out, err := runHost(t, "ROUND Moment=5000000\n"+spawn+list("10.0.0.1:1")+"KNOCK PathKey=91f03b7c55d20a64 Job=77 Who=3 DropDead=5400000\nOVER_TO_YOU\n"+
 		"ROUND Moment=5010000\nEXIT Who=3\n"+spawn+list("10.0.0.2:1")+"KNOCK PathKey=91f03b7c55d20a64 Job=78 Who=3 DropDead=5400000\nOVER_TO_YOU\n"+
 		"ROUND Moment=5020000\nEXIT Who=3\nOVER_TO_YOU\nROUND Moment=5030000\nELAPSED Who=3 KeyBack=1\nOVER_TO_YOU\n")
 	if err != nil {
@@ -74,7 +74,7 @@
 		{"ROUND Moment=1\nSPAWN Who=1 Prng=1 Env={\nOVER_TO_YOU\n", "line 2: settings"},
 		{"ROUND Moment=1\nLEDGER Slot=16 Elements=0\n", "line 2: list 16"},
 	} {
-		if out, err := play(t, c.in); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(out, "END") {
+		if out, err := runHost(t, c.in); err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(out, "END") {
 			t.Errorf("%q: error %v, output %q, want %q", c.in, err, out, c.want)
 		}
 	}
