--- a/internal/fleet/decision.go
+++ b/internal/fleet/decision.go
@@ -23,7 +23,7 @@
 	Server     ServerID // Send, Probe
 	Attempt    int      // Send, Cancel: index in Request.Attempts
 	Timeout    float64  // Send: time limit of the attempt, in ms
-	SendBy     float64  // Send: deadline for the attempt's last byte, which could repeat the request's effect later; 0 or +Inf: none
+	SendBy     float64  // Send: deadline for the last byte; if sent later, it could repeat the request's effect; 0 or +Inf: none
 	RetryAfter float64  // Reject: time in ms after which the client may retry; 0: unknown
 	Body       []byte   // Broadcast
 
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -48,7 +48,7 @@
 	Pending       Result = iota // still in flight
 	Completed                   // executed
 	Failed                      // the server responded with an error
-	Declined                    // the server declined it
+	Declined                    // the server refused to execute it
 	TimedOut                    // no response within its timeout
 	ConnectFailed               // no connection could be established
 	Reset                       // the connection was lost after the last byte of the request
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -8,7 +8,7 @@
 	Keys               []KeyCount
 	KeySum             float64 // sum of the counts of all keys, listed in Keys or not
 	OriginWindow       float64 // requests that may be in flight at the origin
-	OriginResponseTime float64 // of the origin
+	OriginResponseTime float64 // usual response time of the origin
 	Util               float64 // mean utilization of the caches
 	ZoneShare          float64 // share of keys that are routed within the zone
 	CacheLoad          float64 // work per ms sent to all caches; handed over in a hot restart, but not stored in files
--- a/internal/fleet/timers.go
+++ b/internal/fleet/timers.go
@@ -2,7 +2,7 @@
 
 import "container/heap"
 
-// Timer says when to look at a request again.
+// Timer is the time at which a request is due.
 type Timer struct {
 	At  float64
 	Ref Ref
