--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -18,7 +18,7 @@
 	slab := &fleet.Slab{}
 	node := decide.New(now, fleet.Limits{
 		Seed: 1, Nodes: 1, Zones: 1, OriginKind: originKind, MaxAttempts: 3, Hedging: true, Quantum: 1,
-		Classes: []fleet.Class{{Effect: fleet.Idempotent, LatencyObjective: 200, Timeout: 1000, PriorityWeight: 1}},
+		Classes: []fleet.Class{{Effect: fleet.Idempotent, LatencyObjective: 200, ClientTimeout: 1000, PriorityWeight: 1}},
 	}, slab)
 	node.UpdateEndpoints(now, fleet.ListFull, []fleet.Endpoint{
 		{ID: 0, Name: "cache-a", State: fleet.Ready, Kind: cacheKind},
@@ -34,7 +34,7 @@
 func newRead(slab *fleet.Slab, now float64, key fleet.Key) *fleet.Request {
 	req := slab.Alloc()
 	req.Class, req.Key, req.HasKey = 0, key, true
-	req.Arrived, req.Deadline = now, now+1000
+	req.ArrivedAt, req.Deadline = now, now+1000
 	return req
 }
 
@@ -57,7 +57,7 @@
 	d = node.AttemptDone(now, req, fleet.Outcome{
 		Attempt: d.Attempt, Result: fleet.Completed, Took: 30, Closed: true, Report: fleet.NewLoadReport(),
 	})
-	fmt.Println("nothing more to do:", d.Action == fleet.Nothing)
+	fmt.Println("nothing more to do:", d.Action == fleet.NoAction)
 	slab.Free(req)
 	// Output:
 	// attempt 0 send: true to cache-b within 1000 ms
@@ -105,12 +105,12 @@
 	}
 	var snapshot fleet.Snapshot
 	before.Export(now, &snapshot)
-	fmt.Printf("%s answers in %.0f ms\n", serverNames[1], snapshot.Servers[1].RT)
+	fmt.Printf("%s answers in %.0f ms\n", serverNames[1], snapshot.Servers[1].ResponseTime)
 
 	after, _ := newNode(now)
 	after.Restore(now, &snapshot)
 	after.Export(now, &snapshot)
-	fmt.Printf("the new node expects %.0f ms\n", snapshot.Servers[1].RT)
+	fmt.Printf("the new node expects %.0f ms\n", snapshot.Servers[1].ResponseTime)
 	// Output:
 	// cache-b answers in 8 ms
 	// the new node expects 8 ms
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -28,15 +28,15 @@
 func testLimits() fleet.Limits {
 	return fleet.Limits{
 		Seed: 5, Nodes: 1, OriginKind: 1, MaxAttempts: 4, Hedging: true,
-		Cancellation: true,
-		RetryAfter:   true, MaxRetryAfter: 1000, DrainWithin: 500, ColdCapacity: 0.2, WarmUpTime: testWarmUpTime,
+		Cancellation:   true,
+		SendRetryAfter: true, MaxRetryAfter: 1000, StopSendingWithin: 500, ColdCapacity: 0.2, WarmUpTime: testWarmUpTime,
 		OverloadFactor: 4, OverloadBurst: 2000, AnswerSlack: 20, Quantum: 5, Classes: []fleet.Class{
-			{LatencyObjective: classObjective, Timeout: clientTimeout, PriorityWeight: 1},
+			{LatencyObjective: classObjective, ClientTimeout: clientTimeout, PriorityWeight: 1},
 			{
-				LatencyObjective: classObjective, Timeout: clientTimeout, PriorityWeight: 3,
+				LatencyObjective: classObjective, ClientTimeout: clientTimeout, PriorityWeight: 3,
 				Effect: fleet.Deduplicated, DedupWindow: 1000,
 			},
-			{LatencyObjective: classObjective, Timeout: clientTimeout, PriorityWeight: 2, Effect: fleet.NonIdempotent},
+			{LatencyObjective: classObjective, ClientTimeout: clientTimeout, PriorityWeight: 2, Effect: fleet.NonIdempotent},
 		},
 	}
 }
@@ -45,15 +45,15 @@
 func endpointList(servers int) []fleet.Endpoint {
 	var list []fleet.Endpoint
 	for i := range servers {
-		list = append(list, fleet.Endpoint{ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), State: fleet.Ready, Size: 1})
+		list = append(list, fleet.Endpoint{ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), State: fleet.Ready, NominalCapacity: 1})
 	}
-	return append(list, fleet.Endpoint{ID: fleet.ServerID(servers), Name: "origin", Kind: 1, State: fleet.Ready, Size: 1})
+	return append(list, fleet.Endpoint{ID: fleet.ServerID(servers), Name: "origin", Kind: 1, State: fleet.Ready, NominalCapacity: 1})
 }
 
 // newRead puts a read of a key into the slab.
 func newRead(slab *fleet.Slab, now float64, key fleet.Key) *fleet.Request {
 	req := slab.Alloc()
-	req.Key, req.HasKey, req.Arrived, req.Deadline = key, true, now, now+clientTimeout
+	req.Key, req.HasKey, req.ArrivedAt, req.Deadline = key, true, now, now+clientTimeout
 	return req
 }
 
@@ -169,7 +169,7 @@
 func (h *harness) request(class fleet.ClassID, key fleet.Key, write bool, timeout float64) *requestTrace {
 	req := h.slab.Alloc()
 	req.Class, req.Key, req.HasKey, req.Write = class, key, true, write
-	req.Arrived, req.Deadline = h.now, h.now+timeout
+	req.ArrivedAt, req.Deadline = h.now, h.now+timeout
 	trace := &requestTrace{req: req, ref: req.Ref, deadline: req.Deadline}
 	h.open = append(h.open, trace)
 	h.apply(trace, h.node.Route(h.now, req))
@@ -212,10 +212,10 @@
 	case fleet.Reject, fleet.Abort:
 		trace.answers++
 		h.checkAnswer(trace, d)
-		if d.RetryAfter > 0 && (!h.limits.RetryAfter || d.RetryAfter > h.limits.MaxRetryAfter) {
+		if d.RetryAfter > 0 && (!h.limits.SendRetryAfter || d.RetryAfter > h.limits.MaxRetryAfter) {
 			h.violated("the client is to come back after %v ms", d.RetryAfter)
 		}
-	case fleet.Probe, fleet.Tell:
+	case fleet.Probe, fleet.Broadcast:
 		h.violated("action %d, which no limit permits", d.Action)
 	case fleet.Cancel:
 		if !h.limits.Cancellation {
@@ -254,14 +254,14 @@
 		return
 	}
 	to, from := h.list[d.Server], h.list[earlier.server]
-	inScope := class.Scope == fleet.ScopeAll || class.Scope == fleet.ScopeZone && to.Zone == from.Zone ||
-		class.Scope == fleet.ScopeCell && to.Cell == from.Cell
+	inScope := class.DedupScope == fleet.DedupAll || class.DedupScope == fleet.DedupZone && to.Zone == from.Zone ||
+		class.DedupScope == fleet.DedupCell && to.Cell == from.Cell
 	repeatableUntil := earlier.sentAt + class.DedupWindow
 	if class.Effect == fleet.NonIdempotent ||
 		class.Effect == fleet.Deduplicated && (!inScope || h.now > repeatableUntil) {
 		h.violated("effect %d may happen twice", class.Effect)
 	}
-	sendableUntil := d.NotAfter
+	sendableUntil := d.SendBy
 	if sendableUntil == 0 {
 		sendableUntil = math.Inf(1)
 	}
@@ -277,7 +277,7 @@
 	}
 	class := h.limits.Classes[trace.req.Class]
 	maySayNotExecuted := class.Effect == fleet.Idempotent ||
-		class.Effect == fleet.Deduplicated && class.Scope == fleet.ScopeAll
+		class.Effect == fleet.Deduplicated && class.DedupScope == fleet.DedupAll
 	for _, a := range trace.attempts {
 		if d.Action == fleet.Reject && a.mayHaveExecuted() && !maySayNotExecuted {
 			h.violated("rejected though it may have been executed")
@@ -295,7 +295,7 @@
 	}
 	o := fleet.Outcome{
 		Attempt: i, Result: result, Took: h.now - a.sentAt, Closed: answered || trace.answers > 0 || trace.clientGone,
-		Stale: h.stale, Cache: cache, Report: fleet.NewLoadReport(),
+		StaleConnection: h.stale, Cache: cache, Report: fleet.NewLoadReport(),
 	}
 	if req := h.slab.Get(trace.ref); req != nil {
 		h.apply(trace, h.node.AttemptDone(h.now, req, o))
--- a/decide/ring.go
+++ b/decide/ring.go
@@ -120,7 +120,7 @@
 // server's own recent level stands for memory short of beta. What is not reported is NaN and leaves the sum.
 func (s *server) level() float64 {
 	sum, k, r := 0.0, 0.0, &s.report
-	for _, used := range [...]float64{r.Util, r.Queue / s.queuePeak, 1 - r.X0/s.hitRatio} {
+	for _, used := range [...]float64{r.Util, r.Queue / s.queuePeak, 1 - r.HitRatio/s.hitRatio} {
 		if !math.IsNaN(used) {
 			sum, k = sum+1+(maxLevel-1)*min(max(used, 0), 1), k+1
 		}
@@ -222,7 +222,7 @@
 	c := map[bool]*hashRing{false: &n.ring, true: &n.zoneRing}[zone]
 	n.now, out = now, out[:0]
 	for i, s := range c.servers {
-		out = append(out, fleet.RingPoint{ID: s.id, At: c.point(i), Capacity: s.warmth(n)})
+		out = append(out, fleet.RingPoint{ID: s.id, Position: c.point(i), CapacityShare: s.warmth(n)})
 	}
 	return out, n.zoneShare * (1 - 4*n.meanUtil/n.zoneRing.capacity)
 }
--- a/decide/routing_test.go
+++ b/decide/routing_test.go
@@ -14,7 +14,7 @@
 	oneRequest := func() {
 		k++
 		req := h.slab.Alloc()
-		req.Key, req.HasKey, req.Arrived, req.Deadline = k%50, true, h.now, h.now+500
+		req.Key, req.HasKey, req.ArrivedAt, req.Deadline = k%50, true, h.now, h.now+500
 		h.node.Route(h.now, req)
 		h.now += 2
 		h.node.AttemptDone(h.now, req, fleet.Outcome{
@@ -178,9 +178,9 @@
 	n := New(now, limits, &slab)
 	var list []fleet.Endpoint
 	for i := range 9 {
-		e := fleet.Endpoint{ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), State: fleet.Ready, Size: 1, Zone: fleet.ZoneID(i % 3)}
+		e := fleet.Endpoint{ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), State: fleet.Ready, NominalCapacity: 1, Zone: fleet.ZoneID(i % 3)}
 		if e.Zone == limits.Zone && i != int(limits.Zone) {
-			e.Started = coldUntil - limits.WarmUpTime
+			e.StartedAt = coldUntil - limits.WarmUpTime
 		}
 		list = append(list, e)
 	}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -41,14 +41,14 @@
 	limits.Seed = rapid.Uint64().Draw(t, "seed")
 	limits.Hedging = rapid.Bool().Draw(t, "hedging")
 	limits.Cancellation = rapid.Bool().Draw(t, "cancellation")
-	limits.RetryAfter = rapid.Bool().Draw(t, "retry after")
+	limits.SendRetryAfter = rapid.Bool().Draw(t, "retry after")
 	limits.MaxRetryAfter = rapid.Float64Range(0, 300).Draw(t, "max retry after")
 	limits.MaxAttempts = rapid.IntRange(1, 5).Draw(t, "max attempts")
 	if rapid.Bool().Draw(t, "no origin") {
 		limits.OriginKind = -1
 	}
 	for i := range limits.Classes {
-		limits.Classes[i].Scope = fleet.Scope(rapid.IntRange(0, 2).Draw(t, "scope"))
+		limits.Classes[i].DedupScope = fleet.DedupScope(rapid.IntRange(0, 2).Draw(t, "scope"))
 		limits.Classes[i].DedupWindow = rapid.Float64Range(50, 1000).Draw(t, "dedup window")
 	}
 	return limits
@@ -69,7 +69,7 @@
 	}
 	results := []fleet.Result{
 		fleet.Completed, fleet.Completed, fleet.Missed, fleet.Missed, fleet.Failed,
-		fleet.Full, fleet.ConnectFailed, fleet.Reset, fleet.NotSent,
+		fleet.Declined, fleet.ConnectFailed, fleet.Reset, fleet.NotSent,
 	}
 	trace := rapid.SampledFrom(h.open).Draw(t, "request")
 	for i := range trace.attempts {
@@ -85,7 +85,7 @@
 	e := h.list[fleet.ServerID(rapid.IntRange(0, servers).Draw(t, "server"))]
 	e.State = fleet.State(rapid.IntRange(0, 2).Draw(t, "state"))
 	if rapid.Bool().Draw(t, "restart") {
-		e.Started = h.now
+		e.StartedAt = h.now
 	}
 	h.updateList(fleet.ListDelta, e)
 }
@@ -124,7 +124,7 @@
 			}
 		}, fleet.Reject},
 		"deadline passed":      {func(h *harness, req *fleet.Request) { req.Deadline = h.now }, fleet.Reject},
-		"response is streamed": {func(_ *harness, req *fleet.Request) { req.Streamed = true }, fleet.Reject},
+		"response is streamed": {func(_ *harness, req *fleet.Request) { req.Streaming = true }, fleet.Reject},
 		"non-idempotent, may have been executed": {func(_ *harness, req *fleet.Request) {
 			req.Class, req.NumAttempts = nonIdempotentClass, 1
 			req.Attempts[0] = fleet.Attempt{Server: 1, Result: fleet.TimedOut}
--- a/internal/config/settings/parse.go
+++ b/internal/config/settings/parse.go
@@ -133,26 +133,26 @@
 func (o *object) limits(seed uint64, maxAttempts int) fleet.Limits {
 	g, p := &o.Guarantees, &o.PolicyLimits
 	limits := fleet.Limits{
-		Seed:           seed,
-		Nodes:          max(o.NInstances, 1),
-		Zone:           fleet.ZoneID(o.Locality),
-		Zones:          len(o.FailureDomains),
-		OriginKind:     -1,
-		MaxAttempts:    maxAttempts,
-		Hedging:        p.SecondCopies,
-		Cancellation:   p.Cancelling,
-		RetryAfter:     p.RetryAfter,
-		MaxRetryAfter:  p.MaxRetryAfter * msPerMicrosecond,
-		Subscribe:      o.Discovery == discoverySubscribe,
-		PollWithin:     g.MustAskIn * msPerMicrosecond,
-		DrainWithin:    g.StopSendingWithin * msPerMicrosecond,
-		ColdCapacity:   g.StartCapacity,
-		WarmUpTime:     g.WarmWithin * msPerMicrosecond,
-		OverloadFactor: g.FallMultiple,
-		OverloadBurst:  g.TipAfter * msPerMicrosecond,
-		AnswerSlack:    g.AnswerSlack * msPerMicrosecond,
-		Quantum:        o.Quantum * msPerMicrosecond,
-		WasteCost:      o.Penalties.Waste,
+		Seed:              seed,
+		Nodes:             max(o.NInstances, 1),
+		Zone:              fleet.ZoneID(o.Locality),
+		Zones:             len(o.FailureDomains),
+		OriginKind:        -1,
+		MaxAttempts:       maxAttempts,
+		Hedging:           p.SecondCopies,
+		Cancellation:      p.Cancelling,
+		SendRetryAfter:    p.RetryAfter,
+		MaxRetryAfter:     p.MaxRetryAfter * msPerMicrosecond,
+		Subscribe:         o.Discovery == discoverySubscribe,
+		PollWithin:        g.MustAskIn * msPerMicrosecond,
+		StopSendingWithin: g.StopSendingWithin * msPerMicrosecond,
+		ColdCapacity:      g.StartCapacity,
+		WarmUpTime:        g.WarmWithin * msPerMicrosecond,
+		OverloadFactor:    g.FallMultiple,
+		OverloadBurst:     g.TipAfter * msPerMicrosecond,
+		AnswerSlack:       g.AnswerSlack * msPerMicrosecond,
+		Quantum:           o.Quantum * msPerMicrosecond,
+		UnusedAttemptCost: o.Penalties.Waste,
 	}
 	if o.FamilyInfo.Mode == modeAside && o.FamilyInfo.OriginKind != nil {
 		limits.OriginKind = fleet.KindID(*o.FamilyInfo.OriginKind)
@@ -165,13 +165,13 @@
 func (c *requestClass) class(maxAttempts int) fleet.Class {
 	class := fleet.Class{
 		Effect:           fleet.NonIdempotent,
-		Scope:            fleet.ScopeCell,
+		DedupScope:       fleet.DedupCell,
 		LatencyObjective: c.SLOTime * msPerMicrosecond,
-		ObjectiveStretch: c.AimStretch,
-		Timeout:          c.StatementTimeout * msPerMicrosecond,
+		ObjectivePerWork: c.AimStretch,
+		ClientTimeout:    c.StatementTimeout * msPerMicrosecond,
 		DedupWindow:      c.MemorySpan * msPerMicrosecond,
 		PriorityWeight:   c.Importance,
-		LateFactor:       c.TardyImportance,
+		LateWeightFactor: c.TardyImportance,
 		Stream:           c.Stream,
 		MaxAttempts:      maxAttempts,
 	}
@@ -183,9 +183,9 @@
 	}
 	switch c.DedupScope {
 	case dedupScopeAll:
-		class.Scope = fleet.ScopeAll
+		class.DedupScope = fleet.DedupAll
 	case dedupScopeZone:
-		class.Scope = fleet.ScopeZone
+		class.DedupScope = fleet.DedupZone
 	}
 	return class
 }
--- a/internal/controlplane/controller/helpers_test.go
+++ b/internal/controlplane/controller/helpers_test.go
@@ -25,8 +25,8 @@
 			Zones: testZones, Kinds: []string{"box", "origin"}, RequestClasses: []string{"read"}, NodeIndex: -1, ConnectTimeout: 250,
 			Limits: fleet.Limits{
 				Seed: seed, Nodes: 4, Zones: len(testZones), OriginKind: 1, MaxAttempts: 4, PollWithin: 5000,
-				DrainWithin: 500, ColdCapacity: 0.2, WarmUpTime: 10_000, OverloadFactor: 3, OverloadBurst: 2000, Quantum: 5,
-				Classes: []fleet.Class{{LatencyObjective: 200, Timeout: 1000, PriorityWeight: 1, MaxAttempts: 4}},
+				StopSendingWithin: 500, ColdCapacity: 0.2, WarmUpTime: 10_000, OverloadFactor: 3, OverloadBurst: 2000, Quantum: 5,
+				Classes: []fleet.Class{{LatencyObjective: 200, ClientTimeout: 1000, PriorityWeight: 1, MaxAttempts: 4}},
 			},
 		},
 	}
@@ -79,7 +79,7 @@
 // moduleOwner returns where the decision module itself, as in a node, sends a request of a key. The attempt is never made.
 func moduleOwner(m *zoneModule, now float64, key fleet.Key) fleet.ServerID {
 	q := m.slab.Alloc()
-	q.Key, q.HasKey, q.Arrived, q.Deadline = key, true, now, now+1000
+	q.Key, q.HasKey, q.ArrivedAt, q.Deadline = key, true, now, now+1000
 	q.Stage = 5 // a rerouted request, which is not counted when hot keys are detected
 	mv := m.Route(now, q)
 	id := fleet.NoServer
@@ -97,7 +97,7 @@
 		for _, p := range []string{"p1", "p2", "p3"} {
 			reports := map[string]loadreport.Report{}
 			for i := range servers {
-				u := 0.1 + 0.8*fleet.Unit(uint64(i)*1000+uint64(*now)) // none stays the busiest
+				u := 0.1 + 0.8*fleet.UnitInterval(uint64(i)*1000+uint64(*now)) // none stays the busiest
 				reports[fmt.Sprintf("127.0.0.1:%d", 1000+i)] = loadreport.Report{Utilization: u, QueueLength: u, HitRate: 0.8, Responses: 100}
 			}
 			c.AddLoadReports(*now, p, reports)
--- a/internal/node/cacheserver/golden_test.go
+++ b/internal/node/cacheserver/golden_test.go
@@ -46,7 +46,7 @@
 	}
 	none := fleet.NewLoadReport()
 	all := report(func(r *fleet.LoadReport) {
-		*r = fleet.LoadReport{Present: true, Util: 0.61, Queue: 2, Inflight: 3, Latency: 4.5, Rate: 500, Errors: 6, X0: 0.871, X1: 7}
+		*r = fleet.LoadReport{Present: true, Util: 0.61, Queue: 2, Inflight: 3, Latency: 4.5, Rate: 500, Errors: 6, HitRatio: 0.871, X1: 7}
 	})
 	queue := report(func(r *fleet.LoadReport) { r.Present, r.Queue = true, 9 })
 	protocoltest.CheckResponses(t, Protocol{}, golden, []protocoltest.Response{
@@ -59,8 +59,8 @@
 		{Name: "miss", Want: upstream.Response{Result: fleet.Missed, Cache: fleet.CacheMiss, Report: queue}},
 		{Name: "miss-null-array", Want: upstream.Response{Result: fleet.Missed, Cache: fleet.CacheMiss, Report: none}},
 		{Name: "miss-pending", Want: upstream.Response{Result: fleet.Missed, Cache: fleet.CacheMissFetching, Report: none}},
-		{Name: "busy", Want: upstream.Response{Result: fleet.Full, Report: none}},
-		{Name: "busy-report", Want: upstream.Response{Result: fleet.Full, Report: queue}},
+		{Name: "busy", Want: upstream.Response{Result: fleet.Declined, Report: none}},
+		{Name: "busy-report", Want: upstream.Response{Result: fleet.Declined, Report: queue}},
 		{Name: "busy-prefix", Want: upstream.Response{Result: fleet.Failed, Report: none}},
 		{Name: "error", Want: upstream.Response{Result: fleet.Failed, Report: none}},
 		{Name: "error-report", Want: upstream.Response{Result: fleet.Failed, Report: queue}},
--- a/internal/node/fingerprint.go
+++ b/internal/node/fingerprint.go
@@ -38,7 +38,7 @@
 	}
 	classText struct {
 		Effect           fleet.Effect
-		Scope            fleet.Scope
+		Scope            fleet.DedupScope
 		SLOTime          float64
 		SLOStretch       float64
 		StatementTimeout float64
@@ -56,11 +56,11 @@
 	l := &deployment.Limits
 	text := limitsText{
 		Nodes: l.Nodes, Zones: l.Zones, OriginKind: l.OriginKind,
-		MaxExecutions: l.MaxAttempts, SecondCopies: l.Hedging, Cancelling: l.Cancellation, FullFails: l.FullRefuses,
-		RetryAfter: l.RetryAfter, MaxRetryAfter: l.MaxRetryAfter, Subscribe: l.Subscribe,
-		MustAskIn: l.PollWithin, StopSendingWithin: l.DrainWithin, StartCapacity: l.ColdCapacity,
+		MaxExecutions: l.MaxAttempts, SecondCopies: l.Hedging, Cancelling: l.Cancellation, FullFails: l.FullServersRefuse,
+		RetryAfter: l.SendRetryAfter, MaxRetryAfter: l.MaxRetryAfter, Subscribe: l.Subscribe,
+		MustAskIn: l.PollWithin, StopSendingWithin: l.StopSendingWithin, StartCapacity: l.ColdCapacity,
 		WarmWithin: l.WarmUpTime, FallMultiple: l.OverloadFactor, TipAfter: l.OverloadBurst, AnswerSlack: l.AnswerSlack,
-		Quantum: l.Quantum, WasteCost: l.WasteCost,
+		Quantum: l.Quantum, WasteCost: l.UnusedAttemptCost,
 	}
 	for i := range l.Classes {
 		text.Workloads = append(text.Workloads, newClassText(&l.Classes[i]))
@@ -72,7 +72,7 @@
 
 func newClassText(c *fleet.Class) classText {
 	return classText{
-		Effect: c.Effect, Scope: c.Scope, SLOTime: c.LatencyObjective, SLOStretch: c.ObjectiveStretch, StatementTimeout: c.Timeout,
-		DedupSpan: c.DedupWindow, Importance: c.PriorityWeight, LateShare: c.LateFactor, MaxExecutions: c.MaxAttempts, Stream: c.Stream,
+		Effect: c.Effect, Scope: c.DedupScope, SLOTime: c.LatencyObjective, SLOStretch: c.ObjectivePerWork, StatementTimeout: c.ClientTimeout,
+		DedupSpan: c.DedupWindow, Importance: c.PriorityWeight, LateShare: c.LateWeightFactor, MaxExecutions: c.MaxAttempts, Stream: c.Stream,
 	}
 }
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -129,14 +129,14 @@
 			Seed: 9, Nodes: 3, Zone: 1, Zones: 2, OriginKind: 1,
 			Classes: []fleet.Class{
 				{
-					Effect: fleet.Deduplicated, Scope: fleet.ScopeCell, LatencyObjective: 200, ObjectiveStretch: 1.5, Timeout: 600.25, DedupWindow: 5e3,
-					PriorityWeight: 3, LateFactor: 0.125, MaxAttempts: 2, Stream: true,
+					Effect: fleet.Deduplicated, DedupScope: fleet.DedupCell, LatencyObjective: 200, ObjectivePerWork: 1.5, ClientTimeout: 600.25, DedupWindow: 5e3,
+					PriorityWeight: 3, LateWeightFactor: 0.125, MaxAttempts: 2, Stream: true,
 				},
 				{Effect: fleet.NonIdempotent},
 			},
-			MaxAttempts: 4, Hedging: true, Cancellation: true, FullRefuses: true, RetryAfter: true, MaxRetryAfter: 900, Subscribe: true,
-			PollWithin: 5e3, DrainWithin: 500, ColdCapacity: 0.2, WarmUpTime: 3e7, OverloadFactor: 2, OverloadBurst: 1e21, AnswerSlack: 20,
-			Quantum: 5, WasteCost: 0.75,
+			MaxAttempts: 4, Hedging: true, Cancellation: true, FullServersRefuse: true, SendRetryAfter: true, MaxRetryAfter: 900, Subscribe: true,
+			PollWithin: 5e3, StopSendingWithin: 500, ColdCapacity: 0.2, WarmUpTime: 3e7, OverloadFactor: 2, OverloadBurst: 1e21, AnswerSlack: 20,
+			Quantum: 5, UnusedAttemptCost: 0.75,
 		},
 	}
 	deployment, err := settings.Parse([]byte(settingsText), 7)
--- a/internal/node/inflight/inflight_test.go
+++ b/internal/node/inflight/inflight_test.go
@@ -50,10 +50,10 @@
 
 func limits() fleet.Limits {
 	return fleet.Limits{
-		Seed: 1, Nodes: 1, OriginKind: 1, MaxAttempts: 4, Hedging: true, Cancellation: true, RetryAfter: true, MaxRetryAfter: 1000,
-		Subscribe: true, PollWithin: 10000, DrainWithin: 500, Quantum: 5, Classes: []fleet.Class{
-			{LatencyObjective: 300, Timeout: 900, PriorityWeight: 1},
-			{LatencyObjective: 300, Timeout: 900, PriorityWeight: 3, Effect: fleet.NonIdempotent},
+		Seed: 1, Nodes: 1, OriginKind: 1, MaxAttempts: 4, Hedging: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 1000,
+		Subscribe: true, PollWithin: 10000, StopSendingWithin: 500, Quantum: 5, Classes: []fleet.Class{
+			{LatencyObjective: 300, ClientTimeout: 900, PriorityWeight: 1},
+			{LatencyObjective: 300, ClientTimeout: 900, PriorityWeight: 3, Effect: fleet.NonIdempotent},
 		},
 	}
 }
@@ -78,7 +78,7 @@
 	var list []fleet.Endpoint
 	for i := range 4 {
 		list = append(list, fleet.Endpoint{
-			ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), Kind: fleet.KindID(i / 3), State: fleet.Ready, Size: 1,
+			ID: fleet.ServerID(i), Name: fmt.Sprint("s", i), Kind: fleet.KindID(i / 3), State: fleet.Ready, NominalCapacity: 1,
 		})
 	}
 	s.table.Policy.UpdateEndpoints(s.now, fleet.ListFull, list)
@@ -123,7 +123,7 @@
 	}
 	a := rapid.SampledFrom(s.servers.attempts).Draw(s.T, "attempt")
 	result := rapid.SampledFrom([]fleet.Result{
-		fleet.Completed, fleet.Failed, fleet.Full, fleet.Missed, fleet.Reset, fleet.NotSent,
+		fleet.Completed, fleet.Failed, fleet.Declined, fleet.Missed, fleet.Reset, fleet.NotSent,
 	}).Draw(s.T, "result")
 	if !a.ended {
 		a.ended = true
@@ -191,7 +191,7 @@
 	table := New(Dispatcher[*attempt](servers))
 	table.Policy = decide.New(1000, limits(), &table.Slab)
 	x := &exchange.Exchange{Deadline: 1900, Arrived: 1000, Client: servers}
-	table.Policy.UpdateEndpoints(1000, fleet.ListFull, []fleet.Endpoint{{ID: 0, Name: "s", State: fleet.Ready, Size: 1}})
+	table.Policy.UpdateEndpoints(1000, fleet.ListFull, []fleet.Endpoint{{ID: 0, Name: "s", State: fleet.Ready, NominalCapacity: 1}})
 	table.Admit(1000, x)
 	table.Fail(1001, x, "a fault")
 	table.Fail(1002, x, "another")
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -65,7 +65,9 @@
 			p.caches = append(p.caches, endpoint)
 		}
 	}
-	slices.SortFunc(p.caches, func(a, b fleet.Endpoint) int { return cmp.Compare(fleet.HomePoint(a.Name), fleet.HomePoint(b.Name)) })
+	slices.SortFunc(p.caches, func(a, b fleet.Endpoint) int {
+		return cmp.Compare(fleet.InitialPoint(a.Name), fleet.InitialPoint(b.Name))
+	})
 }
 
 // hasOrigin reports whether there is an origin beside the caches.
@@ -75,7 +77,7 @@
 func (p *Policy) route(now float64, q *fleet.Request) fleet.Decision {
 	to := p.selectServer(q)
 	class := &p.limits.Classes[q.Class]
-	retry := RetryOf(now, &p.limits, q, func(earlier fleet.ServerID) bool { return p.shareDeduplication(class.Scope, earlier, to) })
+	retry := RetryOf(now, &p.limits, q, func(earlier fleet.ServerID) bool { return p.shareDeduplication(class.DedupScope, earlier, to) })
 	if to == fleet.NoServer || !retry.Allowed || q.NumAttempts >= p.limits.AttemptLimit(class) || q.Deadline-now <= p.limits.Quantum {
 		q.Closed = true
 		if retry.NoEffect {
@@ -87,12 +89,12 @@
 }
 
 // shareDeduplication reports whether two servers drop duplicates of each other's writes.
-func (p *Policy) shareDeduplication(scope fleet.Scope, a, b fleet.ServerID) bool {
+func (p *Policy) shareDeduplication(scope fleet.DedupScope, a, b fleet.ServerID) bool {
 	serverA, serverB := p.Endpoints[a], p.Endpoints[b]
 	switch scope {
-	case fleet.ScopeAll:
+	case fleet.DedupAll:
 		return true
-	case fleet.ScopeZone:
+	case fleet.DedupZone:
 		return serverA.Zone == serverB.Zone
 	}
 	return serverA.Zone == serverB.Zone && serverA.Cell == serverB.Cell
@@ -111,7 +113,7 @@
 		return p.caches[int(p.uniform()*float64(len(p.caches)))].ID
 	}
 	owner, _ := slices.BinarySearchFunc(p.caches, q.Key.Point(), func(endpoint fleet.Endpoint, point float64) int {
-		return cmp.Compare(fleet.HomePoint(endpoint.Name), point)
+		return cmp.Compare(fleet.InitialPoint(endpoint.Name), point)
 	})
 	return p.caches[(owner+q.NumAttempts)%len(p.caches)].ID
 }
@@ -124,5 +126,5 @@
 	binary.LittleEndian.PutUint64(b[8:], p.drawCount)
 	h := fnv.New64a()
 	_, _ = h.Write(b[:]) // a hash never fails
-	return fleet.Unit(h.Sum64())
+	return fleet.UnitInterval(h.Sum64())
 }
--- a/internal/testbed/simulator/process.go
+++ b/internal/testbed/simulator/process.go
@@ -112,7 +112,7 @@
 // uniform draws from [0,1).
 func (p *process) uniform() float64 {
 	p.drawCount++
-	return fleet.Unit(p.node.deployment.Limits.Seed + p.drawCount)
+	return fleet.UnitInterval(p.node.deployment.Limits.Seed + p.drawCount)
 }
 
 // runDueWork has the policy do everything that is due, and schedules the next call.
@@ -182,8 +182,8 @@
 		p.links[id] = p.newServerLink(e)
 	}
 	endpoint := e.Member(id, &p.node.deployment)
-	endpoint.Started = p.starts.Observe(now, e.ID, e.UpSince, p.startsConfirmedAt(now))
-	p.links[id].pool.Policy.ServerStarted(endpoint.Started)
+	endpoint.StartedAt = p.starts.Observe(now, e.ID, e.UpSince, p.startsConfirmedAt(now))
+	p.links[id].pool.Policy.ServerStarted(endpoint.StartedAt)
 	if p.member != nil && e.Flavor != discovery.OriginFlavor && endpoint.State != fleet.Gone {
 		p.member.participant.AddServer(now, id, e.ID, e.UpSince)
 	}
