--- a/decide/admit.go
+++ b/decide/admit.go
@@ -7,115 +7,122 @@
 	"mintspring/internal/slowstart"
 )
 
-// originLimiter is this node's adaptive concurrency limit at the origin: its window follows response times.
+// originLimiter is this node's adaptive concurrency limit at the origin. Its window follows the response times.
 type originLimiter struct {
-	window, shrunkAt   float64 // attempts that may be in flight; when it was last cut
-	latency, lateShare float64 // usual response time; moving share of late responses
-	writes             int     // of the attempts in flight
-	nextSendAt         float64 // a window below one paces attempts: when the next may go
-	waiting            []fleet.Ref
+	window, shrunkAt   float64     // attempts that may be in flight; time of the last reduction
+	latency, lateShare float64     // moving averages of the response time and of the share of late responses
+	writesInFlight     int         // counted in origin.inFlight too
+	nextSendAt         float64     // earliest time of the next attempt while the window is below 1
+	waiting            []fleet.Ref // requests queued for the origin
 }
 
-// maxUsedShare is the share of the time left within which a response has to be expected while others wait.
-const maxUsedShare = 0.6
+// maxQueuedBudgetShare limits the queue for the origin: a request waits behind others only if its response is expected
+// within this share of its remaining time.
+const maxQueuedBudgetShare = 0.6
 
-// originFree reports whether one more read may go. Writes in flight take at most half of the reads' window.
-func (n *Node) originFree() bool { return n.origin != nil && n.originLimit.load(n) < 1 }
+// originHasCapacity reports whether one more read may be sent to the origin. Writes in flight take up at most half
+// of the window.
+func (n *Node) originHasCapacity() bool { return n.origin != nil && n.originLimit.utilization(n) < 1 }
 
-// isPaced reports whether a window below one still keeps the next read back.
+// isPaced reports whether a window below 1 still delays the next read.
 func (l *originLimiter) isPaced(now float64) bool { return l.window < 1 && now < l.nextSendAt }
 
-// load is the used share of the window; 1 as well while the origin is paced or silent.
-func (l *originLimiter) load(n *Node) float64 {
+// utilization returns the used share of the window, or 1 while the next read is delayed or the origin is silent.
+func (l *originLimiter) utilization(n *Node) float64 {
 	if l.isPaced(n.now) || n.origin.inFlight > 0 && n.now-n.origin.silentSince > n.limits.minObjective/2 {
 		return 1
 	}
-	return (float64(n.origin.inFlight) - max(0, float64(l.writes)-l.window/2)) / max(1, l.window)
+	return (float64(n.origin.inFlight) - max(0, float64(l.writesInFlight)-l.window/2)) / max(1, l.window)
 }
 
-// recordOutcome widens the window while responses come in time, and cuts it when a fair share does not. A
-// write is never late, for writes take a multiple of what reads take; nor is a quick reset.
-func (l *originLimiter) recordOutcome(n *Node, req *fleet.Request, e *fleet.Attempt, o fleet.Outcome) {
-	limit, late, growth := n.limits.minObjective/2, 1.0, 0.17
+// recordOutcome widens the window while responses are in time and cuts it when too many are late. Writes never count
+// as late, because they take several times as long as reads, and neither does an early reset.
+func (l *originLimiter) recordOutcome(n *Node, req *fleet.Request, attempt *fleet.Attempt, o fleet.Outcome) {
+	timeLimit, late, growth := n.limits.minObjective/2, 1.0, 0.17
 	if req.Write {
-		l.writes--
-		limit = n.limits.classes[req.Class].objective
+		l.writesInFlight--
+		timeLimit = n.limits.classes[req.Class].objective
 	}
 	if o.Result == fleet.Completed {
-		if l.latency += 0.1 * (o.Took - l.latency); o.Took <= limit {
-			late, growth = 0, 0.17*max(1, min(3, limit/o.Took))
+		if l.latency += 0.1 * (o.Took - l.latency); o.Took <= timeLimit {
+			late, growth = 0, 0.17*max(1, min(3, timeLimit/o.Took))
 		}
 	}
-	neverLate := req.Write || o.Result == fleet.Reset && o.Took <= limit
+	neverLate := req.Write || o.Result == fleet.Reset && o.Took <= timeLimit
 	if o.Result == fleet.Cancelled || o.Result == fleet.NotSent || late > 0 && neverLate {
 		return
 	}
 	l.lateShare += 0.15 * (late - l.lateShare)
-	if late > 0 && (l.lateShare > 0.3 || l.window <= 1) && e.SentAt >= l.shrunkAt {
+	if late > 0 && (l.lateShare > 0.3 || l.window <= 1) && attempt.SentAt >= l.shrunkAt {
 		l.window, l.shrunkAt = max(n.limits.minWindow, l.window*0.7), n.now
 	} else if late == 0 && float64(n.origin.inFlight+1) >= l.window-1 {
 		l.window = min(64, l.window+min(growth*l.window, 1/l.window))
 	}
 }
 
-// nextWaiting takes out the waiting request of the highest value, once there is capacity.
-func (l *originLimiter) nextWaiting(n *Node) fleet.Ref {
-	if len(l.waiting) == 0 || !n.originFree() {
+// popWaiting removes and returns the waiting request with the highest value, or NoRequest if none waits or the origin
+// has no capacity.
+func (l *originLimiter) popWaiting(n *Node) fleet.Ref {
+	if len(l.waiting) == 0 || !n.originHasCapacity() {
 		return fleet.NoRequest
 	}
 	best, highest := -1, math.Inf(-1)
-	open := l.waiting[:0]
+	stillWaiting := l.waiting[:0]
 	for _, r := range l.waiting {
 		req := n.requests.Get(r)
-		if req == nil || req.Closed || req.Stage != stageWaiting {
+		if req == nil || req.Closed || req.Stage != stageQueued {
 			continue
 		}
-		c := &n.limits.classes[req.Class]
-		value := c.priority / (1 + (req.Deadline-n.now)/c.objective) // priority first, then the time left
-		if n.now+l.latency > req.Arrived+c.objective {
-			value *= c.lateFactor // it would be late: one that can still be in time goes first
+		class := &n.limits.classes[req.Class]
+		value := class.priority / (1 + (req.Deadline-n.now)/class.objective) // grows with the priority and as the deadline approaches
+		if n.now+l.latency > req.Arrived+class.objective {
+			value *= class.lateFactor // it would be late: requests that can be in time go first
 		}
 		if value > highest {
-			best, highest = len(open), value
+			best, highest = len(stillWaiting), value
 		}
-		open = append(open, r)
+		stillWaiting = append(stillWaiting, r)
 	}
-	if l.waiting = open; best < 0 {
+	if l.waiting = stillWaiting; best < 0 {
 		return fleet.NoRequest
 	}
-	r := open[best]
-	n.requests.Get(r).Stage = stageForOrigin
-	l.waiting = append(open[:best], open[best+1:]...)
+	r := stillWaiting[best]
+	n.requests.Get(r).Stage = stageNeedsOrigin
+	l.waiting = append(stillWaiting[:best], stillWaiting[best+1:]...)
 	return r
 }
 
-// routeToOrigin sends req to the origin if it has capacity, queues it while it can be in time, or rejects it.
+// routeToOrigin sends req to the origin if that has capacity, queues req if its response can be in time, or rejects it.
 func (n *Node) routeToOrigin(req *fleet.Request) fleet.Decision {
 	l := &n.originLimit
 	if n.origin == nil {
 		return n.reject(n.limits.minObjective)
 	}
-	if n.originFree() || req.Write && float64(n.origin.inFlight) < l.window+2 {
+	if n.originHasCapacity() || req.Write && float64(n.origin.inFlight) < l.window+2 {
 		return n.send(req, n.origin)
 	}
 	latency := max(l.latency, n.now-n.origin.silentSince)
-	c, left := &n.limits.classes[req.Class], req.Deadline-n.now-n.limits.slack
-	left = max(left*c.lateFactor, min(left, req.Arrived+c.objective-n.now)) // beyond that it is worth nothing
+	class, timeLeft := &n.limits.classes[req.Class], req.Deadline-n.now-n.limits.deadlineMargin
+	// A response after the latency objective keeps only lateFactor of its value.
+	timeLeft = max(timeLeft*class.lateFactor, min(timeLeft, req.Arrived+class.objective-n.now))
 	wait := float64(len(l.waiting)+1) * latency / l.window
-	// What is expected is a mean: of a queue held to the edge half came late, and took the place of others.
-	others := len(l.waiting) > 1 || len(l.waiting) > 0 && req.Stage != stageWaiting
-	if wait+latency > left || others && wait+latency > maxUsedShare*left {
+	// The expected response time is a mean: when the queue was filled up to the limit, half of its responses were late
+	// and delayed other requests.
+	behindOthers := len(l.waiting) > 1 || len(l.waiting) > 0 && req.Stage != stageQueued
+	if wait+latency > timeLeft || behindOthers && wait+latency > maxQueuedBudgetShare*timeLeft {
 		return n.reject(wait)
 	}
-	if req.Stage != stageWaiting {
-		req.Stage, l.waiting = stageWaiting, append(l.waiting, req.Ref)
+	if req.Stage != stageQueued {
+		req.Stage, l.waiting = stageQueued, append(l.waiting, req.Ref)
 	}
-	// Reviewed halfway: what can't be in time any more is rejected then, not shortly before its deadline.
-	return n.hold(req, n.now+max(left/2, min(left, latency)))
+	// Route is called again halfway, so that a request that can no longer be in time is rejected then and not shortly
+	// before its deadline.
+	return n.hold(req, n.now+max(timeLeft/2, min(timeLeft, latency)))
 }
 
-// warmth is the share of its capacity that a server is sure to have: it grows linearly from its start.
-func (s *server) warmth(n *Node) float64 {
+// capacityShare returns the share of its nominal capacity that a server is sure to have. During slow start it grows
+// linearly with time.
+func (s *server) capacityShare(n *Node) float64 {
 	age := n.now - s.started
 	if s.started <= 0 || n.limits.warmUpTime <= 0 || age >= n.limits.warmUpTime {
 		return 1
@@ -123,31 +130,33 @@
 	return n.limits.coldCapacity + (1-n.limits.coldCapacity)*max(0, age)/n.limits.warmUpTime
 }
 
-// inColdArc limits a cold server to the part of its arc next to its predecessor, by its share of the warmth.
-func (n *Node) inColdArc(c *hashRing, s *server, p float64) bool {
-	w := s.warmth(n)
-	if w >= 1 || len(c.servers) < 2 {
+// inSlowStartArc reports whether s serves point p. A cold server serves only the part of its arc next to its
+// predecessor, which is as long as the server's share of the ring's capacity.
+func (n *Node) inSlowStartArc(ring *hashRing, s *server, p float64) bool {
+	share := s.capacityShare(n)
+	if share >= 1 || len(ring.servers) < 2 {
 		return true
 	}
-	i := s.positions[c.index].index
-	return fleet.ArcLength(c.point(i-1), p) <= min(c.arc(i), w/c.capacity)
+	i := s.positions[ring.positionIndex].index
+	return fleet.ArcLength(ring.pointAt(i-1), p) <= min(ring.arcLength(i), share/ring.capacity)
 }
 
-// hasColdQuota reports whether s, if it is cold, may be sent req: this node has a quota of half of its limit.
-func (n *Node) hasColdQuota(s *server, req *fleet.Request) bool {
-	return s == n.origin || s.warmth(n) >= 1 || n.slowStart.Allow(n.now, &s.bucket,
-		n.limits.coldRate*s.warmth(n), n.ring.capacity, n.limits.coldBurst, req.Work)
+// hasSlowStartQuota reports whether this node's quota for s permits req; only cold servers have one. The quotas of all
+// nodes add up to half of the load at which a cold server fails.
+func (n *Node) hasSlowStartQuota(s *server, req *fleet.Request) bool {
+	return s == n.origin || s.capacityShare(n) >= 1 || n.slowStart.Allow(n.now, &s.bucket,
+		n.limits.coldLoadFactor*s.capacityShare(n), n.ring.capacity, n.limits.coldBurst, req.Work)
 }
 
-// SlowStartQuota returns this node's quota of the work that a cold server bears, and how much the node could
-// use, in work per ms; zeros for a warm server.
+// SlowStartQuota returns this node's quota of the load on a cold server and the node's demand for it, both in work per
+// ms. Both are zero for a warm server.
 func (n *Node) SlowStartQuota(now float64, id fleet.ServerID) (quota, demand float64) {
 	s := n.servers[id]
-	if n.now = now; s.warmth(n) >= 1 {
+	if n.now = now; s.capacityShare(n) >= 1 {
 		return 0, 0
 	}
-	return n.slowStart.Quota(now, &s.bucket, n.limits.coldRate*s.warmth(n), n.ring.capacity)
+	return n.slowStart.Quota(now, &s.bucket, n.limits.coldLoadFactor*s.capacityShare(n), n.ring.capacity)
 }
 
-// SetLeases sets what nodes have leased one another of what a cold server bears.
+// SetLeases sets the leases between nodes of their quotas for a cold server.
 func (n *Node) SetLeases(id fleet.ServerID, l slowstart.Leases) { n.servers[id].bucket.Leases = l }
--- a/decide/bench_test.go
+++ b/decide/bench_test.go
@@ -7,7 +7,7 @@
 	"mintspring/internal/fleet"
 )
 
-// BenchmarkRequest is the ordinary path: a read is sent to its owner, which completes it.
+// BenchmarkRequest measures the common path: a read is sent to its owner, which completes it.
 func BenchmarkRequest(b *testing.B) {
 	for _, servers := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprint(servers), func(b *testing.B) {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -1,11 +1,14 @@
-// Package decide holds every routing decision of a node: the server a request goes to, whether it is retried
-// or hedged, what is rejected. It does no I/O and reads no clock; times are ms of its caller's clock.
+// Package decide makes every routing decision of a node: which server gets a request, whether the request is retried
+// or hedged, and what is rejected. It does no I/O and reads no clock; times are ms of its caller's clock.
 //
-// The caller puts each request into the slab that it shares with the Node. Route says where to send a request
-// or to hold or answer it, AttemptDone what follows an attempt's end, NextDue how long to sleep and for which
-// request to call Route then (none: the node's own upkeep). All else reports facts. ring.go adjusts points,
-// health.go judges servers, admit.go limits the origin and cold servers, list.go follows the endpoint list,
-// snapshot.go exports and restores state. A Node belongs to one goroutine.
+// The caller allocates each request in the slab that it shares with the Node. Route sends, holds or answers a
+// request, AttemptDone returns what follows the end of an attempt, and NextDue returns how long to sleep and which
+// request to pass to Route then, where no request stands for the node's own maintenance. The other methods pass in
+// events or read state. ring.go adjusts ring points, health.go tracks the health of servers, admit.go limits the load
+// on the origin and on cold servers, list.go applies the endpoint list, snapshot.go exports and restores state.
+// One goroutine must own a Node.
+//
+// The ring and its adjustment follow a thesis. The comments call it the thesis and mark deviations from it.
 package decide
 
 import (
@@ -18,132 +21,134 @@
 
 // Stages of an open request.
 const (
-	stageNew       uint8 = iota
-	stageAtCache         // an attempt is in flight at a cache
-	stageForOrigin       // to be sent to the origin
-	stageWaiting         // waits for capacity at the origin
-	stageAtOrigin        // an attempt is in flight at the origin
-	stageReroute         // to be routed anew
+	stageNew         uint8 = iota
+	stageAtCache           // an attempt is in flight at a cache
+	stageNeedsOrigin       // to be sent to the origin
+	stageQueued            // waits for capacity at the origin
+	stageAtOrigin          // an attempt is in flight at the origin
+	stageReroute           // to be routed again
 )
 
-// Node is the state of one balancer. Nodes share nothing.
+// Node is the routing state of one node of the fleet. Nodes share no state.
 type Node struct {
-	limits          limits
-	requests        *fleet.Slab
-	now             float64
-	seed, drawCount uint64
+	limits              limits
+	requests            *fleet.Slab
+	now                 float64
+	seed, randomCounter uint64
 
-	servers                    []*server // by ServerID; nil where a number was never listed
+	servers                    []*server // by ServerID; nil for an id that was never listed
 	ring                       hashRing  // all caches
 	zoneRing                   hashRing  // the caches of this node's zone
 	meanUtil, zoneShare        float64   // mean utilization of caches; share of keys routed by zoneRing
 	origin                     *server   // nil: none is ready
-	pollAt                     float64   // when the endpoint list is requested next; +Inf: a watch is open
-	adjustAt                   float64   // when ring points are adjusted next
-	failedPolls, cacheInFlight int       // consecutive ones; attempts in flight at caches
+	pollAt                     float64   // time of the next request for the endpoint list; +Inf: a watch is open
+	adjustAt                   float64   // time of the next adjustment of ring points
+	failedPolls, cacheInFlight int       // consecutive failed polls; attempts in flight at caches
 
-	timers       fleet.TimerHeap
-	originLimit  originLimiter
-	slowStart    slowstart.Meter
-	keyCounts    hotkeys.Counts
-	hedgeBudget  float64 // hedged requests that may be sent now
-	maxConnected float64 // servers that seem to have capacity for a connection; +Inf: no limit seen
-	lateShare    float64 // moving share of cache responses that were late or nearly so
+	timers              fleet.TimerHeap
+	originLimit         originLimiter
+	slowStart           slowstart.Meter
+	keyCounts           hotkeys.Counts
+	hedgeBudget         float64 // hedged requests that may be sent now
+	maxConnectedServers float64 // caches that this node may stay connected to; +Inf: no limit is known
+	lateShare           float64 // moving share of cache responses that were late or nearly late
 }
 
-// class is what decisions need of a request class.
-type class struct {
+// requestClass is the part of a request class that decisions depend on.
+type requestClass struct {
 	effect                 fleet.Effect
 	scope                  fleet.Scope
-	dedupWindow, objective float64 // for how long repeats are dropped; the latency objective
-	maxWait                float64 // expected wait up to which a request is admitted in overload
-	priority, lateFactor   float64 // priority weight, and the factor on it for a late response
+	dedupWindow, objective float64 // time for which servers drop repeats; latency objective
+	maxWait                float64 // in overload, a request with a higher expected latency is not sent to a cache
+	priority, lateFactor   float64 // priority weight; factor on it for a late response
 	maxAttempts            int
-	reviewable             bool // an attempt in flight can be hedged or replaced
+	mayHedgeOrCancel       bool // an attempt in flight may be hedged, or cancelled and replaced
 }
 
-// limits are the figures derived from the settings; the settings themselves are not kept.
+// limits are derived from the settings, which are not kept.
 type limits struct {
-	classes                  []class
-	zone                     fleet.ZoneID
-	nodesPerZone, hedgeRate  float64      // hedged requests per attempt
-	originKind               fleet.KindID // below 0: servers fetch for themselves
-	hedging, cancellation    bool         // two attempts may be in flight; one may be cancelled
-	fullRefuses              bool         // a server at its connection limit fails connects, as a dead one does
-	maxRetryAfter            float64      // 0: clients are sent no Retry-After
-	minObjective, minWindow  float64      // shortest latency objective; least concurrency window at the origin
-	slack, period            float64      // kept before a deadline; between ring adjustments
-	pollWithin               float64      // the endpoint list is requested within this time; 0: it is pushed
-	coldCapacity, warmUpTime float64      // share of its capacity that a server starts with; time to all of it
-	coldRate, coldBurst      float64      // work for a cold server by what it can do; ms of that rate at once
+	classes                        []requestClass
+	zone                           fleet.ZoneID
+	nodesPerZone, hedgeRate        float64      // mean number of nodes in a zone; hedged requests per attempt
+	originKind                     fleet.KindID // below 0: there is no origin, caches fetch missing keys themselves
+	hedging, cancellation          bool         // two attempts may be in flight; an attempt may be cancelled
+	serversRefuseWhenFull          bool         // a server at its connection limit refuses connects, as one that is down does
+	maxRetryAfter                  float64      // 0: rejections have no Retry-After
+	minObjective, minWindow        float64      // shortest latency objective; smallest window at the origin
+	deadlineMargin, adjustInterval float64      // reserve before a deadline; time between ring adjustments
+	maxPollInterval                float64      // time within which the endpoint list is requested again; 0: it is pushed
+	coldCapacity, warmUpTime       float64      // share of its capacity that a server starts with; time until it has all
+	coldLoadFactor, coldBurst      float64      // load allowed on a cold server, as a multiple of its capacity; ms of it at once
 }
 
-// deriveLimits turns settings into the figures that decisions use.
+// deriveLimits computes the limits from the settings.
 func deriveLimits(l fleet.Limits) limits {
 	d := limits{
 		zone: l.Zone, nodesPerZone: float64(l.Nodes) / float64(max(1, l.Zones)), originKind: l.OriginKind,
-		hedging: l.Hedging, cancellation: l.Cancellation, fullRefuses: l.FullRefuses, minObjective: math.Inf(1),
+		hedging: l.Hedging, cancellation: l.Cancellation, serversRefuseWhenFull: l.FullRefuses, minObjective: math.Inf(1),
 		hedgeRate: 0.05 / (0.5 + 2*l.WasteCost), minWindow: min(1, max(0.1, 8/float64(max(1, l.Nodes)))),
 		coldCapacity: l.ColdCapacity, warmUpTime: l.WarmUpTime,
-		coldRate: l.OverloadFactor / 2, coldBurst: l.OverloadBurst / 2, slack: l.Quantum,
+		coldLoadFactor: l.OverloadFactor / 2, coldBurst: l.OverloadBurst / 2, deadlineMargin: l.Quantum,
 	}
-	top := 1e-9
-	for _, w := range l.Classes {
-		d.minObjective, top = min(d.minObjective, w.LatencyObjective), max(top, w.PriorityWeight)
+	maxPriority := 1e-9
+	for _, class := range l.Classes {
+		d.minObjective, maxPriority = min(d.minObjective, class.LatencyObjective), max(maxPriority, class.PriorityWeight)
 	}
 	if len(l.Classes) == 0 || d.minObjective <= 0 {
 		d.minObjective = 1000
 	}
-	for _, w := range l.Classes {
-		d.classes = append(d.classes, class{
-			effect: w.Effect, scope: w.Scope, dedupWindow: w.DedupWindow, objective: w.LatencyObjective,
-			priority: w.PriorityWeight, lateFactor: w.LateFactor, maxAttempts: l.AttemptLimit(&w),
-			// A late response takes the place of one in time, and a crowded server loses capacity: in overload waits
-			// are kept short, the shorter the lower the priority.
-			maxWait:    w.LatencyObjective * (1 + w.LateFactor) * (0.3 + 0.2*w.PriorityWeight/top),
-			reviewable: w.Effect == fleet.Idempotent && (l.Hedging || l.Cancellation),
+	for _, class := range l.Classes {
+		d.classes = append(d.classes, requestClass{
+			effect: class.Effect, scope: class.Scope, dedupWindow: class.DedupWindow, objective: class.LatencyObjective,
+			priority: class.PriorityWeight, lateFactor: class.LateFactor, maxAttempts: l.AttemptLimit(&class),
+			// In overload, late responses displace those in time, and an overloaded server loses capacity: waits are
+			// kept short, and shorter for lower priorities.
+			maxWait:          class.LatencyObjective * (1 + class.LateFactor) * (0.3 + 0.2*class.PriorityWeight/maxPriority),
+			mayHedgeOrCancel: class.Effect == fleet.Idempotent && (l.Hedging || l.Cancellation),
 		})
 	}
-	d.slack += d.minObjective / 100
-	if d.period = d.minObjective; l.WarmUpTime > 0 {
-		d.period = l.WarmUpTime / 20
+	d.deadlineMargin += d.minObjective / 100
+	if d.adjustInterval = d.minObjective; l.WarmUpTime > 0 {
+		d.adjustInterval = l.WarmUpTime / 20
 	}
 	if l.RetryAfter {
 		d.maxRetryAfter = l.MaxRetryAfter
 	}
 	if l.Subscribe {
-		if d.pollWithin = l.PollWithin; d.pollWithin <= 0 {
-			d.pollWithin = 10 * d.minObjective
+		if d.maxPollInterval = l.PollWithin; d.maxPollInterval <= 0 {
+			d.maxPollInterval = 10 * d.minObjective
 		}
 	}
 	return d
 }
 
-// New returns a node that knows nothing but its limits. It adds no request to slab; its caller does.
+// New returns a node that has learned nothing yet. Its caller adds the requests to slab.
 func New(now float64, l fleet.Limits, slab *fleet.Slab) *Node {
 	n := &Node{limits: deriveLimits(l), requests: slab, now: now, seed: l.Seed}
-	n.maxConnected, n.zoneShare, n.meanUtil, n.pollAt = math.Inf(1), 1, 0.5, now
+	n.maxConnectedServers, n.zoneShare, n.meanUtil, n.pollAt = math.Inf(1), 1, 0.5, now
 	if l.Hedging {
-		n.hedgeBudget = 3 // at the start nothing is known of any server, and a hedge costs little
+		n.hedgeBudget = 3 // at first no server is known to be fast, and a hedged request costs little
 	}
 	n.originLimit = originLimiter{window: 4, latency: n.limits.minObjective / 4}
-	if n.limits.pollWithin == 0 {
+	if n.limits.maxPollInterval == 0 {
 		n.pollAt = math.Inf(1)
 	}
-	n.adjustAt = now + n.limits.period*(0.5+0.5*n.random())
+	n.adjustAt = now + n.limits.adjustInterval*(0.5+0.5*n.random())
 	return n
 }
 
-// Reconfigure replaces the limits. Class ids keep their meaning; ring, health and meters stay.
+// Reconfigure replaces the limits. The class ids must keep their meaning. The ring, the health of servers and the
+// traffic measurements are kept.
 func (n *Node) Reconfigure(now float64, l fleet.Limits) { n.now, n.limits = now, deriveLimits(l) }
 
-// random draws from [0,1) by hashing the seed and a counter, so that equal events give equal decisions.
+// random returns a number in [0,1) that is hashed from the seed and a counter, so that equal events lead to equal
+// decisions.
 func (n *Node) random() float64 {
-	n.drawCount++
-	return fleet.Random(n.seed, n.drawCount)
+	n.randomCounter++
+	return fleet.Random(n.seed, n.randomCounter)
 }
 
-// Route says where to send req now, to hold it, or to answer it. Without a request it does the node's upkeep.
+// Route sends, holds or answers req. Without a request it does the node's maintenance.
 func (n *Node) Route(now float64, req *fleet.Request) fleet.Decision {
 	n.now = now
 	if req == nil {
@@ -153,7 +158,7 @@
 		return fleet.Decision{}
 	}
 	if !req.HasKey && req.NumAttempts == 0 {
-		req.Key = fleet.Key(n.random() * (1 << 53)) // a request without a key gets a place on the ring
+		req.Key = fleet.Key(n.random() * (1 << 53)) // a request without a key goes to a random point of the ring
 	}
 	if req.Stage == stageNew && req.HasKey {
 		n.keyCounts.Add(uint64(req.Key))
@@ -161,53 +166,54 @@
 	return n.enforce(req, n.propose(req))
 }
 
-// AttemptDone records how an attempt ended and says what to do next for its request.
+// AttemptDone records the end of an attempt and returns the next decision for its request.
 func (n *Node) AttemptDone(now float64, req *fleet.Request, o fleet.Outcome) fleet.Decision {
 	n.now = now
 	if o.Attempt < 0 || o.Attempt >= req.NumAttempts || req.Attempts[o.Attempt].Result != fleet.Pending {
 		return fleet.Decision{}
 	}
-	e := &req.Attempts[o.Attempt]
-	s := n.servers[e.Server]
+	attempt := &req.Attempts[o.Attempt]
+	s := n.servers[attempt.Server]
 	if req.Uploading {
-		n.recordSend(s, req) // the attempt ends before its upload did
+		n.recordSend(s, req) // the attempt ended before its upload, whose end would have been recorded as its start
 	}
-	e.Result = o.Result
+	attempt.Result = o.Result
 	req.InFlight--
-	n.recordOutcome(s, req, e, o)
-	d := n.nextStep(req, s, o)
-	if c := n.idleToClose(s, o.Result); c != nil {
-		c.connected, d.CloseIdle, d.IdleServer = false, true, c.id
+	n.recordOutcome(s, req, attempt, o)
+	d := n.nextDecision(req, s, o)
+	if idle := n.pickIdleServer(s, o.Result); idle != nil {
+		idle.connected, d.CloseIdle, d.IdleServer = false, true, idle.id
 	}
 	return d
 }
 
-// nextStep is what AttemptDone says of the request itself.
-func (n *Node) nextStep(req *fleet.Request, s *server, o fleet.Outcome) fleet.Decision {
+// nextDecision returns the decision for a request after one of its attempts at s has ended.
+func (n *Node) nextDecision(req *fleet.Request, s *server, o fleet.Outcome) fleet.Decision {
 	if o.Closed || req.Closed {
 		if o.Result == fleet.Completed && o.Attempt > 0 && req.InFlight > 0 {
-			n.hedgeBudget++ // the hedge was first: the budget is for those that are not
+			n.hedgeBudget++ // the hedged request was faster: only those that are slower use up the budget
 		}
 		req.Closed = true
-		return n.cancelLoser(req)
+		return n.cancelUnneeded(req)
 	}
 	missed := o.Result == fleet.Missed
-	if req.InFlight > 0 && missed && req.Stage == stageAtCache && n.limits.hedging && n.originFree() {
-		return n.enforce(req, n.send(req, n.origin)) // a hedge that missed must not leave req with a silent server
+	if req.InFlight > 0 && missed && req.Stage == stageAtCache && n.limits.hedging && n.originHasCapacity() {
+		return n.enforce(req, n.send(req, n.origin)) // a hedged request missed, and the server of the other attempt is silent
 	}
 	if req.Streamed || req.InFlight > 0 {
 		return fleet.Decision{Action: fleet.Hold}
 	}
 	if req.Stage = stageReroute; s == n.origin || missed && n.origin != nil {
-		req.Stage = stageForOrigin
+		req.Stage = stageNeedsOrigin
 	}
 	return n.enforce(req, n.propose(req))
 }
 
-// NextDue returns how long to sleep, in ms, and the request that Route is to be called for then.
+// NextDue returns the next request to pass to Route and the time in ms to sleep before. NoRequest stands for the node's
+// own maintenance.
 func (n *Node) NextDue(now float64) (fleet.Ref, float64) {
 	n.now = now
-	if r := n.originLimit.nextWaiting(n); r != fleet.NoRequest {
+	if r := n.originLimit.popWaiting(n); r != fleet.NoRequest {
 		return r, 0
 	}
 	due := min(n.adjustAt, n.pollAt)
@@ -229,45 +235,47 @@
 	return fleet.NoRequest, max(0, due-now)
 }
 
-// ResponseStarted reports that the response to req streams: it belongs to the client now.
+// ResponseStarted reports that the response to req is being streamed to the client. From then on req gets no further
+// attempt and no other answer.
 func (n *Node) ResponseStarted(now float64, req *fleet.Request) { n.now, req.Streamed = now, true }
 
-// UploadDone reports that req's value is complete, its deadline known. An attempt in flight begins only now.
+// UploadDone reports that the value of req is complete and its deadline is set. An attempt in flight counts as sent only
+// now.
 func (n *Node) UploadDone(now float64, req *fleet.Request) {
 	if n.now = now; req.Uploading && req.InFlight > 0 {
-		e := &req.Attempts[req.NumAttempts-1]
-		e.SentAt = now
-		n.recordSend(n.servers[e.Server], req)
+		attempt := &req.Attempts[req.NumAttempts-1]
+		attempt.SentAt = now
+		n.recordSend(n.servers[attempt.Server], req)
 	}
 	req.Uploading = false
 }
 
-// ClientGone reports that the client of req is gone.
+// ClientGone reports that the client of req has disconnected.
 func (n *Node) ClientGone(now float64, req *fleet.Request) { n.now, req.Closed = now, true }
 
-// cancelLoser cancels an attempt whose response nobody waits for, where that frees work.
-func (n *Node) cancelLoser(req *fleet.Request) fleet.Decision {
+// cancelUnneeded cancels an attempt whose response is no longer needed, if cancellation is permitted.
+func (n *Node) cancelUnneeded(req *fleet.Request) fleet.Decision {
 	for i := range req.Attempts[:req.NumAttempts] {
-		e := &req.Attempts[i]
-		if n.limits.cancellation && !req.Streamed && e.Result == fleet.Pending && !e.Cancelled {
-			e.Cancelled = true
+		attempt := &req.Attempts[i]
+		if n.limits.cancellation && !req.Streamed && attempt.Result == fleet.Pending && !attempt.Cancelled {
+			attempt.Cancelled = true
 			return fleet.Decision{Action: fleet.Cancel, Attempt: i}
 		}
 	}
 	return fleet.Decision{}
 }
 
-// propose chooses for an open request; enforce has the last word.
+// propose chooses a decision for an open request; enforce checks it against the rules.
 func (n *Node) propose(req *fleet.Request) fleet.Decision {
-	c, st := &n.limits.classes[req.Class], req.Stage
-	lastAttempt := req.NumAttempts+1 == c.maxAttempts
+	class, stage := &n.limits.classes[req.Class], req.Stage
+	lastAttempt := req.NumAttempts+1 == class.maxAttempts
 	switch {
 	case req.InFlight > 0:
-		return n.review(req)
-	case req.Deadline-n.now <= n.limits.slack || req.NumAttempts >= c.maxAttempts || req.Consumed:
+		return n.reviewAttempt(req)
+	case req.Deadline-n.now <= n.limits.deadlineMargin || req.NumAttempts >= class.maxAttempts || req.Consumed:
 		return n.reject(n.limits.minObjective)
 	case n.limits.originKind < 0:
-	case req.Write || st == stageForOrigin || st == stageWaiting || lastAttempt && n.originFree():
+	case req.Write || stage == stageNeedsOrigin || stage == stageQueued || lastAttempt && n.originHasCapacity():
 		return n.routeToOrigin(req)
 	}
 	s := n.pickCache(req)
@@ -275,43 +283,44 @@
 		return n.routeToOrigin(req)
 	}
 	if s.isOutlier() {
-		return n.send(req, s) // a trial request: what was seen of the server before says nothing
+		return n.send(req, s) // a trial request: the server's past latency says nothing about it
 	}
-	// Departure: what its owner would answer late goes to the origin while that has capacity and is quicker; the
-	// owner keeps its other keys and copies. In overload, the rest is rejected at once.
-	expected, load, o := s.expected(n), math.Inf(1), &n.originLimit
+	// Deviation from the thesis: a request that its owner would answer late goes to the origin while that has capacity
+	// and is faster, and the owner keeps its other keys and copies. In overload, the other late ones are rejected at once.
+	expected, originLoad, limiter := s.expectedLatency(n), math.Inf(1), &n.originLimit
 	if n.origin != nil {
-		load = o.load(n)
+		originLoad = limiter.utilization(n)
 	}
-	crowded := n.lateShare > overloadShare && expected > max(c.maxWait, 3.5*s.perQueued)
-	slower := expected > max(c.objective/4, o.latency, 2.5*s.perQueued)
+	overloaded := n.lateShare > overloadLateShare && expected > max(class.maxWait, 3.5*s.timePerQueued)
+	slowerThanOrigin := expected > max(class.objective/4, limiter.latency, 2.5*s.timePerQueued)
 	switch {
-	case crowded && load < 0.8 || slower && load < 0.5 && o.lateShare < 0.3:
+	case overloaded && originLoad < 0.8 || slowerThanOrigin && originLoad < 0.5 && limiter.lateShare < 0.3:
 		return n.routeToOrigin(req)
-	case crowded:
+	case overloaded:
 		return n.reject(expected)
 	}
 	return n.send(req, s)
 }
 
-// send proposes an attempt with all the time that is left: time-outs kill heavy requests on healthy servers.
+// send proposes an attempt with all the remaining time as its timeout: shorter ones would end heavy requests on healthy
+// servers.
 func (n *Node) send(req *fleet.Request, s *server) fleet.Decision {
 	return fleet.Decision{Action: fleet.Send, Server: s.id, Timeout: req.Deadline - n.now}
 }
 
-// hold keeps req and has NextDue name it at the given time.
+// hold keeps req until the given time, when NextDue returns it.
 func (n *Node) hold(req *fleet.Request, at float64) fleet.Decision {
 	req.Wake = at
 	n.timers.Add(fleet.Timer{At: at, Ref: req.Ref})
 	return fleet.Decision{Action: fleet.Hold}
 }
 
-// reject answers req at once, with a Retry-After where clients understand one.
+// reject answers req at once, with a Retry-After if the settings permit one.
 func (n *Node) reject(wait float64) fleet.Decision {
 	return fleet.Decision{Action: fleet.Reject, RetryAfter: min(wait, n.limits.maxRetryAfter)}
 }
 
-// enforce checks every decision about req. What a rule forbids becomes the nearest thing that is allowed.
+// enforce checks every decision about req and replaces one that the rules forbid by the nearest one that they allow.
 func (n *Node) enforce(req *fleet.Request, d fleet.Decision) fleet.Decision {
 	overlaps := req.InFlight > 0 && !n.limits.hedging
 	if d.Action == fleet.Send && (overlaps || !n.maySend(req, n.servers[d.Server])) {
@@ -324,9 +333,9 @@
 	case fleet.Send:
 		s := n.servers[d.Server]
 		d.NotAfter = n.repeatableUntil(req, s)
-		// The timer of an earlier hold must not review this attempt: it once cancelled what must not be.
+		// Wake is reset, because the timer of an earlier hold once led to the cancellation of an attempt that had to stay.
 		d.Attempt, req.Wake = req.NumAttempts, 0
-		req.Attempts[req.NumAttempts] = fleet.Attempt{Server: s.id, SentAt: n.now, Ahead: s.ahead()}
+		req.Attempts[req.NumAttempts] = fleet.Attempt{Server: s.id, SentAt: n.now, Ahead: s.requestsAhead()}
 		req.NumAttempts++
 		if req.InFlight++; !req.Uploading {
 			n.recordSend(s, req)
@@ -334,7 +343,7 @@
 		if req.Stage = stageAtCache; s == n.origin {
 			req.Stage = stageAtOrigin
 		}
-		if n.limits.classes[req.Class].reviewable {
+		if n.limits.classes[req.Class].mayHedgeOrCancel {
 			n.hold(req, n.now+n.silenceLimit(req, s))
 		}
 	case fleet.Reject, fleet.Abort:
@@ -346,28 +355,30 @@
 	return d
 }
 
-// maySend checks rules 1 to 4 for one more attempt of req at s.
+// maySend reports whether the four rules allow one more attempt of req at s: req is open, has attempts and time left, s
+// accepts attempts and has quota for one, and no effect is repeated.
 func (n *Node) maySend(req *fleet.Request, s *server) bool {
 	return !req.Closed && !req.Streamed && req.NumAttempts < n.limits.classes[req.Class].maxAttempts &&
-		n.now < req.Deadline && s.state == fleet.Ready && n.hasColdQuota(s, req) &&
+		n.now < req.Deadline && s.state == fleet.Ready && n.hasSlowStartQuota(s, req) &&
 		n.now <= n.repeatableUntil(req, s)
 }
 
-// repeatableUntil is until when one more attempt of req at s can't repeat an effect; without s, one anywhere.
+// repeatableUntil returns the time until which one more attempt of req at s cannot repeat an effect; -Inf if it can
+// already. Without s, it applies to any server.
 func (n *Node) repeatableUntil(req *fleet.Request, s *server) float64 {
-	c, until := &n.limits.classes[req.Class], math.Inf(1)
+	class, until := &n.limits.classes[req.Class], math.Inf(1)
 	for i := range req.Attempts[:req.NumAttempts] {
-		e := &req.Attempts[i]
-		was := n.servers[e.Server]
+		attempt := &req.Attempts[i]
+		earlier := n.servers[attempt.Server]
 		switch {
-		case c.effect == fleet.Idempotent || e.Result.NotExecuted():
-		case c.effect == fleet.NonIdempotent || s == nil && c.scope != fleet.ScopeAll:
+		case class.effect == fleet.Idempotent || attempt.Result.NotExecuted():
+		case class.effect == fleet.NonIdempotent || s == nil && class.scope != fleet.ScopeAll:
 			return math.Inf(-1)
-		case s != nil && (c.scope == fleet.ScopeZone && was.zone != s.zone ||
-			c.scope == fleet.ScopeCell && was.cell != s.cell):
+		case s != nil && (class.scope == fleet.ScopeZone && earlier.zone != s.zone ||
+			class.scope == fleet.ScopeCell && earlier.cell != s.cell):
 			return math.Inf(-1)
 		case s != nil:
-			until = min(until, e.SentAt+c.dedupWindow-n.limits.slack)
+			until = min(until, attempt.SentAt+class.dedupWindow-n.limits.deadlineMargin)
 		}
 	}
 	return until
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -30,7 +30,7 @@
 
 var serverNames = []string{"cache-a", "cache-b", "origin"}
 
-// newRead puts a read that arrives now into the slab. Its key is the hash of the one that the client has sent.
+// newRead puts a read that arrives now into the slab. Its key is a hash of the client's key.
 func newRead(slab *fleet.Slab, now float64, key fleet.Key) *fleet.Request {
 	req := slab.Alloc()
 	req.Class, req.Key, req.HasKey = 0, key, true
@@ -65,8 +65,8 @@
 	// nothing more to do: true
 }
 
-// A caller without other events sleeps for as long as NextDue says and then calls Route for the request that it names. Here that
-// is a read whose cache stays silent, for which the node sends a hedged request.
+// A caller without other events sleeps for as long as NextDue says and then calls Route for the request that NextDue returned. In this
+// example, the cache of a read stays silent, so the node sends a hedged request.
 func ExampleNode_NextDue() {
 	now := 0.0
 	node, slab := newNode(now)
--- a/decide/health.go
+++ b/decide/health.go
@@ -7,69 +7,70 @@
 	"mintspring/internal/slowstart"
 )
 
-// server is what this node knows of one server, from the endpoint list and its own traffic.
+// server holds what this node knows of one server, from the endpoint list and the node's own traffic.
 type server struct {
 	id      fleet.ServerID
 	state   fleet.State
 	kind    fleet.KindID
 	zone    fleet.ZoneID
 	cell    fleet.CellID
-	started float64
+	started float64 // when its process started
 
-	listed, connected bool // connected: there may be a connection to it
-	newReport         bool // the load report has moved no point yet
+	listed, connected bool // in the endpoint list; this node may have connections to it
+	hasNewReport      bool // no point has been moved on the last load report yet
 
-	homePoint, size float64     // the hash of its id, and its nominal size
-	positions       [2]position // on the ring of all caches and on its zone's
-	shed, step      float64     // share of its arc that moves have handed on; share of x that its next one takes
+	hashPoint, size float64     // the hash of its name on the ring; its nominal size
+	positions       [2]position // on the ring of all caches and on the ring of its zone
+	shedShare, step float64     // share of its arc that moves gave to its successor; share of a shift that the next move takes
 	report          fleet.LoadReport
 
-	queuePeak, hitRatio       float64 // recent peak of the reported queue, and level of the hit ratio
-	inFlight                  int     // own attempts there
-	silentSince               float64 // since when something is in flight and nothing was received
-	perQueued                 float64 // response time for each request ahead
-	latency                   float64 // recent response time
-	latencyAhead, latencyAt   float64 // what was ahead at that time, and when that was
-	failures, indirect        float64 // recent share of failures, and what indirect evidence adds to it
-	trialAt, backoff          float64 // outlier: when a trial request may go, and from one to the next
-	trialInterval, lastUsedAt float64 // the same where other nodes try as well; when an attempt was sent
-	bucket                    slowstart.Bucket
+	queuePeak, hitRatioPeak     float64 // recent peaks of the reported queue and hit ratio
+	inFlight                    int     // attempts of this node
+	silentSince                 float64 // start of the time with attempts in flight and no response
+	timePerQueued               float64 // response time per request in the queue, the new one included
+	latency                     float64 // moving average of the response time
+	latencyAhead, latencyAt     float64 // moving average of the requests ahead of those measured; time of the last measurement
+	failureShare, indirectShare float64 // moving share of failures; what other nodes' evidence adds to it
+	trialAt, backoff            float64 // of an outlier: time of the next trial request; time between two
+	trialInterval, lastUsedAt   float64 // time between trials where other nodes send some too; time of the last attempt
+	bucket                      slowstart.Bucket
 }
 
 const (
-	failureWeight   = 0.25 // of one outcome in the recent share of failures
-	outlierLimit    = 0.4  // share of failures from which a server is an outlier
-	evidencePeriods = 15   // after which what was seen of a server has decayed
-	overloadShare   = 0.1  // share of late responses above which requests are rejected
+	failureWeight     = 0.25 // of one outcome in failureShare
+	outlierThreshold  = 0.4  // share of failures from which a server is an outlier
+	evidenceIntervals = 15   // adjustIntervals after which evidence of a server has decayed
+	overloadLateShare = 0.1  // share of late responses above which requests are rejected
 )
 
-// blame is what an outcome says against its server. A reset is more often the fault of the connection.
-var blame = [...]float64{fleet.Failed: 1, fleet.Reset: 0.5, fleet.ConnectFailed: 1, fleet.Missed: 0}
+// failureScore is how much a result counts as a failure of the server. A reset is more often a fault of the connection.
+var failureScore = [...]float64{fleet.Failed: 1, fleet.Reset: 0.5, fleet.ConnectFailed: 1, fleet.Missed: 0}
 
-// ahead counts what a new request would find at s: own attempts and the queue last reported.
-func (s *server) ahead() float64 {
+// requestsAhead counts the requests that a new one finds at s: this node's attempts and the last reported queue.
+func (s *server) requestsAhead() float64 {
 	if queue := s.report.Queue; !math.IsNaN(queue) {
 		return float64(s.inFlight) + queue
 	}
 	return float64(s.inFlight)
 }
 
-// expected is the response time to expect at s: the recent one, corrected by how much more or less is ahead
-// now than was then, so that errors of reports cancel out. It decays with age; silence counts as it grows.
-func (s *server) expected(n *Node) float64 {
-	a := s.ahead()
-	t := s.perQueued * (1 + a)
-	if w := 1 - (n.now-s.latencyAt)/(evidencePeriods*n.limits.period); w > 0 {
-		t += w * (s.latency + s.perQueued*(a-s.latencyAhead) - t)
+// expectedLatency returns the response time to expect at s: the recent one, corrected by the change in the number of
+// requests ahead since then, so that errors of load reports cancel out. The recent one counts less with age. While s
+// does not respond, the result is at least the time since its last response.
+func (s *server) expectedLatency(n *Node) float64 {
+	ahead := s.requestsAhead()
+	expected := s.timePerQueued * (1 + ahead)
+	if weight := 1 - (n.now-s.latencyAt)/(evidenceIntervals*n.limits.adjustInterval); weight > 0 {
+		expected += weight * (s.latency + s.timePerQueued*(ahead-s.latencyAhead) - expected)
 	}
-	t = max(t, s.perQueued)
+	expected = max(expected, s.timePerQueued)
 	if s.inFlight > 0 {
-		t = max(t, n.now-s.silentSince)
+		expected = max(expected, n.now-s.silentSince)
 	}
-	return t
+	return expected
 }
 
-// recordSend counts one more attempt in flight at s.
+// recordSend records that an attempt of req at s has started.
 func (n *Node) recordSend(s *server, req *fleet.Request) {
 	if s.inFlight == 0 {
 		s.silentSince = n.now
@@ -79,31 +80,31 @@
 	if s != n.origin {
 		n.cacheInFlight++
 		n.hedgeBudget = min(n.hedgeBudget+n.limits.hedgeRate, 10)
-		n.slowStart.Spend(n.now, &s.bucket, n.limits.period, req.Work)
+		n.slowStart.Spend(n.now, &s.bucket, n.limits.adjustInterval, req.Work)
 		return
 	}
 	n.originLimit.nextSendAt = n.now + n.limits.minObjective/4/n.originLimit.window
 	if req.Write {
-		n.originLimit.writes++
+		n.originLimit.writesInFlight++
 	}
 }
 
-// recordOutcome records what an outcome says of its server: how fast it is, and whether it is healthy.
-func (n *Node) recordOutcome(s *server, req *fleet.Request, e *fleet.Attempt, o fleet.Outcome) {
+// recordOutcome updates the latency and health of s and the share of late responses with the outcome of an attempt.
+func (n *Node) recordOutcome(s *server, req *fleet.Request, attempt *fleet.Attempt, o fleet.Outcome) {
 	s.inFlight--
 	n.recordReport(s, o.Report)
-	objective, responsive := n.limits.classes[req.Class].objective, s.silentSince > e.SentAt
+	objective, responsive := n.limits.classes[req.Class].objective, s.silentSince > attempt.SentAt
 	if s == n.origin {
-		n.originLimit.recordOutcome(n, req, e, o)
+		n.originLimit.recordOutcome(n, req, attempt, o)
 	} else {
 		n.cacheInFlight--
-		done := o.Result == fleet.Completed || o.Result == fleet.TimedOut || responsive && !o.Result.NotExecuted()
+		countsAsResponse := o.Result == fleet.Completed || o.Result == fleet.TimedOut || responsive && !o.Result.NotExecuted()
 		switch {
 		case o.Result == fleet.Full:
 			n.lateShare += 0.05 * (0.2 - n.lateShare)
-		case done && n.now-req.Arrived > 0.8*objective:
+		case countsAsResponse && n.now-req.Arrived > 0.8*objective:
 			n.lateShare += 0.05 * (1 - n.lateShare)
-		case done:
+		case countsAsResponse:
 			n.lateShare -= 0.05 * n.lateShare
 		}
 	}
@@ -111,150 +112,156 @@
 	case fleet.NotSent:
 		return
 	case fleet.TimedOut, fleet.Cancelled:
-		// It would have taken longer still: a server must not look quick because slow responses are cut off.
-		s.recordLatency(n, max(o.Took, s.latency), e.Ahead)
-		// Slow is not dead: only a server that has answered nothing since the attempt left counts as silent.
+		// The response would have taken longer: a server must not look fast because its slow responses are cut off.
+		s.recordLatency(n, max(o.Took, s.latency), attempt.Ahead)
+		// A slow server has not failed: only one that has answered nothing since the attempt was sent counts as silent.
 		if !responsive && o.Took >= objective/4 {
 			n.recordHealth(s, 1)
 		}
 		return
 	case fleet.Completed:
 		if o.Cache <= fleet.CacheHit {
-			took := min(o.Took, 4*s.expected(n)) // one heavy request says little of the server
-			// The time per request ahead stays near the shortest: waits behind other nodes' are not slowness.
-			one, weight := took/(1+e.Ahead), 0.02
-			if one < s.perQueued {
+			took := min(o.Took, 4*s.expectedLatency(n)) // limits the influence of one heavy request
+			// timePerQueued stays near the shortest times: waiting behind other nodes' requests does not make a server slow.
+			perQueued, weight := took/(1+attempt.Ahead), 0.02
+			if perQueued < s.timePerQueued {
 				weight = 0.1
 			}
-			s.perQueued += weight * (one - s.perQueued)
-			s.recordLatency(n, took, e.Ahead)
+			s.timePerQueued += weight * (perQueued - s.timePerQueued)
+			s.recordLatency(n, took, attempt.Ahead)
 		}
 	}
 	if o.Result != fleet.Full && !o.Stale {
-		n.recordHealth(s, blame[o.Result])
+		n.recordHealth(s, failureScore[o.Result])
 	}
 	s.silentSince = n.now
 }
 
-// recordLatency records one response time and what was ahead of it.
+// recordLatency updates the moving averages with a response time and the number of requests that were ahead.
 func (s *server) recordLatency(n *Node, took, ahead float64) {
 	s.latency += 0.3 * (took - s.latency)
 	s.latencyAhead += 0.3 * (ahead - s.latencyAhead)
 	s.latencyAt = n.now
 }
 
-// recordHealth weighs an outcome. While s is an outlier, each further failure starts a longer backoff.
-func (n *Node) recordHealth(s *server, fail float64) {
-	if fail == 0 {
-		s.failures, s.backoff = s.failures*(1-failureWeight), n.limits.period
-	} else if s.failures += failureWeight * fail * (1 - s.failures); s.isOutlier() {
-		s.trialAt = n.now + s.backoff*(1+evidencePeriods*max(0, s.indirect))
-		s.backoff = min(2*s.backoff, 4*n.limits.period)
-		if s.trialInterval > 0 { // of nodes that begin together some try soon
+// recordHealth updates the failure share of s with the score of an outcome, 0 for a success. While s is an outlier, each
+// further failure postpones its next trial request and doubles the backoff up to a limit.
+func (n *Node) recordHealth(s *server, score float64) {
+	if score == 0 {
+		s.failureShare, s.backoff = s.failureShare*(1-failureWeight), n.limits.adjustInterval
+	} else if s.failureShare += failureWeight * score * (1 - s.failureShare); s.isOutlier() {
+		s.trialAt = n.now + s.backoff*(1+evidenceIntervals*max(0, s.indirectShare))
+		s.backoff = min(2*s.backoff, 4*n.limits.adjustInterval)
+		if s.trialInterval > 0 { // random, so that nodes which start together spread their trials
 			s.trialAt = max(s.trialAt, n.now+2*s.trialInterval*n.random())
 		}
 	}
 }
 
-func (s *server) isOutlier() bool { return s.failures+s.indirect >= outlierLimit }
+func (s *server) isOutlier() bool { return s.failureShare+s.indirectShare >= outlierThreshold }
 
-// SetIndirectEvidence sets what other nodes' evidence adds to a server's failures, and the interval between
-// trials where those nodes send some as well; the next one goes by trialBy.
-func (n *Node) SetIndirectEvidence(id fleet.ServerID, bias, trialInterval, trialBy float64) {
+// SetIndirectEvidence sets what other nodes' evidence adds to a server's failure share, and the interval between this
+// node's trial requests while those nodes send some too. The next one is sent by trialBy.
+func (n *Node) SetIndirectEvidence(id fleet.ServerID, evidence, trialInterval, trialBy float64) {
 	s := n.servers[id]
-	s.indirect, s.trialInterval, s.trialAt = bias, trialInterval, min(s.trialAt, trialBy)
+	s.indirectShare, s.trialInterval, s.trialAt = evidence, trialInterval, min(s.trialAt, trialBy)
 }
 
-// accepts reports whether s can be sent req. An outlier gets single trials of requests that may run again.
-func (n *Node) accepts(c *hashRing, s *server, req *fleet.Request, owner bool) bool {
-	for _, e := range req.Attempts[:req.NumAttempts] {
-		// A healthy server has the copy: it may get again what its connection lost, by a reset or in silence.
-		lost := e.Result == fleet.Reset || e.Result == fleet.Cancelled && s.silentSince > e.SentAt
-		if e.Server == s.id && e.Result != fleet.Missed && e.Result != fleet.NotSent && !lost {
+// accepts reports whether s may be sent req. An outlier gets one trial request at a time, which must be idempotent and
+// for a key of the outlier's arc.
+func (n *Node) accepts(ring *hashRing, s *server, req *fleet.Request, owner bool) bool {
+	for _, earlier := range req.Attempts[:req.NumAttempts] {
+		// A healthy server has a copy of the key: it may be sent req again after a connection was reset or went silent.
+		lost := earlier.Result == fleet.Reset || earlier.Result == fleet.Cancelled && s.silentSince > earlier.SentAt
+		if earlier.Server == s.id && earlier.Result != fleet.Missed && earlier.Result != fleet.NotSent && !lost {
 			return false
 		}
 	}
 	idempotent := n.limits.classes[req.Class].effect == fleet.Idempotent
 	trial := owner && s.inFlight == 0 && n.now >= s.trialAt && req.NumAttempts == 0 && idempotent
-	return (!s.isOutlier() || trial) && n.inColdArc(c, s, req.Key.Point()) && n.maySend(req, s)
+	return (!s.isOutlier() || trial) && n.inSlowStartArc(ring, s, req.Key.Point()) && n.maySend(req, s)
 }
 
-// silenceLimit is how long s may be silent before a request in flight there is reviewed again.
+// silenceLimit returns for how long s may be silent before an attempt of req there is hedged or replaced.
 func (n *Node) silenceLimit(req *fleet.Request, s *server) float64 {
-	return max(n.limits.classes[req.Class].objective/3, 4*s.perQueued)
+	return max(n.limits.classes[req.Class].objective/3, 4*s.timePerQueued)
 }
 
-// review decides on a request whose attempt takes long. Only silence counts: a server that answers others
-// works, and the request is heavy or queued, until it takes so long that its connection must be lost.
-func (n *Node) review(req *fleet.Request) fleet.Decision {
-	e, c := &req.Attempts[req.NumAttempts-1], &n.limits.classes[req.Class]
-	s, next := n.servers[e.Server], n.now+c.objective/8
-	if !c.reviewable || req.InFlight != 1 || e.Result != fleet.Pending || e.Cancelled ||
-		req.NumAttempts >= c.maxAttempts || next >= req.Deadline-n.limits.slack {
+// reviewAttempt decides whether to hedge or replace an attempt that takes long. It does so if the server is silent. A
+// server that responds to others works, and req is heavy or queued there; only when it takes much longer than expected
+// is its connection taken for lost.
+func (n *Node) reviewAttempt(req *fleet.Request) fleet.Decision {
+	attempt, class := &req.Attempts[req.NumAttempts-1], &n.limits.classes[req.Class]
+	s, nextReview := n.servers[attempt.Server], n.now+class.objective/8
+	if !class.mayHedgeOrCancel || req.InFlight != 1 || attempt.Result != fleet.Pending || attempt.Cancelled ||
+		req.NumAttempts >= class.maxAttempts || nextReview >= req.Deadline-n.limits.deadlineMargin {
 		return fleet.Decision{Action: fleet.Hold}
 	}
-	age := n.now - e.SentAt
-	lost := s.silentSince > e.SentAt && n.lateShare <= overloadShare && age > max(c.objective/2, 6*s.expected(n))
-	silent := s != n.origin && n.now-max(s.silentSince, e.SentAt) >= n.silenceLimit(req, s)
-	if n.hedgeBudget < 1 || !lost && !silent {
-		return n.hold(req, next)
+	age := n.now - attempt.SentAt
+	connectionLost := s.silentSince > attempt.SentAt && n.lateShare <= overloadLateShare &&
+		age > max(class.objective/2, 6*s.expectedLatency(n))
+	silent := s != n.origin && n.now-max(s.silentSince, attempt.SentAt) >= n.silenceLimit(req, s)
+	if n.hedgeBudget < 1 || !connectionLost && !silent {
+		return n.hold(req, nextReview)
 	}
-	t := n.origin // another cache seldom has the key; the origin always does
-	if t == nil || n.originLimit.load(n) >= 0.5 {
-		t = n.pickCache(req)
+	target := n.origin // another cache seldom has the key; the origin always does
+	if target == nil || n.originLimit.utilization(n) >= 0.5 {
+		target = n.pickCache(req)
 	}
-	if (t == nil || t == s || t.expected(n) >= age/2) && (!lost || n.limits.hedging) {
-		return n.hold(req, next)
+	if (target == nil || target == s || target.expectedLatency(n) >= age/2) && (!connectionLost || n.limits.hedging) {
+		return n.hold(req, nextReview)
 	}
 	n.hedgeBudget--
 	if n.limits.hedging {
-		return n.send(req, t)
+		return n.send(req, target)
 	}
-	e.Cancelled = true
+	attempt.Cancelled = true
 	return fleet.Decision{Action: fleet.Cancel, Attempt: req.NumAttempts - 1}
 }
 
-// idleToClose names a server whose idle connections are to be closed. Departure: where full servers refuse
-// connects (else one lost server closed nearly all), the nodes hold too many together. Each then keeps half
-// of its own, opens more by and by, and closes first what it has used least recently.
-func (n *Node) idleToClose(s *server, res fleet.Result) *server {
-	short := res == fleet.ConnectFailed && n.limits.fullRefuses
-	if short {
-		n.recordHealth(s, 1) // and is left at once
+// pickIdleServer returns a server whose idle connections are to be closed, or nil. Deviation from the thesis: where full
+// servers refuse connects, a failed connect means that the nodes together hold too many connections. Each node then
+// halves the number of servers that it stays connected to, first closes the connections that it has used least recently,
+// and slowly raises the number again. Elsewhere nothing is closed: there, one lost server once made nodes close nearly
+// all connections.
+func (n *Node) pickIdleServer(s *server, result fleet.Result) *server {
+	refused := result == fleet.ConnectFailed && n.limits.serversRefuseWhenFull
+	if refused {
+		n.recordHealth(s, 1) // so that the server is avoided at once
 		s.connected = s.inFlight > 0
-	} else if math.IsInf(n.maxConnected, 1) {
+	} else if math.IsInf(n.maxConnectedServers, 1) {
 		return nil
 	}
 	var idle *server
 	connected := 0.0
-	for _, c := range n.ring.servers {
-		if c.connected {
+	for _, candidate := range n.ring.servers {
+		if candidate.connected {
 			connected++
 		}
-		if c.connected && c.inFlight == 0 && (idle == nil || c.lastUsedAt < idle.lastUsedAt) {
-			idle = c
+		if candidate.connected && candidate.inFlight == 0 && (idle == nil || candidate.lastUsedAt < idle.lastUsedAt) {
+			idle = candidate
 		}
 	}
-	if short {
-		n.maxConnected = max(1, min(connected, n.maxConnected)/2)
+	if refused {
+		n.maxConnectedServers = max(1, min(connected, n.maxConnectedServers)/2)
 	}
-	if connected <= n.maxConnected {
+	if connected <= n.maxConnectedServers {
 		return nil
 	}
 	return idle
 }
 
-// recordReport keeps a server's load report, which is on every response until the server makes a new one.
+// recordReport stores a server's load report, which the server repeats on every response until it makes a new one.
 func (n *Node) recordReport(s *server, r fleet.LoadReport) {
 	if !r.Present || r.SameLoad(&s.report) {
 		return
 	}
-	s.newReport = true
+	s.hasNewReport = true
 	if !math.IsNaN(r.Queue) {
 		s.queuePeak = max(1, r.Queue, s.queuePeak*0.9)
 	}
 	if !math.IsNaN(r.X0) {
-		s.hitRatio = max(r.X0, s.hitRatio*0.98)
+		s.hitRatioPeak = max(r.X0, s.hitRatioPeak*0.98)
 	}
 	s.report = r
 	if s != n.origin && !math.IsNaN(r.Util) {
@@ -262,7 +269,7 @@
 	}
 }
 
-// ProbeDone records the result of a health check.
+// ProbeDone records the load report from a health check. The result and the duration are not used.
 func (n *Node) ProbeDone(now float64, id fleet.ServerID, _ fleet.Result, _ float64, r fleet.LoadReport) {
 	n.now = now
 	n.recordReport(n.servers[id], r)
--- a/decide/hedging_test.go
+++ b/decide/hedging_test.go
@@ -6,33 +6,33 @@
 	"mintspring/internal/fleet"
 )
 
-// A connection may fall silent while its server answers others. The attempt on it is cancelled long before its time is over, and
-// the request goes to the same server again: a cache has its copy, and the origin is where it was missed for.
+// When a connection goes silent while its server responds on others, the attempt is cancelled well before its timeout and the request
+// is sent to the same server again: a cache has the key, and after a miss the origin does.
 func TestAttemptOnSilentConnectionIsReplaced(t *testing.T) {
 	for _, c := range []struct {
-		lostAttempt                int     // index of the attempt that is lost: 0 at the cache, 1 at the origin
-		lateShare                  float64 // while responses are late, long attempts are no sign of a lost connection
-		replacedFrom, replacedTill float64 // ms after the lost attempt was sent
+		lostAttempt                 int     // index of the attempt that is lost: 0 at the cache, 1 at the origin
+		lateShare                   float64 // while responses are late, long attempts are no sign of a lost connection
+		replacedFrom, replacedUntil float64 // ms after the lost attempt was sent
 	}{{0, 0, 0, 400}, {1, 0, 0, 400}, {0, 1, 220, 900}} {
 		h, lost := loseAttempt(c.lostAttempt, c.lateShare)
 		i := c.lostAttempt
 		took := h.now - lost.attempts[i].sentAt
 		replaced := len(lost.attempts) == i+2 &&
 			(lost.attempts[i+1].server == lost.attempts[i].server || c.lateShare > 0)
-		if !replaced || took < c.replacedFrom || took > c.replacedTill {
+		if !replaced || took < c.replacedFrom || took > c.replacedUntil {
 			t.Errorf("the request with the lost attempt has %+v at %v", lost.attempts, h.now)
 		}
 		h.expectNoViolation(t)
 	}
 }
 
-// loseAttempt has one attempt of a request get no response while others are answered, until the request has another attempt.
+// loseAttempt leaves one attempt of a request without a response while others are answered, until the request has another attempt.
 func loseAttempt(lostAttempt int, lateShare float64) (*harness, *requestTrace) {
 	limits := testLimits()
 	limits.Hedging = false
 	h := newHarness(limits)
 	h.listServers(4)
-	readUpTo := func(key fleet.Key) *requestTrace {
+	readWithAttempt := func(key fleet.Key) *requestTrace {
 		trace := h.read(key)
 		if lostAttempt == 1 {
 			h.miss(trace, 0)
@@ -40,21 +40,21 @@
 		return trace
 	}
 	for i := range 200 {
-		h.hit(readUpTo(fleet.Key(i)), lostAttempt)
+		h.hit(readWithAttempt(fleet.Key(i)), lostAttempt)
 		h.advance(5)
 	}
 	h.node.lateShare = lateShare
-	lost := readUpTo(7)
+	lost := readWithAttempt(7)
 	for key := fleet.Key(1000); len(lost.attempts) == lostAttempt+1 && h.now < 3000; key++ {
-		trace := readUpTo(key)
+		trace := readWithAttempt(key)
 		h.advance(5)
 		h.hit(trace, lostAttempt)
 	}
 	return h, lost
 }
 
-// A hedged request that looked for a silent server's key elsewhere and missed goes on to the origin: once nothing more was tried
-// until the request's time was up.
+// A hedged request that is sent to another cache because the owner is silent goes on to the origin when it misses. Such a request was
+// once left without another attempt until its deadline.
 func TestHedgeThatMissesGoesToOrigin(t *testing.T) {
 	const origin fleet.ServerID = 3
 	h := newHarness(testLimits())
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -19,8 +19,8 @@
 	clientTimeout                    = 900.0 // ms, of all classes
 	classObjective                   = 300.0 // ms, latency objective of all classes
 	testWarmUpTime                   = 20_000.0
-	harnessStart                     = 1000.0 // ms, when a harness begins
-	maxDecisionsAtOnce               = 10_000 // a node that wants more of them at one moment never stops
+	harnessStart                     = 1000.0 // ms, start of every harness
+	maxDecisionsAtOnce               = 10_000 // more at one moment are taken for an endless loop
 )
 
 // testLimits are the limits of a single node in a fleet of caches with an origin. The classes are idempotent, deduplicated and
@@ -71,7 +71,7 @@
 	return r
 }
 
-// routeDue calls Route for all that is due now.
+// routeDue calls Route for everything that is due now.
 func routeDue(n *Node, slab *fleet.Slab, now float64) {
 	for {
 		ref, wait := n.NextDue(now)
@@ -82,17 +82,17 @@
 	}
 }
 
-// harness is the caller of one node, with a plain model of the four rules: it keeps the history of every request, carries
-// decisions out, and works out from that history alone whether each decision is allowed.
+// harness is the caller of one node. It records the history of every request, carries out the decisions, and checks them against a
+// model of the four rules that depends on the history alone.
 type harness struct {
-	limits    fleet.Limits
-	node      *Node
-	slab      fleet.Slab
-	now       float64
-	list      map[fleet.ServerID]fleet.Endpoint
-	open      []*requestTrace
-	stale     bool   // connections that are lost had been idle
-	violation string // the first breach of a rule; empty: none
+	limits        fleet.Limits
+	node          *Node
+	slab          fleet.Slab
+	now           float64
+	list          map[fleet.ServerID]fleet.Endpoint
+	open          []*requestTrace
+	lostWhileIdle bool   // connections had been idle when they were lost
+	violation     string // the first violation of a rule; empty: none
 }
 
 // requestTrace is the history of one request.
@@ -113,7 +113,7 @@
 	result    fleet.Result
 }
 
-// mayHaveExecuted reports whether the attempt may have had an effect, or may have it yet.
+// mayHaveExecuted reports whether the attempt may have had an effect or may still have one.
 func (a attemptTrace) mayHaveExecuted() bool { return !a.result.NotExecuted() }
 
 func newHarness(limits fleet.Limits) *harness {
@@ -122,7 +122,7 @@
 	return h
 }
 
-// newHarnesses starts many nodes that have been sent the same endpoint list.
+// newHarnesses starts nodes that all have the same endpoint list.
 func newHarnesses(nodes, servers int, limits fleet.Limits) []*harness {
 	var all []*harness
 	limits.Nodes = nodes
@@ -162,10 +162,10 @@
 		h.list[e.ID] = e
 	}
 	h.node.UpdateEndpoints(h.now, mode, entries)
-	h.settle()
+	h.routeAllDue()
 }
 
-// request has a client send a request that waits for timeout ms.
+// request sends a request of a client that waits for timeout ms.
 func (h *harness) request(class fleet.ClassID, key fleet.Key, write bool, timeout float64) *requestTrace {
 	req := h.slab.Alloc()
 	req.Class, req.Key, req.HasKey, req.Write = class, key, true, write
@@ -173,22 +173,22 @@
 	trace := &requestTrace{req: req, ref: req.Ref, deadline: req.Deadline}
 	h.open = append(h.open, trace)
 	h.apply(trace, h.node.Route(h.now, req))
-	h.settle()
+	h.routeAllDue()
 	return trace
 }
 
-// read has a client send an idempotent read.
+// read sends an idempotent read of a client.
 func (h *harness) read(key fleet.Key) *requestTrace {
 	return h.request(idempotentClass, key, false, clientTimeout)
 }
 
-// ownerOf is the server whose arc on the ring of all caches holds a key.
+// ownerOf returns the server whose arc on the ring of all caches holds a key.
 func (h *harness) ownerOf(key fleet.Key) *server {
-	return h.node.ring.at(h.node.ring.owner(key.Point()))
+	return h.node.ring.serverAt(h.node.ring.ownerIndex(key.Point()))
 }
 
-// violated records the first breach of a rule.
-func (h *harness) violated(format string, args ...any) {
+// recordViolation keeps the first violation of a rule.
+func (h *harness) recordViolation(format string, args ...any) {
 	if h.violation == "" {
 		h.violation = fmt.Sprintf("at %.0f: ", h.now) + fmt.Sprintf(format, args...)
 	}
@@ -202,7 +202,7 @@
 	}
 }
 
-// apply checks a decision against the rules, from the history alone, and carries it out.
+// apply checks a decision against the rules and carries it out.
 func (h *harness) apply(trace *requestTrace, d fleet.Decision) {
 	switch d.Action {
 	case fleet.Send:
@@ -213,13 +213,13 @@
 		trace.answers++
 		h.checkAnswer(trace, d)
 		if d.RetryAfter > 0 && (!h.limits.RetryAfter || d.RetryAfter > h.limits.MaxRetryAfter) {
-			h.violated("the client is to come back after %v ms", d.RetryAfter)
+			h.recordViolation("a Retry-After of %v ms is not permitted", d.RetryAfter)
 		}
 	case fleet.Probe, fleet.Tell:
-		h.violated("action %d, which no limit permits", d.Action)
+		h.recordViolation("action %d is not permitted by the limits", d.Action)
 	case fleet.Cancel:
 		if !h.limits.Cancellation {
-			h.violated("cancelled where that is not permitted")
+			h.recordViolation("cancellation is not permitted by the limits")
 		}
 		if a := trace.attempts[d.Attempt]; a.result == fleet.Pending {
 			h.endAttempt(trace, d.Attempt, fleet.Cancelled, fleet.CacheUnknown)
@@ -230,17 +230,17 @@
 // checkSend checks whether one more attempt may be sent.
 func (h *harness) checkSend(trace *requestTrace, d fleet.Decision) {
 	if trace.answers > 0 || trace.clientGone || h.now >= trace.deadline {
-		h.violated("sent after the end")
+		h.recordViolation("sent an attempt of a request that is answered, abandoned or past its deadline")
 	}
 	if s := h.list[d.Server]; s.State != fleet.Ready {
-		h.violated("sent to server %d in state %d", d.Server, s.State)
+		h.recordViolation("sent to server %d in state %d", d.Server, s.State)
 	}
 	if len(trace.attempts) >= h.limits.MaxAttempts {
-		h.violated("sent %d times", len(trace.attempts)+1)
+		h.recordViolation("sent %d attempts", len(trace.attempts)+1)
 	}
 	for _, earlier := range trace.attempts {
 		if earlier.result == fleet.Pending && !h.limits.Hedging {
-			h.violated("two attempts at once")
+			h.recordViolation("two attempts in flight without hedging")
 		}
 		if earlier.mayHaveExecuted() {
 			h.checkRepeat(h.limits.Classes[trace.req.Class], earlier, d)
@@ -259,28 +259,28 @@
 	repeatableUntil := earlier.sentAt + class.DedupWindow
 	if class.Effect == fleet.NonIdempotent ||
 		class.Effect == fleet.Deduplicated && (!inScope || h.now > repeatableUntil) {
-		h.violated("effect %d may happen twice", class.Effect)
+		h.recordViolation("a request with effect %d may be executed twice", class.Effect)
 	}
 	sendableUntil := d.NotAfter
 	if sendableUntil == 0 {
 		sendableUntil = math.Inf(1)
 	}
 	if class.Effect == fleet.Deduplicated && sendableUntil > repeatableUntil {
-		h.violated("it may be sent until %v, when a repeat is no longer recognized", sendableUntil)
+		h.recordViolation("an attempt may be sent until %v, when servers no longer drop repeats", sendableUntil)
 	}
 }
 
-// checkAnswer checks whether the node may answer a request itself, in place of a server's response.
+// checkAnswer checks whether the node may reject or abort a request.
 func (h *harness) checkAnswer(trace *requestTrace, d fleet.Decision) {
 	if trace.answers > 1 || trace.clientGone {
-		h.violated("answered twice")
+		h.recordViolation("answered twice or after the client had gone")
 	}
 	class := h.limits.Classes[trace.req.Class]
-	maySayNotExecuted := class.Effect == fleet.Idempotent ||
+	mayReject := class.Effect == fleet.Idempotent ||
 		class.Effect == fleet.Deduplicated && class.Scope == fleet.ScopeAll
 	for _, a := range trace.attempts {
-		if d.Action == fleet.Reject && a.mayHaveExecuted() && !maySayNotExecuted {
-			h.violated("rejected though it may have been executed")
+		if d.Action == fleet.Reject && a.mayHaveExecuted() && !mayReject {
+			h.recordViolation("rejected a request that may have been executed")
 		}
 	}
 }
@@ -295,31 +295,31 @@
 	}
 	o := fleet.Outcome{
 		Attempt: i, Result: result, Took: h.now - a.sentAt, Closed: answered || trace.answers > 0 || trace.clientGone,
-		Stale: h.stale, Cache: cache, Report: fleet.NewLoadReport(),
+		Stale: h.lostWhileIdle, Cache: cache, Report: fleet.NewLoadReport(),
 	}
 	if req := h.slab.Get(trace.ref); req != nil {
 		h.apply(trace, h.node.AttemptDone(h.now, req, o))
 	}
-	h.settle()
+	h.routeAllDue()
 }
 
-// endLastAttempt reports the outcome of a request's last attempt.
+// endLastAttempt reports the outcome of the last attempt of a request.
 func (h *harness) endLastAttempt(trace *requestTrace, result fleet.Result, cache fleet.CacheStatus) {
 	h.endAttempt(trace, len(trace.attempts)-1, result, cache)
 }
 
-// hit has a cache complete an attempt.
+// hit completes an attempt with a cache hit.
 func (h *harness) hit(trace *requestTrace, i int) {
 	h.endAttempt(trace, i, fleet.Completed, fleet.CacheHit)
 }
 
-// miss has a cache answer an attempt that it does not have the key.
+// miss ends an attempt with a cache miss.
 func (h *harness) miss(trace *requestTrace, i int) {
 	h.endAttempt(trace, i, fleet.Missed, fleet.CacheMiss)
 }
 
-// settle calls Route for all that is due now.
-func (h *harness) settle() {
+// routeAllDue calls Route for everything that is due now and carries out the decisions.
+func (h *harness) routeAllDue() {
 	for range maxDecisionsAtOnce {
 		ref, wait := h.node.NextDue(h.now)
 		if wait > 0 {
@@ -328,10 +328,10 @@
 		req := h.slab.Get(ref)
 		h.apply(h.traceOf(req), h.node.Route(h.now, req))
 	}
-	h.violated("something is due for ever")
+	h.recordViolation("NextDue does not stop returning due requests or maintenance")
 }
 
-// traceOf is the history of an open request, or nil.
+// traceOf returns the history of an open request, or nil.
 func (h *harness) traceOf(req *fleet.Request) *requestTrace {
 	for _, trace := range h.open {
 		if req != nil && trace.ref == req.Ref {
@@ -341,18 +341,18 @@
 	return nil
 }
 
-// advance lets time pass in small steps, ends attempts whose time is over, and checks that requests are answered in time.
+// advance lets time pass in small steps, ends attempts whose timeout has passed, and checks that requests are answered in time.
 func (h *harness) advance(ms float64) {
 	for end := h.now + ms; h.now < end; {
 		_, wait := h.node.NextDue(h.now)
 		h.now = min(end, math.Floor(h.now)+h.limits.Quantum, h.now+max(wait, 0.001))
 		h.expireAttempts()
-		h.settle()
-		h.closeOverdue()
+		h.routeAllDue()
+		h.freeOverdue()
 	}
 }
 
-// expireAttempts ends the attempts whose time is over.
+// expireAttempts ends the attempts whose timeout has passed.
 func (h *harness) expireAttempts() {
 	for _, trace := range h.open {
 		for i := range trace.attempts {
@@ -363,13 +363,13 @@
 	}
 }
 
-// closeOverdue frees the requests whose deadline has passed, all of which must have been answered.
-func (h *harness) closeOverdue() {
+// freeOverdue frees the requests whose deadline has passed, all of which must have been answered.
+func (h *harness) freeOverdue() {
 	open := h.open[:0]
 	for _, trace := range h.open {
 		overdue := h.now > trace.deadline+h.limits.AnswerSlack
 		if overdue && trace.answers == 0 && !trace.clientGone {
-			h.violated("no answer by the deadline")
+			h.recordViolation("no answer by the deadline")
 		}
 		if !overdue {
 			open = append(open, trace)
--- a/decide/list.go
+++ b/decide/list.go
@@ -7,33 +7,34 @@
 	"mintspring/internal/slowstart"
 )
 
-// maxPollBackoff, in ms, is the longest pause between polls: with what polls take, it is under 6 s in all.
+// maxPollBackoff is the longest pause between polls, in ms. Together with the duration of the polls it stays below 6 s.
 const maxPollBackoff = 1500.0
 
-// maintain does what is due for the node itself: it adjusts the ring and renews the subscription.
+// maintain does the node's own work that is due: it requests the endpoint list or adjusts the ring.
 func (n *Node) maintain() fleet.Decision {
 	if n.now >= n.pollAt {
-		// One poll is answered once; should that answer never come, poll again within the time allowed.
-		n.pollAt = n.now + n.limits.pollWithin
+		// Each poll gets one answer. If that does not come, the node polls again after maxPollInterval.
+		n.pollAt = n.now + n.limits.maxPollInterval
 		return fleet.Decision{Action: fleet.Subscribe}
 	}
 	if n.now >= n.adjustAt {
-		n.adjustAt = n.now + n.limits.period*(0.9+0.2*n.random())
-		n.lateShare *= 0.8 // a node that rejects most sees few responses; it must find out when it may stop
+		n.adjustAt = n.now + n.limits.adjustInterval*(0.9+0.2*n.random())
+		n.lateShare *= 0.8 // a node that rejects most requests sees few responses that show the end of the overload
 		n.keyCounts.Decay()
-		n.maxConnected += 0.1
+		n.maxConnectedServers += 0.1
 		n.adjustPoints()
 	}
 	return fleet.Decision{}
 }
 
-// UpdateEndpoints applies entries of the endpoint list to what is known; a full list removes all others.
+// UpdateEndpoints applies entries of the endpoint list. A full or cached list removes all servers that it does not
+// contain; after a failed request only the next poll is scheduled.
 func (n *Node) UpdateEndpoints(now float64, mode fleet.ListMode, entries []fleet.Endpoint) {
 	n.now = now
 	if mode == fleet.ListFailed {
-		if n.limits.pollWithin > 0 {
-			// Back off, but stay well inside the time after which the rules treat the node as informed.
-			wait := min(n.limits.pollWithin/2, maxPollBackoff)
+		if n.limits.maxPollInterval > 0 {
+			// Back off, but poll well within the time after which the rules assume that the node knows the list.
+			wait := min(n.limits.maxPollInterval/2, maxPollBackoff)
 			wait = min(wait, n.limits.minObjective*float64(int(1)<<min(n.failedPolls, 6)))
 			n.pollAt = now + wait*(0.5+0.5*n.random())
 			n.failedPolls++
@@ -59,26 +60,26 @@
 	n.rebuild()
 }
 
-// updateEndpoint applies one entry. A new start makes a new server of it: what was learned of the old process
-// does not hold, and it takes its own arc again. Attempts still in flight at the old one stay counted.
-func (n *Node) updateEndpoint(m *fleet.Endpoint) {
-	for int(m.ID) >= len(n.servers) {
+// updateEndpoint applies one entry. A server that has restarted begins with empty state and its whole arc, because what
+// was learned of the old process does not hold for the new one. Attempts still in flight at the old one stay counted.
+func (n *Node) updateEndpoint(endpoint *fleet.Endpoint) {
+	for int(endpoint.ID) >= len(n.servers) {
 		n.servers = append(n.servers, nil)
 	}
-	s := n.servers[m.ID]
-	if s == nil || m.State == fleet.Ready && (s.state != fleet.Ready || m.Started != s.started) {
+	s := n.servers[endpoint.ID]
+	if s == nil || endpoint.State == fleet.Ready && (s.state != fleet.Ready || endpoint.Started != s.started) {
 		restarted := &server{
-			id: m.ID, report: fleet.NewLoadReport(), step: firstStep, backoff: n.limits.period,
-			homePoint: fleet.HomePoint(m.Name), size: 1, bucket: slowstart.Bucket{Tokens: n.random(), At: n.now},
-			perQueued: n.limits.minObjective / 8, latency: n.limits.minObjective / 8,
+			id: endpoint.ID, report: fleet.NewLoadReport(), step: firstStep, backoff: n.limits.adjustInterval,
+			hashPoint: fleet.HomePoint(endpoint.Name), size: 1, bucket: slowstart.Bucket{Tokens: n.random(), At: n.now},
+			timePerQueued: n.limits.minObjective / 8, latency: n.limits.minObjective / 8,
 		}
 		if s != nil {
 			restarted.inFlight, restarted.silentSince, restarted.connected = s.inFlight, s.silentSince, s.connected
 		}
-		n.servers[m.ID], s = restarted, restarted
+		n.servers[endpoint.ID], s = restarted, restarted
 	}
-	if s.listed = true; m.Size > 0 {
-		s.size = m.Size
+	if s.listed = true; endpoint.Size > 0 {
+		s.size = endpoint.Size
 	}
-	s.state, s.kind, s.zone, s.cell, s.started = m.State, m.Kind, m.Zone, m.Cell, m.Started
+	s.state, s.kind, s.zone, s.cell, s.started = endpoint.State, endpoint.Kind, endpoint.Zone, endpoint.Cell, endpoint.Started
 }
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -6,8 +6,8 @@
 	"mintspring/internal/fleet"
 )
 
-// However often polls of the endpoint list fail, the next one is not far off: what the discovery service has by then counts as
-// known soon after it is back.
+// However often requests for the endpoint list fail, the backoff stays short: soon after the discovery service is back, the rules
+// assume that the node knows the list.
 func TestPollBackoffIsBounded(t *testing.T) {
 	limits := testLimits()
 	limits.Subscribe, limits.PollWithin = true, 10_000
--- a/decide/origin_test.go
+++ b/decide/origin_test.go
@@ -6,11 +6,11 @@
 	"mintspring/internal/fleet"
 )
 
-// fourCachesOrigin is the origin's id where a harness lists four caches.
-const fourCachesOrigin fleet.ServerID = 4
+// originOfFourCaches is the id of the origin in a harness with four caches.
+const originOfFourCaches fleet.ServerID = 4
 
-// Late writes must not close the origin to reads, nor one late read: it once left a fleet idle.
-func TestOriginWindowOutlivesLateWrites(t *testing.T) {
+// Neither late writes nor a single late read may close the origin to reads: that once left a fleet idle.
+func TestLateWritesDoNotShrinkOriginWindow(t *testing.T) {
 	h := newHarness(testLimits())
 	h.listServers(4)
 	for i := range 40 {
@@ -18,7 +18,7 @@
 		h.advance(400)
 		h.endAttempt(trace, 0, fleet.Completed, fleet.CacheUnknown)
 	}
-	if h.node.originLimit.window < 4 || !h.node.originFree() {
+	if h.node.originLimit.window < 4 || !h.node.originHasCapacity() {
 		t.Errorf("late writes cut the window to %v", h.node.originLimit.window)
 	}
 	for i := range 40 {
@@ -32,7 +32,7 @@
 	}
 }
 
-// Where a request has one attempt only, a miss would be its end: it goes to the origin while that has capacity.
+// A request that has only one attempt goes to the origin while that has capacity, because a miss at a cache would be its end.
 func TestLastAttemptGoesToOrigin(t *testing.T) {
 	limits := testLimits()
 	limits.MaxAttempts = 1
@@ -40,20 +40,20 @@
 	h.listServers(4)
 	for i := range 6 {
 		trace := h.read(fleet.Key(i))
-		if atOrigin := trace.attempts[0].server == fourCachesOrigin; atOrigin != (i < 4) {
+		if atOrigin := trace.attempts[0].server == originOfFourCaches; atOrigin != (i < 4) {
 			t.Errorf("request %d went to server %d with %d in flight at the origin", i, trace.attempts[0].server, i)
 		}
 	}
 }
 
-// When the origin goes silent, requests that wait for it are answered well before their deadlines, not held to them.
+// When the origin goes silent, requests that wait for it are answered well before their deadlines.
 func TestNoRequestIsHeldForSilentOrigin(t *testing.T) {
 	h := newHarness(testLimits())
 	h.listServers(4)
 	var held []*requestTrace
 	for i := range 12 {
 		trace := h.read(fleet.Key(i / 2))
-		if len(trace.attempts) > 0 && trace.attempts[0].server != fourCachesOrigin {
+		if len(trace.attempts) > 0 && trace.attempts[0].server != originOfFourCaches {
 			h.miss(trace, 0)
 		}
 		held = append(held, trace)
@@ -66,18 +66,18 @@
 	}
 }
 
-// readThroughMisses sends a read and has every cache that it is sent to miss, so that it goes to the origin or waits for that.
-func (h *harness) readThroughMisses(key fleet.Key) *requestTrace {
+// readMissingAtCaches sends a read that misses at every cache that it is sent to, so that it goes to the origin or waits for it.
+func (h *harness) readMissingAtCaches(key fleet.Key) *requestTrace {
 	trace := h.read(key)
-	for i := 0; len(trace.attempts) > i && trace.attempts[i].server != fourCachesOrigin; i++ {
+	for i := 0; len(trace.attempts) > i && trace.attempts[i].server != originOfFourCaches; i++ {
 		h.miss(trace, i)
 	}
 	return trace
 }
 
-// While more reads want the origin than it has capacity for, those go first that can still be in time, and a request is not held
-// for a response after its latency objective where that is worth nothing. Once the origin served its full rate of reads, and all
-// of them late.
+// While more reads need the origin than it has capacity for, those that can still be in time are sent first, and a request is not held
+// for a response after its latency objective if a late response has no value. The origin once served its full rate of reads, and all of
+// them late.
 func TestOriginQueuePrefersRequestsInTime(t *testing.T) {
 	for name, c := range map[string]struct {
 		lateFactor     float64
@@ -94,39 +94,39 @@
 			h := newHarness(limits)
 			h.listServers(4)
 			h.node.originLimit.window, h.node.originLimit.latency = 1, 100
-			first := h.readThroughMisses(1)
+			first := h.readMissingAtCaches(1)
 			older := h.read(2)
 			h.miss(older, 0)
-			h.node.origin.silentSince = h.now + 250 // it answers others
+			h.node.origin.silentSince = h.now + 250 // the origin responds to others
 			h.advance(250)
 			if held := older.answers == 0; held != c.olderHeld {
-				t.Errorf("50 ms before its latency objective the older one is held: %v", held)
+				t.Errorf("50 ms before its latency objective the older request is held: %v", held)
 			}
 			h.node.originLimit.latency, h.node.origin.silentSince = 55, h.now
 			newer := h.read(3)
 			h.miss(newer, 0)
 			h.endLastAttempt(first, fleet.Completed, fleet.CacheUnknown)
 			wentToOrigin := func(trace *requestTrace) bool {
-				return trace.attempts[len(trace.attempts)-1].server == fourCachesOrigin
+				return trace.attempts[len(trace.attempts)-1].server == originOfFourCaches
 			}
 			if wentToOrigin(older) != c.olderGoesFirst || wentToOrigin(newer) == c.olderGoesFirst {
-				t.Errorf("the older goes first: %v, the newer: %v", wentToOrigin(older), wentToOrigin(newer))
+				t.Errorf("the older request went to the origin: %v, the newer one: %v", wentToOrigin(older), wentToOrigin(newer))
 			}
 			h.expectNoViolation(t)
 		})
 	}
 }
 
-// Late responses bring a node of many below one read in flight at the origin, and a silent origin gets no second one.
+// In a large fleet, late responses reduce the window of a node at the origin below one read. A silent origin gets no second read.
 func TestManyNodesPaceOrigin(t *testing.T) {
 	h := newHarnesses(400, 4, testLimits())[0]
 	for i := range 60 {
 		trace := h.read(fleet.Key(i))
-		if len(trace.attempts) > 0 && trace.attempts[0].server != fourCachesOrigin {
+		if len(trace.attempts) > 0 && trace.attempts[0].server != originOfFourCaches {
 			h.miss(trace, 0)
 		}
 		h.advance(250)
-		if k := len(trace.attempts) - 1; k >= 0 && trace.attempts[k].server == fourCachesOrigin &&
+		if k := len(trace.attempts) - 1; k >= 0 && trace.attempts[k].server == originOfFourCaches &&
 			trace.attempts[k].result == fleet.Pending {
 			h.endAttempt(trace, k, fleet.Completed, fleet.CacheUnknown)
 		}
@@ -139,25 +139,25 @@
 	first := silent.request(deduplicatedClass, 5, true, clientTimeout)
 	silent.advance(200)
 	second := silent.request(deduplicatedClass, 6, true, clientTimeout)
-	if len(first.attempts) != 1 || silent.node.originFree() {
+	if len(first.attempts) != 1 || silent.node.originHasCapacity() {
 		t.Errorf("a silent origin has capacity: %v, %v", first.attempts, second.attempts)
 	}
 }
 
-// The first request that finds the origin full waits for it while its response can be in time; behind others one waits only
-// where that is well within its time: of a queue held to the edge half came late, and at 800 a second that cost a twentieth of
-// what was worth being.
+// The first request that finds the origin full waits for it while its response can be in time. Behind others, a request waits only if
+// its response is expected well within its time: when the queue was filled up to the limit, half of its responses were late, which at
+// 800 requests a second cost a twentieth of the value that could have been reached.
 func TestOriginQueueIsShort(t *testing.T) {
 	for behind, want := range []bool{true, true, false} {
 		h := newHarness(testLimits())
 		h.listServers(4)
 		h.node.originLimit.window, h.node.originLimit.latency = 1, 60
-		h.readThroughMisses(1) // is in flight at the origin
+		h.readMissingAtCaches(1) // stays in flight at the origin
 		var last *requestTrace
 		for k := range behind + 1 {
-			last = h.readThroughMisses(fleet.Key(2 + k))
+			last = h.readMissingAtCaches(fleet.Key(2 + k))
 		}
-		// Behind one other it is expected after 60 x (1 + 1 + 1) = 180 ms, behind two after 240, of 300 to its objective.
+		// The response is expected after 60 x (1 + 1 + 1) = 180 ms behind one other request, after 240 ms behind two. The objective is 300 ms.
 		if waits := last.answers == 0; waits != want {
 			t.Errorf("behind %d others it waits: %v", behind, waits)
 		}
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -7,13 +7,13 @@
 	"mintspring/internal/fleet"
 )
 
-// A server that hangs is ejected in favour of its successor, and comes back after trial requests that went well.
+// A server that hangs is ejected in favor of its successor, and is readmitted after successful trial requests.
 func TestHangingServerIsEjectedAndReadmitted(t *testing.T) {
 	h := newHarness(testLimits())
 	h.listServers(6)
 	hanging := h.ownerOf(7).id
 	key := fleet.Key(0)
-	nextKey := func() fleet.Key { // one key after the other of its arc, so that none is popular
+	nextKey := func() fleet.Key { // a new key of the server's arc each time, so that none becomes popular
 		for key++; h.ownerOf(key).id != hanging; key++ {
 		}
 		return key
@@ -48,8 +48,8 @@
 	}
 }
 
-// Connections that are reset now and then say little of the server behind them: a request is retried at its server, which has
-// the copy, no server is ejected, and the origin's window stays.
+// Occasional connection resets say little about the server: the request is retried at the same server, which has a copy of the key, no
+// server is ejected, and the window of the origin is not reduced.
 func TestOccasionalResetsEjectNoServer(t *testing.T) {
 	h := newHarness(testLimits())
 	h.listServers(4)
@@ -65,8 +65,8 @@
 	h.expectNoViolation(t)
 }
 
-// A server that resets all connections is ejected, also after a time of occasional resets; connections that had been idle when
-// they were lost don't count.
+// A server that resets all connections is ejected, also after a time of occasional resets. Resets of connections that had been idle do
+// not count.
 func TestServerThatResetsAllIsEjected(t *testing.T) {
 	h := newHarness(testLimits())
 	h.listServers(4)
@@ -84,20 +84,19 @@
 			}
 		}
 	}
-	h.stale = true
-	if resetAll(); bad.failures > 0.2 {
+	h.lostWhileIdle = true
+	if resetAll(); bad.failureShare > 0.2 {
 		t.Error("lost idle connections are held against their server")
 	}
-	h.stale = false
+	h.lostWhileIdle = false
 	resetAll()
 	if !bad.isOutlier() {
-		t.Error("a server that resets all was kept")
+		t.Error("a server that resets all connections was not ejected")
 	}
 	h.expectNoViolation(t)
 }
 
-// readWithOccasionalResets sends 200 reads that miss. One connection of five to the caches is reset, and two of five to the
-// origin.
+// readWithOccasionalResets sends 200 reads that miss. One in five is reset once at a cache, two in five are reset once at the origin.
 func (h *harness) readWithOccasionalResets(t *testing.T) {
 	t.Helper()
 	for i := range 200 {
@@ -119,17 +118,17 @@
 	}
 }
 
-// An outlier to which other nodes send trial requests too is tried so much less by this node, and not by all nodes at one moment.
+// A node sends fewer trial requests to an outlier while other nodes send some too, and the nodes do not all begin at the same moment.
 func TestTrialsSharedWithOtherNodes(t *testing.T) {
 	_, alone := trialGaps(0)
 	first, mean := trialGaps(100 * alone)
 	if mean < 80*alone || mean > 120*alone || first == 100*alone {
-		t.Errorf("tried each %.0f ms alone and each %.0f with others, the first after %.0f", alone, mean, first)
+		t.Errorf("trial requests every %.0f ms alone and every %.0f ms with other nodes, the first after %.0f ms", alone, mean, first)
 	}
 }
 
-// trialGaps returns the first and the mean time between trial requests to a server that never answers, where nodes together
-// try it once in each trialInterval.
+// trialGaps returns the first and the mean time between trial requests of a node to a server that never responds. With a trialInterval of
+// 0, no other node sends trial requests.
 func trialGaps(trialInterval float64) (first, mean float64) {
 	limits := fleet.Limits{Quantum: 5, Seed: 3, OriginKind: -1, Classes: []fleet.Class{{LatencyObjective: 200}}}
 	n := New(0, limits, &fleet.Slab{})
@@ -152,25 +151,25 @@
 	return first, mean
 }
 
-// Where a server that is full refuses connections, a node closes the connections it has used least recently. Where such a server
-// responds that it is full, a failed connect means one that is down, and nothing is closed: on real sockets a lost server once
-// had the nodes open a connection for every second request.
+// Where full servers refuse connections, a node closes the connections that it has used least recently. Where full servers respond that
+// they are full, a failed connect means that the server is down, and nothing is closed: on real sockets, one lost server once made the
+// nodes open a connection for every second request.
 func TestIdleConnectionsAreClosedWhenServersAreFull(t *testing.T) {
 	if closed, ejected := closedAfterConnectFailure(t, true); len(closed) < 4 || !ejected {
 		t.Errorf("closed %v after a failed connect, ejected its server: %v", closed, ejected)
 	}
-	// Where full servers say so, one failed connect is one connection's: it once ejected healthy servers all day.
+	// Where full servers respond that they are full, a failed connect must not eject a server: healthy ones were once ejected all day.
 	if closed, ejected := closedAfterConnectFailure(t, false); len(closed) > 0 || ejected {
-		t.Errorf("closed %v, ejected the server: %v, though full servers would have said so", closed, ejected)
+		t.Errorf("closed %v, ejected the server: %v, though full servers do not refuse connections", closed, ejected)
 	}
 }
 
-// closedAfterConnectFailure returns the servers whose idle connections were closed around one failed connect, and whether any
-// server was ejected.
-func closedAfterConnectFailure(t *testing.T, fullRefuses bool) (closed []fleet.ServerID, ejected bool) {
+// closedAfterConnectFailure sends reads, of which one gets a failed connect, and returns the servers whose idle connections were closed
+// and whether any server was ejected.
+func closedAfterConnectFailure(t *testing.T, serversRefuseWhenFull bool) (closed []fleet.ServerID, ejected bool) {
 	t.Helper()
 	limits := testLimits()
-	limits.FullRefuses = fullRefuses
+	limits.FullRefuses = serversRefuseWhenFull
 	h := newHarness(limits)
 	h.listServers(12)
 	for key := range fleet.Key(60) {
--- a/decide/ring_test.go
+++ b/decide/ring_test.go
@@ -9,30 +9,30 @@
 )
 
 func TestShiftAndLevel(t *testing.T) {
-	near := func(what string, got, want float64) {
+	expectNear := func(name string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
-			t.Errorf("%s: got %v, want %v", what, got, want)
+			t.Errorf("%s: got %v, want %v", name, got, want)
 		}
 	}
-	// 4 on an arc of 0.3 beside 2 on 0.1: x = (1.2-0.2)/6, and the arcs come out as 2 to 4.
-	x := shift(4, 2, 0.3, 0.1)
-	near("x", x, 1.0/6)
-	near("ratio after the move", (0.3-x)/(0.1+x), 2.0/4)
-	near("negative x", shift(4, 3, 0.1, 0.3), -0.5/7)
+	// Loads 4 and 2 on arcs of 0.3 and 0.1: x = (1.2-0.2)/6, and the new arc lengths are in the ratio 2 to 4.
+	x := pointShift(4, 2, 0.3, 0.1)
+	expectNear("x", x, 1.0/6)
+	expectNear("ratio after the move", (0.3-x)/(0.1+x), 2.0/4)
+	expectNear("negative x", pointShift(4, 3, 0.1, 0.3), -0.5/7)
 	s := server{report: fleet.NewLoadReport(), queuePeak: 1}
-	if !math.IsNaN(s.level()) {
+	if !math.IsNaN(s.loadLevel()) {
 		t.Error("a server without reports has a level")
 	}
 	s.report.Util = 0.5
-	near("level by utilization alone", s.level(), 3)
+	expectNear("level by utilization alone", s.loadLevel(), 3)
 	s.report.Queue, s.queuePeak = 5, 10
-	s.report.X0, s.hitRatio = 0.3, 0.6
-	near("all three levels", s.level(), 3)
+	s.report.X0, s.hitRatioPeak = 0.3, 0.6
+	expectNear("all three levels", s.loadLevel(), 3)
 	s.report = fleet.LoadReport{Util: 1.2, Queue: 30, X0: 0}
-	near("all levels at their highest", s.level(), maxLevel)
+	expectNear("all levels at their highest", s.loadLevel(), maxLoadLevel)
 	s.report = fleet.LoadReport{Util: 0, Queue: 0, X0: 0.9}
-	near("all levels at rest", s.level(), 1)
+	expectNear("all levels at rest", s.loadLevel(), 1)
 }
 
 // A report moves a point once, only backwards, never past its predecessor, and not while loads differ by less than the margin.
@@ -45,8 +45,8 @@
 	}
 	s := n.ring.servers[2]
 	n.recordReport(s, utilizationReport(0.9))
-	before, arc := s.positions[0].point, n.ring.arc(2)
-	x := shift(s.level(), n.ring.at(2+1).level(), arc, n.ring.arc(3))
+	before, arc := s.positions[0].point, n.ring.arcLength(2)
+	x := pointShift(s.loadLevel(), n.ring.serverAt(2+1).loadLevel(), arc, n.ring.arcLength(3))
 	n.adjustPoints()
 	if want := min(max(0, x*firstStep), arc*0.75); math.Abs(fleet.ArcLength(s.positions[0].point, before)-want) > 1e-9 {
 		t.Errorf("moved by %v, want %v", fleet.ArcLength(s.positions[0].point, before), want)
@@ -58,20 +58,20 @@
 	}
 }
 
-// A key belongs to the server of the next point, wherever points have moved to. The server of the first point once took its
-// successor's whole arc when that point had moved back past 0, for the search goes by the order of the points.
+// A key belongs to the server of the next point, wherever points have moved to. Once, when the first point had moved back past 0, its
+// server got the whole arc of its successor, because the search relies on the order of the points.
 func TestOwnerWithFirstPointBelowZero(t *testing.T) {
 	belowZero := 0
 	for seed := range 40 {
-		ring := shedRing(seed)
-		if s := ring.servers[0]; s.positions[0].evenPoint < s.shed*s.positions[0].evenArc {
+		ring := newRingWithMovedPoints(seed)
+		if s := ring.servers[0]; s.positions[0].evenPoint < s.shedShare*s.positions[0].evenArc {
 			belowZero++
 		}
 		for k := range 500 {
 			p := fleet.Key(fleet.Mix(uint64(k) + 1)).Point()
 			want := nextPoint(ring, p)
-			if got := ring.owner(p); got%len(ring.servers) != want {
-				t.Fatalf("%v belongs to %d, and goes to %d", p, want, got)
+			if got := ring.ownerIndex(p); got%len(ring.servers) != want {
+				t.Fatalf("the owner of point %v is %d, got %d", p, want, got)
 			}
 		}
 	}
@@ -80,8 +80,8 @@
 	}
 }
 
-// shedRing is a ring of seven servers, each of which has shed most of its arc.
-func shedRing(seed int) *hashRing {
+// newRingWithMovedPoints returns a ring of seven servers, each of which has handed most of its arc to its successor.
+func newRingWithMovedPoints(seed int) *hashRing {
 	n := newHarness(testLimits()).node
 	var entries []fleet.Endpoint
 	for i := range 7 {
@@ -90,13 +90,13 @@
 	}
 	n.UpdateEndpoints(1, fleet.ListFull, entries)
 	for _, s := range n.ring.servers {
-		s.shed = 0.7
+		s.shedShare = 0.7
 	}
-	n.applyShed()
+	n.applyShedShares()
 	return &n.ring
 }
 
-// nextPoint finds the server of the next point at or after p by looking at all of them.
+// nextPoint returns the index of the server whose point is the next one at or after p, by a linear search.
 func nextPoint(ring *hashRing, p float64) int {
 	nearest := 0
 	for i, s := range ring.servers {
@@ -107,8 +107,8 @@
 	return nearest
 }
 
-// Without reports the arcs of a large fleet are nearly even, nodes with the same endpoint list agree whatever order it came in,
-// and one server's leaving moves few keys; its return restores them all.
+// Without load reports, the arcs of a large fleet have nearly the same length, and nodes with the same endpoint list agree in whatever
+// order they got its entries. A server that leaves moves few keys, and gets them all back when it returns.
 func TestEvenRing(t *testing.T) {
 	const size = 80
 	h, other := newHarness(testLimits()), newHarness(testLimits())
@@ -124,7 +124,7 @@
 	}
 	before, widest := owners(h), 0.0
 	for i := range h.node.ring.servers {
-		widest = max(widest, h.node.ring.arc(i)*size)
+		widest = max(widest, h.node.ring.arcLength(i)*size)
 	}
 	if widest > 2 {
 		t.Errorf("the widest arc is %.1f times the mean", widest)
--- a/decide/routing_test.go
+++ b/decide/routing_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// While most responses are late, what no server can answer in time is rejected at once with a Retry-After, and without new
-// evidence the node admits requests again.
+// While most responses are late, requests that no server can answer in time are rejected at once with a Retry-After. Without new late
+// responses, the node admits requests again.
 func TestOverloadIsShedAndEnds(t *testing.T) {
 	limits := testLimits()
 	limits.OriginKind = -1
@@ -57,7 +57,7 @@
 		h.node.ClientGone(h.now, req)
 	}
 	if rejected < 15 {
-		t.Fatalf("in overload the node rejected %d of 30", rejected)
+		t.Fatalf("in overload the node rejected %d of 30 requests", rejected)
 	}
 	h.advance(20000)
 	if trace := h.read(5); len(trace.attempts) != 1 {
@@ -86,7 +86,7 @@
 	}
 }
 
-// A key that fills several servers is spread: each node keeps to one copy, and many nodes use many.
+// A key with more requests than a server can take is spread: each node uses one copy, and many nodes together use many copies.
 func TestHotKeyIsSpreadOverNodes(t *testing.T) {
 	const hotKey fleet.Key = 7
 	servers := map[fleet.ServerID]int{}
@@ -113,9 +113,9 @@
 	}
 }
 
-// Most keys stay in the node's zone; while responses are very late they go back to the ring of all caches, whose one copy serves
-// all zones.
-func TestZoneRingYieldsUnderPressure(t *testing.T) {
+// Most keys are routed within the node's zone. While responses are very late, more keys are routed on the ring of all caches, where one
+// copy serves all zones.
+func TestZoneShareShrinksUnderOverload(t *testing.T) {
 	h := newHarness(testLimits())
 	h.listServers(24)
 	keysInZone := func() (keys int) {
@@ -135,9 +135,9 @@
 		h.node.adjustPoints()
 	}
 	if k := keysInZone(); k > 130 {
-		t.Errorf("%d of 200 keys in the zone under pressure", k)
+		t.Errorf("%d of 200 keys in the zone in overload", k)
 	}
-	// An origin at its limit shows in its reports alone: the attempts that its window admits come back in time.
+	// Only its load reports show that the origin is at its limit, because the attempts that its window admits are in time.
 	h.node.lateShare, h.node.zoneShare = 0, 1
 	req := h.slab.Alloc()
 	for _, c := range []struct {
@@ -159,9 +159,9 @@
 	}
 }
 
-// A zone whose servers are cold can't carry its keys: for as long they stay on the ring of all caches, and come back as the
-// zone's servers warm up.
-func TestColdZoneLeavesKeysToWholeRing(t *testing.T) {
+// A zone whose servers are cold lacks the capacity for its keys. They are routed on the ring of all caches, and in the zone again as its
+// servers warm up.
+func TestColdZoneSharesKeysWithOtherZones(t *testing.T) {
 	const now = 1e6
 	warm, cold := shareInZone(now-1, now), shareInZone(now+19_000, now)
 	if warm < 0.6 || cold > warm-0.2 {
@@ -169,7 +169,7 @@
 	}
 }
 
-// shareInZone is the share of keys routed to the node's zone, where two of the zone's three servers are cold until coldUntil.
+// shareInZone returns the share of keys that are routed to the node's zone when two of the zone's three servers are cold until coldUntil.
 func shareInZone(coldUntil, now float64) float64 {
 	const keys = 4000
 	var slab fleet.Slab
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/fleet"
 )
 
-// The module and the plain model of the harness must agree on what is allowed, whatever happens.
+// No generated sequence of events may lead to a decision that the harness's model of the rules forbids.
 func TestRulesHold(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		h := newHarness(drawLimits(t))
@@ -99,12 +99,12 @@
 	if req := h.slab.Get(trace.ref); req != nil && trace.answers == 0 && !trace.clientGone {
 		trace.clientGone = true
 		h.node.ClientGone(h.now, req)
-		h.settle()
+		h.routeAllDue()
 	}
 }
 
-// enforce is the last gate: whatever proposes an attempt that a rule forbids, it becomes the nearest thing that is allowed. No
-// generated history gets there with most of these, for what proposes attempts leaves them out as well.
+// enforce replaces a proposed attempt that a rule forbids by the nearest decision that the rules allow. The generated histories of
+// TestRulesHold do not reach most of these cases, because propose avoids them too.
 func TestEnforceForbids(t *testing.T) {
 	const target fleet.ServerID = 0
 	for name, c := range map[string]struct {
--- a/decide/slowstart_test.go
+++ b/decide/slowstart_test.go
@@ -11,7 +11,7 @@
 	h := newHarness(testLimits())
 	h.listServers(5)
 	sent := map[fleet.ServerID]int{}
-	load := func(requests int) {
+	sendReads := func(requests int) {
 		clear(sent)
 		for i := range requests {
 			trace := h.read(fleet.Key(1000 + i))
@@ -20,25 +20,25 @@
 			h.hit(trace, 0)
 		}
 	}
-	load(2000)
+	sendReads(2000)
 	e := h.list[2]
-	arc := h.node.ring.arc(h.node.servers[2].positions[0].index)
+	arc := h.node.ring.arcLength(h.node.servers[2].positions[0].index)
 	e.Started = h.now
 	h.updateList(fleet.ListDelta, e)
-	load(500)
+	sendReads(500)
 	if limit := 500 * min(arc, 0.2) * 0.3; float64(sent[2]) > limit+10 {
-		t.Errorf("a cold server got %d of 500 requests, at most %.0f wanted", sent[2], limit)
+		t.Errorf("a cold server got %d of 500 requests, want at most %.0f", sent[2], limit)
 	}
 	h.advance(20000)
-	load(2000)
+	sendReads(2000)
 	if sent[2] == 0 {
 		t.Error("a warm server got nothing")
 	}
 }
 
-// Hundreds of nodes, each with a request now and then, together send a cold server no more than a part of what it bears: a
-// minimum of one request per node at once would overload it.
-func TestManyNodesSpareColdServer(t *testing.T) {
+// Hundreds of nodes with few requests each must together send a cold server only part of the load that it can take. A minimum of one
+// request per node at once would overload the server.
+func TestManyNodesDoNotOverloadColdServer(t *testing.T) {
 	const nodes, servers = 300, 12
 	const cold fleet.ServerID = 2
 	all := newHarnesses(nodes, servers, testLimits())
@@ -54,11 +54,11 @@
 	for second := 8; second < 10; second++ {
 		sent += readOncePerNode(all, second)[cold]
 	}
-	// Its fair share of 600 is 50; with a fifth of its capacity it fails at 40, and half of that is allowed.
+	// A warm server would get 50 of the 600 requests. With a fifth of its capacity the server fails at 40, and half of that is allowed.
 	if sent > 25 {
 		t.Errorf("%d nodes sent a cold server %d of 600 requests", nodes, sent)
 	}
-	// Nor do they save up one request each for a key that gets hot.
+	// The nodes must not save up one request each for a key that becomes hot.
 	for _, h := range all {
 		h.advance(4000)
 	}
@@ -67,11 +67,11 @@
 	}
 }
 
-// readOncePerNode has each node complete one read within a second, spread over that second, and counts them by server.
+// readOncePerNode completes one read per node, spread over a second, and counts the reads by server.
 func readOncePerNode(all []*harness, second int) map[fleet.ServerID]int {
-	const length = 1000.0
+	const msPerSecond = 1000.0
 	sent := map[fleet.ServerID]int{}
-	from, to := float64(second)*length, float64(second+1)*length
+	from, to := float64(second)*msPerSecond, float64(second+1)*msPerSecond
 	for i, h := range all {
 		h.advance(from + (to-from)*float64(i)/float64(len(all)) - (h.now - harnessStart))
 		trace := h.read(fleet.Key(7919*i + int(to)))
@@ -82,12 +82,12 @@
 	return sent
 }
 
-// readHotKey has each node read a key at the beginning of a cold server's arc, where the server takes keys first, and counts the
-// reads that it is sent.
+// readHotKey sends one read per node of a key at the beginning of a cold server's arc, the part that the server serves first, and counts
+// the reads that the cold server gets.
 func readHotKey(all []*harness, cold fleet.ServerID) int {
 	sent := 0
-	at := all[0].node.servers[cold].positions[1].index
-	start := all[0].node.zoneRing.at(at - 1).positions[1].point
+	index := all[0].node.servers[cold].positions[1].index
+	start := all[0].node.zoneRing.serverAt(index - 1).positions[1].point
 	for _, h := range all {
 		key := fleet.Key(1)
 		for fleet.ArcLength(start, key.Point()) > 0.003 {
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -7,11 +7,11 @@
 	"mintspring/internal/hotkeys"
 )
 
-// restoredShare is the share of the evidence's decay time that restored evidence gets: enough for the first
-// requests to avoid slow servers, and short, so that one that is healthy now gets its arc again.
-const restoredShare = 1.0 / 3
+// restoredEvidenceShare is the part of the decay time that restored evidence has left: long enough for the first requests
+// to avoid slow servers, and short enough that a server that is healthy again soon gets the requests of its arc.
+const restoredEvidenceShare = 1.0 / 3
 
-// Export exports what is worth keeping across a restart, in the space of snap, and changes nothing.
+// Export stores in snap what is worth keeping across a restart, reusing the slices of snap. The node does not change.
 func (n *Node) Export(now float64, snap *fleet.Snapshot) {
 	*snap = fleet.Snapshot{
 		Trust: 1, Servers: snap.Servers[:0], Keys: snap.Keys[:0], KeySum: n.keyCounts.Sum(), Util: n.meanUtil,
@@ -23,14 +23,14 @@
 			continue
 		}
 		v := fleet.ServerSnapshot{
-			ID: s.id, Trust: 1, Started: s.started, ArcShed: s.shed, Step: s.step, PerQueued: s.perQueued,
-			Ahead: s.latencyAhead, Failures: s.failures, Backoff: s.backoff,
-			HitRatio: s.hitRatio, QueuePeak: s.queuePeak, At: s.latencyAt,
+			ID: s.id, Trust: 1, Started: s.started, ArcShed: s.shedShare, Step: s.step, PerQueued: s.timePerQueued,
+			Ahead: s.latencyAhead, Failures: s.failureShare, Backoff: s.backoff,
+			HitRatio: s.hitRatioPeak, QueuePeak: s.queuePeak, At: s.latencyAt,
 		}
-		// What has decayed is exported as decayed: it must not come back through a restart.
-		w := max(0, 1-(now-s.latencyAt)/(evidencePeriods*n.limits.period))
-		usual := s.perQueued * (1 + s.latencyAhead)
-		v.RT = usual + w*max(0, s.latency-usual)
+		// The latency is exported as far as it has decayed, so that a restart does not restore the rest.
+		weight := max(0, 1-(now-s.latencyAt)/(evidenceIntervals*n.limits.adjustInterval))
+		usualLatency := s.timePerQueued * (1 + s.latencyAhead)
+		v.RT = usualLatency + weight*max(0, s.latency-usualLatency)
 		snap.Servers = append(snap.Servers, v)
 	}
 	for i := range uint64(hotkeys.Buckets) {
@@ -40,8 +40,8 @@
 	}
 }
 
-// Restore restores a snapshot as far as it is trusted. It makes no server an outlier: each gets a first
-// attempt as if nothing were known. The origin's window is no wider than at a start until responses widen it.
+// Restore takes over a snapshot as far as it is trusted. It makes no server an outlier, so that each gets its first
+// attempt as without a snapshot. The origin's window is no wider than at a start until responses widen it.
 func (n *Node) Restore(now float64, snap *fleet.Snapshot) {
 	n.now = now
 	blend := func(v *float64, restored, trust float64) { *v += min(max(trust, 0), 1) * (restored - *v) }
@@ -51,22 +51,22 @@
 			continue
 		}
 		s := n.servers[v.ID]
-		if s == nil || s.state != fleet.Ready || s.started != v.Started || s.warmth(n) < 1 {
-			continue // another process, or a cold one, of which a snapshot says nothing
+		if s == nil || s.state != fleet.Ready || s.started != v.Started || s.capacityShare(n) < 1 {
+			continue // a snapshot says nothing of a new process or of a cold server
 		}
-		t := v.Trust
-		if s.latencyAt > 0 { // this node has evidence too: of the two the younger counts for more
-			t *= (now - s.latencyAt) / max(1, now-s.latencyAt+max(0, now-v.At))
+		trust := v.Trust
+		if s.latencyAt > 0 { // this node has evidence too: the more recent of the two counts for more
+			trust *= (now - s.latencyAt) / max(1, now-s.latencyAt+max(0, now-v.At))
 		}
-		blend(&s.shed, min(v.ArcShed, 0.75), t)
-		blend(&s.step, min(max(v.Step, 0.02), firstStep), t)
-		blend(&s.perQueued, min(v.PerQueued, s.perQueued), t) // a slow one's falls fast, and rises late
-		blend(&s.latency, min(v.RT, 4*n.limits.minObjective), t)
-		blend(&s.hitRatio, min(v.HitRatio, 1), t)
-		blend(&s.queuePeak, max(v.QueuePeak, 1), t)
-		blend(&s.failures, min(v.Failures, 0.9*outlierLimit), t)
-		blend(&s.latencyAhead, v.Ahead, t)
-		s.latencyAt = max(s.latencyAt, now-(1-restoredShare*min(v.Trust, 1))*evidencePeriods*n.limits.period)
+		blend(&s.shedShare, min(v.ArcShed, 0.75), trust)
+		blend(&s.step, min(max(v.Step, 0.02), firstStep), trust)
+		blend(&s.timePerQueued, min(v.PerQueued, s.timePerQueued), trust) // only lowered: it falls fast and rises slowly
+		blend(&s.latency, min(v.RT, 4*n.limits.minObjective), trust)
+		blend(&s.hitRatioPeak, min(v.HitRatio, 1), trust)
+		blend(&s.queuePeak, max(v.QueuePeak, 1), trust)
+		blend(&s.failureShare, min(v.Failures, 0.9*outlierThreshold), trust)
+		blend(&s.latencyAhead, v.Ahead, trust)
+		s.latencyAt = max(s.latencyAt, now-(1-restoredEvidenceShare*min(v.Trust, 1))*evidenceIntervals*n.limits.adjustInterval)
 	}
 	if t := min(max(snap.Trust, 0), 1); t > 0 {
 		for _, k := range snap.Keys {
@@ -81,5 +81,5 @@
 		blend(&n.slowStart.Rate, max(snap.ColdLoad, 0), t)
 		l.window = min(l.window, math.Max(n.limits.minWindow, l.window+t*(snap.Window-l.window)))
 	}
-	n.applyShed()
+	n.applyShedShares()
 }
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -11,10 +11,10 @@
 	"mintspring/internal/slowstart"
 )
 
-// trainedAt is when a trained node has seen enough, in ms.
+// trainedAt is the time at which the traffic of newTrainedNode ends, in ms.
 const trainedAt = 60_000.0
 
-// newTrainedNode is a node that has had traffic, with different loads and response times, at each of its servers.
+// newTrainedNode returns a node after traffic at all of its servers, with different loads and response times.
 func newTrainedNode(limits fleet.Limits, servers int, slab *fleet.Slab) *Node {
 	n := New(1000, limits, slab)
 	n.UpdateEndpoints(1000, fleet.ListFull, endpointList(servers))
@@ -34,19 +34,19 @@
 	return n
 }
 
-// commonOwners counts of how many of 10,000 keys two nodes with twelve caches have the same owner.
+// commonOwners counts the keys, out of 10,000, that have the same owner at two nodes with twelve caches.
 func commonOwners(a, b *Node) int {
 	common := 0
 	for i := range 10000 {
 		p := fleet.Key(fleet.Mix(uint64(i))).Point()
-		if a.ring.servers[a.ring.owner(p)%12].id == b.ring.servers[b.ring.owner(p)%12].id {
+		if a.ring.servers[a.ring.ownerIndex(p)%12].id == b.ring.servers[b.ring.ownerIndex(p)%12].id {
 			common++
 		}
 	}
 	return common
 }
 
-// A node that restarts with a snapshot routes as it did; one that trusts none of it routes as if there were none.
+// A node that restarts with a trusted snapshot routes as before. A node that does not trust the snapshot routes as without one.
 func TestRestoreKeepsOwners(t *testing.T) {
 	var slab, restoredSlab, blankSlab fleet.Slab
 	limits := testLimits()
@@ -57,15 +57,15 @@
 	restored.UpdateEndpoints(61000, fleet.ListFull, endpointList(12))
 	blank.UpdateEndpoints(61000, fleet.ListFull, endpointList(12))
 	if k := commonOwners(before, blank); k > 9800 {
-		t.Fatalf("no point has moved: %d of 10000 keys are where they began", k)
+		t.Fatalf("traffic has moved no point: %d of 10000 keys have the same owner as without it", k)
 	}
 	restored.Restore(61000, &snap)
 	if k := commonOwners(before, restored); k != 10000 {
-		t.Errorf("%d of 10000 keys have the owner of before", k)
+		t.Errorf("%d of 10000 keys have the same owner as before", k)
 	}
-	if s, was := restored.servers[3], before.servers[3]; s.perQueued > was.perQueued+1e-9 ||
+	if s, previous := restored.servers[3], before.servers[3]; s.timePerQueued > previous.timePerQueued+1e-9 ||
 		s.latency != snap.Servers[3].RT || restored.originLimit.window > blank.originLimit.window {
-		t.Errorf("time per queued request %v of %v, window %v", s.perQueued, was.perQueued, restored.originLimit.window)
+		t.Errorf("time per queued request %v of %v, window %v", s.timePerQueued, previous.timePerQueued, restored.originLimit.window)
 	}
 	for i := range snap.Servers {
 		snap.Servers[i].Trust = 0
@@ -73,11 +73,11 @@
 	snap.Trust = 0
 	blank.Restore(61000, &snap)
 	if k := commonOwners(restored, blank); k > 9800 || blank.servers[3].latencyAt != 0 {
-		t.Errorf("%d keys moved on no trust", 10000-k)
+		t.Errorf("a snapshot without trust was restored: only %d of 10000 keys differ from a trusted one", 10000-k)
 	}
 }
 
-// A server that the snapshot says is failing gets its first attempt as quickly as without a snapshot.
+// A server that fails according to the snapshot gets its first attempt as soon as without a snapshot.
 func TestRestoreMakesNoServerAnOutlier(t *testing.T) {
 	var slab fleet.Slab
 	n := New(1000, testLimits(), &slab)
@@ -89,11 +89,11 @@
 		t.Errorf("the first request is answered with %v", d.Action)
 	}
 	if n.servers[0].isOutlier() {
-		t.Error("it is an outlier")
+		t.Error("the server is an outlier")
 	}
 }
 
-// Whatever a snapshot says, and whenever servers start and nodes restart, a cold server is sent no more than without it.
+// Whatever a snapshot contains, and whenever servers start and nodes restart, a cold server gets no more requests than without it.
 func TestRestoreAdmitsNoMoreToColdServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := testLimits()
@@ -107,19 +107,19 @@
 		}
 		with.Restore(1000, &snap)
 		cold, untouched := with.servers[1], without.servers[1]
-		restored := cold.bucket != untouched.bucket || cold.shed != 0 || cold.perQueued != untouched.perQueued
-		if cold.warmth(with) < 1 && restored {
+		restored := cold.bucket != untouched.bucket || cold.shedShare != 0 || cold.timePerQueued != untouched.timePerQueued
+		if cold.capacityShare(with) < 1 && restored {
 			t.Fatalf("the snapshot says something of a cold server: %+v", cold)
 		}
 		sentWith := countSentTo(with, &withSlab, cold.id, limits.OverloadBurst)
 		sentWithout := countSentTo(without, &withoutSlab, cold.id, limits.OverloadBurst)
-		// Both keep the same quota; which keys they spend it on may differ by the points of the other servers.
-		if cold.warmth(with) < 0.9 && sentWith > 1.5*sentWithout+10 {
+		// Both nodes have the same quota. They may use it for different keys, because the points of other servers differ.
+		if cold.capacityShare(with) < 0.9 && sentWith > 1.5*sentWithout+10 {
 			t.Fatalf("%v attempts at a cold server with the snapshot, %v without", sentWith, sentWithout)
 		}
 		for _, s := range with.servers {
 			wide := with.originLimit.window > without.originLimit.window+64
-			if s.isOutlier() || math.IsNaN(s.perQueued) || s.shed > 0.75 || wide {
+			if s.isOutlier() || math.IsNaN(s.timePerQueued) || s.shedShare > 0.75 || wide {
 				t.Fatalf("%+v", s)
 			}
 		}
@@ -145,7 +145,7 @@
 	return snap
 }
 
-// countSentTo has a node route a read each 2 ms for a while and counts the attempts at one server.
+// countSentTo routes a read every 2 ms for a duration in ms and counts the attempts at one server.
 func countSentTo(n *Node, slab *fleet.Slab, id fleet.ServerID, duration float64) float64 {
 	sent := 0.0
 	for now := 1001.0; now < 1001+duration; now += 2 {
@@ -161,8 +161,8 @@
 	return sent
 }
 
-// A successor process gives cold servers what its predecessor would have: it has the same traffic. A process that starts from a
-// snapshot file, or from nothing, begins its measure of that traffic with its first request, not with the epoch.
+// A successor process has the traffic of its predecessor, so it takes over the measured rate that the quotas for cold servers depend on.
+// Any other process begins to measure the rate at its first request, not at the epoch.
 func TestSuccessorKeepsSlowStartRate(t *testing.T) {
 	var slab, other fleet.Slab
 	predecessor := newTrainedNode(testLimits(), 4, &slab)
@@ -179,18 +179,18 @@
 	}
 	var m slowstart.Meter
 	n := New(1e12, testLimits(), &other)
-	for now := 1e12; now < 1e12+1.5*n.limits.period; now += 10 {
+	for now := 1e12; now < 1e12+1.5*n.limits.adjustInterval; now += 10 {
 		n.now = now
-		m.Spend(n.now, &slowstart.Bucket{}, n.limits.period, 1)
+		m.Spend(n.now, &slowstart.Bucket{}, n.limits.adjustInterval, 1)
 	}
 	if m.Rate < 0.02 {
 		t.Errorf("after a period of one request each 10 ms the rate is %v", m.Rate)
 	}
 }
 
-// What is restored of a server of which the node has evidence too is weighed by age: the younger of the two counts for more,
-// whichever comes first, and neither is lost. A successor process once kept what it knew by its first response, however much
-// younger its predecessor's evidence was.
+// Where a node has its own evidence of a server, restored evidence is weighted by age: the more recent of the two counts for more,
+// whichever comes first, and neither is lost. A successor process once kept the evidence of its first response, although its
+// predecessor's evidence was much more recent.
 func TestRestoreWeighsByAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var slab fleet.Slab
@@ -200,18 +200,18 @@
 		ownAge := rapid.Float64Range(1, 14_000).Draw(t, "age of own evidence")
 		restoredAge := rapid.Float64Range(0, 14_000).Draw(t, "age of restored evidence")
 		s := n.servers[1]
-		s.latency, s.latencyAhead, s.latencyAt, s.hitRatio = 100, 2, now-ownAge, 0.2
+		s.latency, s.latencyAhead, s.latencyAt, s.hitRatioPeak = 100, 2, now-ownAge, 0.2
 		n.Restore(now, &fleet.Snapshot{Servers: []fleet.ServerSnapshot{
-			{ID: 1, Trust: 1, PerQueued: s.perQueued, RT: 20, Ahead: 1, HitRatio: 0.8, QueuePeak: 1, At: now - restoredAge},
+			{ID: 1, Trust: 1, PerQueued: s.timePerQueued, RT: 20, Ahead: 1, HitRatio: 0.8, QueuePeak: 1, At: now - restoredAge},
 		}})
 		weight := ownAge / (ownAge + restoredAge)
-		for what, c := range map[string]struct{ got, want float64 }{
+		for name, c := range map[string]struct{ got, want float64 }{
 			"latency":   {s.latency, 100 - 80*weight},
 			"ahead":     {s.latencyAhead, 2 - weight},
-			"hit ratio": {s.hitRatio, 0.2 + 0.6*weight},
+			"hit ratio": {s.hitRatioPeak, 0.2 + 0.6*weight},
 		} {
 			if math.Abs(c.got-c.want) > 1e-6 {
-				t.Fatalf("%s: %v, want %v (own %.0f ms old, restored %.0f)", what, c.got, c.want, ownAge, restoredAge)
+				t.Fatalf("%s: %v, want %v (own %.0f ms old, restored %.0f)", name, c.got, c.want, ownAge, restoredAge)
 			}
 		}
 		if s.latencyAt < now-ownAge {
@@ -220,7 +220,7 @@
 	})
 }
 
-// A snapshot says when each server last responded; of one that never did, nothing.
+// A snapshot states when each server last responded, and 0 for a server that has not responded.
 func TestExportStatesAges(t *testing.T) {
 	var slab fleet.Slab
 	n := New(1000, testLimits(), &slab)
@@ -237,7 +237,7 @@
 	}
 }
 
-// BenchmarkExport measures how long a snapshot of 1,000 servers and all popular keys keeps the loop from its work.
+// BenchmarkExport measures for how long exporting 1,000 servers and all popular keys blocks the event loop.
 func BenchmarkExport(b *testing.B) {
 	var slab fleet.Slab
 	n := New(1000, testLimits(), &slab)
