--- a/decide/admit.go
+++ b/decide/admit.go
@@ -16,9 +16,9 @@
 	waiting            []fleet.Ref // requests queued for the origin
 }
 
-// maxQueuedBudgetShare limits the queue for the origin: a request waits behind others only if its response is expected
+// maxQueuedTimeShare limits the queue for the origin: a request waits behind others only if its response is expected
 // within this share of its remaining time.
-const maxQueuedBudgetShare = 0.6
+const maxQueuedTimeShare = 0.6
 
 // originHasCapacity reports whether one more read may be sent to the origin. Writes in flight take up at most half
 // of the window.
@@ -109,7 +109,7 @@
 	// The expected response time is a mean: when the queue was filled up to the limit, half of its responses were late
 	// and delayed other requests.
 	behindOthers := len(l.waiting) > 1 || len(l.waiting) > 0 && req.Stage != stageQueued
-	if wait+latency > timeLeft || behindOthers && wait+latency > maxQueuedBudgetShare*timeLeft {
+	if wait+latency > timeLeft || behindOthers && wait+latency > maxQueuedTimeShare*timeLeft {
 		return n.reject(wait)
 	}
 	if req.Stage != stageQueued {
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -3,9 +3,9 @@
 //
 // The caller allocates each request in the slab that it shares with the Node. Route sends, holds or answers a
 // request, AttemptDone returns what follows the end of an attempt, and NextDue returns how long to sleep and which
-// request to pass to Route then, where no request stands for the node's own maintenance. The other methods pass in
-// events or read state. ring.go adjusts ring points, health.go tracks the health of servers, admit.go limits the load
-// on the origin and on cold servers, list.go applies the endpoint list, snapshot.go exports and restores state.
+// request to pass to Route next (none: the node's own maintenance is due). The other methods report events or read and
+// set state. ring.go adjusts ring points, health.go tracks the health of servers, admit.go limits the load on the
+// origin and on cold servers, list.go applies the endpoint list, snapshot.go exports and restores state.
 // One goroutine must own a Node.
 //
 // The ring and its adjustment follow a thesis. The comments call it the thesis and mark deviations from it.
@@ -175,7 +175,7 @@
 	attempt := &req.Attempts[o.Attempt]
 	s := n.servers[attempt.Server]
 	if req.Uploading {
-		n.recordSend(s, req) // the attempt ended before its upload, whose end would have been recorded as its start
+		n.recordSend(s, req) // the attempt ended during its upload, so its start is not recorded yet
 	}
 	attempt.Result = o.Result
 	req.InFlight--
@@ -209,8 +209,8 @@
 	return n.enforce(req, n.propose(req))
 }
 
-// NextDue returns the next request to pass to Route and the time in ms to sleep before. NoRequest stands for the node's
-// own maintenance.
+// NextDue returns the request to pass to Route now, or NoRequest and the time in ms to sleep. A time of 0 with NoRequest
+// means that the node's own maintenance is due.
 func (n *Node) NextDue(now float64) (fleet.Ref, float64) {
 	n.now = now
 	if r := n.originLimit.popWaiting(n); r != fleet.NoRequest {
@@ -369,13 +369,13 @@
 	class, until := &n.limits.classes[req.Class], math.Inf(1)
 	for i := range req.Attempts[:req.NumAttempts] {
 		attempt := &req.Attempts[i]
-		earlier := n.servers[attempt.Server]
+		attemptServer := n.servers[attempt.Server]
 		switch {
 		case class.effect == fleet.Idempotent || attempt.Result.NotExecuted():
 		case class.effect == fleet.NonIdempotent || s == nil && class.scope != fleet.ScopeAll:
 			return math.Inf(-1)
-		case s != nil && (class.scope == fleet.ScopeZone && earlier.zone != s.zone ||
-			class.scope == fleet.ScopeCell && earlier.cell != s.cell):
+		case s != nil && (class.scope == fleet.ScopeZone && attemptServer.zone != s.zone ||
+			class.scope == fleet.ScopeCell && attemptServer.cell != s.cell):
 			return math.Inf(-1)
 		case s != nil:
 			until = min(until, attempt.SentAt+class.dedupWindow-n.limits.deadlineMargin)
--- a/decide/example_test.go
+++ b/decide/example_test.go
@@ -79,7 +79,7 @@
 			now += wait
 			continue
 		}
-		due := slab.Get(ref) // nil: the node's own upkeep is due
+		due := slab.Get(ref) // nil: the node's own maintenance is due
 		if d := node.Route(now, due); due == req && d.Action == fleet.Send {
 			fmt.Printf("after %.0f ms without a response from %s: attempt %d at %s\n",
 				now, serverNames[first.Server], d.Attempt, serverNames[d.Server])
--- a/decide/health.go
+++ b/decide/health.go
@@ -55,7 +55,7 @@
 }
 
 // expectedLatency returns the response time to expect at s: the recent one, corrected by the change in the number of
-// requests ahead since then, so that errors of load reports cancel out. The recent one counts less with age. While s
+// requests ahead since then, so that errors of load reports cancel out. The recent time counts less with age. While s
 // does not respond, the result is at least the time since its last response.
 func (s *server) expectedLatency(n *Node) float64 {
 	ahead := s.requestsAhead()
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -91,7 +91,7 @@
 	now           float64
 	list          map[fleet.ServerID]fleet.Endpoint
 	open          []*requestTrace
-	lostWhileIdle bool   // connections had been idle when they were lost
+	lostWhileIdle bool   // outcomes say that the connection had been idle when it was lost
 	violation     string // the first violation of a rule; empty: none
 }
 
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -71,13 +71,13 @@
 	h := newHarness(testLimits())
 	h.listServers(4)
 	h.readWithOccasionalResets(t)
-	bad := h.ownerOf(7)
+	resetting := h.ownerOf(7)
 	resetAll := func() {
 		for range 4 {
 			trace := h.read(7)
 			for i := 0; i < len(trace.attempts); i++ {
 				result := fleet.Completed
-				if trace.attempts[i].server == bad.id {
+				if trace.attempts[i].server == resetting.id {
 					result = fleet.Reset
 				}
 				h.endAttempt(trace, i, result, fleet.CacheHit)
@@ -85,12 +85,12 @@
 		}
 	}
 	h.lostWhileIdle = true
-	if resetAll(); bad.failureShare > 0.2 {
+	if resetAll(); resetting.failureShare > 0.2 {
 		t.Error("lost idle connections are held against their server")
 	}
 	h.lostWhileIdle = false
 	resetAll()
-	if !bad.isOutlier() {
+	if !resetting.isOutlier() {
 		t.Error("a server that resets all connections was not ejected")
 	}
 	h.expectNoViolation(t)
--- a/decide/ring.go
+++ b/decide/ring.go
@@ -8,14 +8,14 @@
 )
 
 const (
-	maxLoadLevel    = 5.0 // highest load level: gamma of the thesis (section 3.1, MOVE)
-	moveMargin      = 0.05 * maxLoadLevel
-	firstStep       = 0.25 // share of the computed shift that a first move takes, since reports lag and differ between nodes
-	stepDecay       = 0.7  // factor on the step after each move, so that rings converge and keys stay
-	layoutRounds    = 12   // rounds of moves that turn the hash points into the even ring; more rounds move more keys at a join
-	popularKeyCount = 10   // decayed request count of a key in a zone from which the key has a copy in that zone
-	minKeyCount     = 1.5  // this node's decayed count below which a key's popularity is unknown
-	priorCount      = 20   // added to the sum of counts, so that a key gets no large share while the node has seen few requests
+	maxLoadLevel    = 5.0                 // highest load level: gamma of the thesis (section 3.1, MOVE)
+	moveMargin      = 0.05 * maxLoadLevel // difference of load levels above which a point moves
+	firstStep       = 0.25                // share of the computed shift that a first move takes, since reports lag and differ between nodes
+	stepDecay       = 0.7                 // factor on the step after each move, so that rings converge and keys stay
+	layoutRounds    = 12                  // rounds of moves that turn the hash points into the even ring; more rounds move more keys at a join
+	popularKeyCount = 10                  // decayed request count of a key in a zone from which the key has a copy in that zone
+	minKeyCount     = 1.5                 // this node's decayed count below which a key's popularity is unknown
+	priorCount      = 20                  // added to the sum of counts, so that a key gets no large share while the node has seen few requests
 )
 
 // hashRing is a ring of servers in the order of their points.
@@ -136,7 +136,7 @@
 }
 
 // adjustPoints moves back each point whose server's load level exceeds its successor's by moveMargin, and adapts the
-// share of keys routed by zone. An old report must not move a point twice, so it takes new reports of both servers.
+// share of keys routed by zone. A move needs a new report from both servers: an old one must not move a point twice.
 func (n *Node) adjustPoints() {
 	ring := &n.ring
 	for i, s := range ring.servers {
