--- a/internal/cluster/idempotency/acceptor.go
+++ b/internal/cluster/idempotency/acceptor.go
@@ -241,7 +241,7 @@
 // raiseCeiling raises the ballot ceiling above a round. No promise above the synced ceiling may be sent before the new one is synced.
 func (a *acceptor) raiseCeiling(round uint32) {
 	if round > a.ballotCeiling {
-		a.ballotCeiling = round + cmp.Or(a.config.BallotBlock, defaultBallotBlock)
+		a.ballotCeiling = round + cmp.Or(a.config.BallotCeilingStep, defaultBallotBlock)
 		a.out.store(ceilingEntry(a.ballotCeiling))
 	}
 }
--- a/internal/cluster/idempotency/acceptor_test.go
+++ b/internal/cluster/idempotency/acceptor_test.go
@@ -14,7 +14,7 @@
 func newTestCore(self MemberID, stored *StoredState, change func(*Config)) *Core {
 	config := Config{
 		Self: self, Incarnation: testIncarnation, StorageIncarnation: testStorage, ReplicaSets: []ReplicaSet{{Members: []MemberID{0, 1, 2}}},
-		ReplicationFactor: 3, RetentionMs: 10e3, RetryMs: 20, MaxReceiptBytes: 64, RepairRate: 1e3,
+		ReplicationFactor: 3, RetentionMs: 10e3, RetryIntervalMs: 20, MaxReceiptBytes: 64, RepairsPerSecond: 1e3,
 	}
 	if stored == nil {
 		stored = NewStoredState()
--- a/internal/cluster/idempotency/antientropy.go
+++ b/internal/cluster/idempotency/antientropy.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// comparePatience is the backoff of a compare request, in multiples of RetryMs, after which a peer is taken not to be there.
+// comparePatience is the backoff of a compare request, in multiples of RetryIntervalMs, after which a peer is taken not to be there.
 const comparePatience = 8
 
 // Pacing of repairs: what was not used of the rate within repairBurstMs is lost, but for repairHeadStartMs.
@@ -48,7 +48,7 @@
 // tick starts repairs that are due, and sends the next request of a scan.
 func (ae *antiEntropy) tick(now float64) {
 	peers := ae.acceptor.peers
-	if !ae.acceptor.available() || !ae.acceptor.caughtUp || ae.config.AntiEntropyMs <= 0 || len(peers) == 0 {
+	if !ae.acceptor.available() || !ae.acceptor.caughtUp || ae.config.AntiEntropyIntervalMs <= 0 || len(peers) == 0 {
 		return
 	}
 	ae.startRepairs(now)
@@ -59,12 +59,12 @@
 	if scan.finished || scan.startedAt == 0 {
 		*scan = antiEntropyScan{number: scan.number + 1, startedAt: now}
 	}
-	if scan.backoffMs >= comparePatience*ae.config.RetryMs {
+	if scan.backoffMs >= comparePatience*ae.config.RetryIntervalMs {
 		scan.unresponsive = append(scan.unresponsive, peers[scan.peerIndex])
 		ae.nextPeer(now)
 		return
 	}
-	scan.backoffMs = max(2*scan.backoffMs, ae.config.RetryMs)
+	scan.backoffMs = max(2*scan.backoffMs, ae.config.RetryIntervalMs)
 	scan.requestAt = now + scan.backoffMs
 	request := ae.config.newMessage(MsgCompare, peers[scan.peerIndex])
 	request.Number, request.Ballot.Claim.Number = scan.position, scan.number
@@ -79,7 +79,7 @@
 	if scan.peerIndex < len(ae.acceptor.peers) {
 		return
 	}
-	scan.finished, scan.requestAt = true, max(now, scan.startedAt+ae.config.AntiEntropyMs)
+	scan.finished, scan.requestAt = true, max(now, scan.startedAt+ae.config.AntiEntropyIntervalMs)
 	ae.lastUnresponsive = scan.unresponsive
 	switch {
 	case scan.differing > 0 || len(ae.repairing) > 0:
@@ -129,7 +129,7 @@
 	for len(ae.repairQueue) > 0 && ae.repairAt < now {
 		key := ae.repairQueue[0]
 		ae.repairQueue = ae.repairQueue[1:]
-		ae.repairAt += 1000 / max(ae.config.RepairRate, 1)
+		ae.repairAt += 1000 / max(ae.config.RepairsPerSecond, 1)
 		ae.lastRepair++
 		ae.proposer.repair(now, ae.lastRepair, key)
 	}
--- a/internal/cluster/idempotency/antientropy_test.go
+++ b/internal/cluster/idempotency/antientropy_test.go
@@ -4,7 +4,7 @@
 
 // A late answer to an earlier scan does not end this one: what it lacks would be taken for what nobody has.
 func TestLateAnswersToAnEarlierScan(t *testing.T) {
-	c := newTestCore(0, nil, func(c *Config) { c.AntiEntropyMs = 100 })
+	c := newTestCore(0, nil, func(c *Config) { c.AntiEntropyIntervalMs = 100 })
 	c.Tick(1)
 	request := c.Ready().Messages[0]
 	if request.Type != MsgCompare || request.To != 1 || request.Ballot.Claim.Number != 1 {
--- a/internal/cluster/idempotency/bench_test.go
+++ b/internal/cluster/idempotency/bench_test.go
@@ -22,7 +22,7 @@
 		stored.CaughtUpStorage = StorageIncarnation(m + 1)
 		c := New(0, Config{
 			Self: m, Incarnation: 9, StorageIncarnation: StorageIncarnation(m + 1), ReplicaSets: []ReplicaSet{set},
-			ReplicationFactor: 3, RetentionMs: 1e9, RetryMs: 20, MaxReceiptBytes: 1024, RepairRate: 1e3,
+			ReplicationFactor: 3, RetentionMs: 1e9, RetryIntervalMs: 20, MaxReceiptBytes: 1024, RepairsPerSecond: 1e3,
 		}, stored)
 		s.cores = append(s.cores, c)
 	}
--- a/internal/cluster/idempotency/catchup.go
+++ b/internal/cluster/idempotency/catchup.go
@@ -286,8 +286,8 @@
 	c.position = uint64(m.Ballot.Round)
 	c.backoffMs, c.requestedAt = 0, 0
 	c.retryAt = now
-	if a.config.RepairRate > 0 {
-		c.retryAt += 1000 * float64(len(m.Records)) / a.config.RepairRate
+	if a.config.RepairsPerSecond > 0 {
+		c.retryAt += 1000 * float64(len(m.Records)) / a.config.RepairsPerSecond
 	}
 	if m.More {
 		return
--- a/internal/cluster/idempotency/config.go
+++ b/internal/cluster/idempotency/config.go
@@ -11,19 +11,19 @@
 
 // Config is what a member is started with.
 type Config struct {
-	Self               MemberID
-	Incarnation        cluster.Incarnation // of this process
-	StorageIncarnation StorageIncarnation  // 0: it stores nothing and only proposes
-	ReplicaSets        []ReplicaSet        // the one in use and, while it changes, the one before
-	ReplicationFactor  int                 // replicas of a key
-	RetentionMs        float64             // for which a record is kept from its last change on
-	RetryMs            float64             // after which a request that was not answered is sent again
-	MaxRecords         int                 // that it stores; beyond them it takes no new ones; 0: any number
-	MaxReceiptBytes    int                 // of a receipt that is kept
-	RepairRate         float64             // records a second that are copied or written again
-	AntiEntropyMs      float64             // between two scans of the other members' records; 0: none
-	BallotBlock        uint32              // rounds by which the ballot ceiling is raised at a time; 0: defaultBallotBlock
-	Seed               uint64              // of the jitter of retries
+	Self                  MemberID
+	Incarnation           cluster.Incarnation // of this process
+	StorageIncarnation    StorageIncarnation  // 0: it stores nothing and only proposes
+	ReplicaSets           []ReplicaSet        // the one in use and, while it changes, the one before
+	ReplicationFactor     int                 // replicas of a key
+	RetentionMs           float64             // for which a record is kept from its last change on
+	RetryIntervalMs       float64             // after which a request that was not answered is sent again
+	MaxRecords            int                 // that it stores; beyond them it takes no new ones; 0: any number
+	MaxReceiptBytes       int                 // of a receipt that is kept
+	RepairsPerSecond      float64             // records a second that are copied or written again
+	AntiEntropyIntervalMs float64             // between two scans of the other members' records; 0: none
+	BallotCeilingStep     uint32              // rounds by which the ballot ceiling is raised at a time; 0: defaultBallotBlock
+	Seed                  uint64              // of the jitter of retries
 
 	replicaSetHashes [maxReplicaSets]uint32 // filled in by New
 }
@@ -78,10 +78,10 @@
 	return &Message{Type: kind, From: c.Self, To: to, StorageIncarnation: c.StorageIncarnation, ReplicaSets: c.replicaSetHashes}
 }
 
-// maxBackoffFactor is the longest time between two requests, in multiples of RetryMs.
+// maxBackoffFactor is the longest time between two requests, in multiples of RetryIntervalMs.
 const maxBackoffFactor = 16
 
 // nextBackoff returns the time in ms until the next retry after one of backoffMs, or 0 for the first.
 func (c *Config) nextBackoff(backoffMs float64) float64 {
-	return min(max(2*backoffMs, c.RetryMs), maxBackoffFactor*c.RetryMs)
+	return min(max(2*backoffMs, c.RetryIntervalMs), maxBackoffFactor*c.RetryIntervalMs)
 }
--- a/internal/cluster/idempotency/core.go
+++ b/internal/cluster/idempotency/core.go
@@ -88,7 +88,7 @@
 	}
 }
 
-// Tick does what is due at a time. It has to be called several times in RetryMs.
+// Tick does what is due at a time. It has to be called several times in RetryIntervalMs.
 func (c *Core) Tick(now float64) {
 	c.proposer.tick(now)
 	c.acceptor.tick(now)
--- a/internal/cluster/idempotency/proposer.go
+++ b/internal/cluster/idempotency/proposer.go
@@ -11,7 +11,7 @@
 	maxGranted = 1 << 16
 )
 
-// Times of a proposal, in multiples of RetryMs.
+// Times of a proposal, in multiples of RetryIntervalMs.
 const (
 	releaseTimeout    = 200 // for which a claim that came to nothing is tried to be released
 	repairTimeout     = 64  // for which a repair is tried
@@ -92,7 +92,7 @@
 func (pr *proposer) release(now float64, claim *proposal) {
 	p := &proposal{
 		kind: settleProposal, number: claim.number | settlementBit, key: claim.key, claim: claim.claim,
-		settlement: settlement{outcome: OutcomeNotExecuted}, deadline: now + releaseTimeout*pr.config.RetryMs, round: claim.round, internal: true,
+		settlement: settlement{outcome: OutcomeNotExecuted}, deadline: now + releaseTimeout*pr.config.RetryIntervalMs, round: claim.round, internal: true,
 	}
 	pr.start(now, p)
 	pr.startPrepare(now, p)
@@ -101,7 +101,7 @@
 // repair proposes the latest record of a key again, under a new ballot, so that all its replicas store it. Records are not copied without one: what
 // this member may have promised while it stored nothing has to hold for them too.
 func (pr *proposer) repair(now float64, number uint64, key Key) {
-	p := &proposal{kind: repairProposal, number: number, key: key, claim: pr.claimID(number), deadline: now + repairTimeout*pr.config.RetryMs}
+	p := &proposal{kind: repairProposal, number: number, key: key, claim: pr.claimID(number), deadline: now + repairTimeout*pr.config.RetryIntervalMs}
 	pr.start(now, p)
 	pr.startPrepare(now, p)
 }
@@ -127,7 +127,7 @@
 func (pr *proposer) startPhase(now float64, p *proposal, ph phase) {
 	p.phase = ph
 	p.votes, p.rejections = map[MemberID]*Message{}, map[MemberID]bool{}
-	p.phaseStartedAt, p.backoffMs = now, pr.config.RetryMs
+	p.phaseStartedAt, p.backoffMs = now, pr.config.RetryIntervalMs
 	pr.sendRequests(now, p)
 }
 
@@ -210,13 +210,13 @@
 		return
 	}
 	p.phase = backingOff
-	p.backoffMs = min(max(p.backoffMs, pr.config.RetryMs), maxRestartBackoff*pr.config.RetryMs)
+	p.backoffMs = min(max(p.backoffMs, pr.config.RetryIntervalMs), maxRestartBackoff*pr.config.RetryIntervalMs)
 	p.retryAt = now + p.backoffMs*maxRestartJitter*pr.rng.Float64()
 }
 
 // isAnswered reports whether all replicas have answered, or those that have not have had their time: a repair is wanted at each of them.
 func (pr *proposer) isAnswered(now float64, p *proposal) bool {
-	return len(p.votes)+len(p.rejections) == len(p.groups.members()) || now-p.phaseStartedAt >= repairPatience*pr.config.RetryMs
+	return len(p.votes)+len(p.rejections) == len(p.groups.members()) || now-p.phaseStartedAt >= repairPatience*pr.config.RetryIntervalMs
 }
 
 // tick does what is due at a time.
@@ -246,7 +246,7 @@
 	case now < p.retryAt:
 	case p.phase == backingOff:
 		pr.startPrepare(now, p)
-	case len(p.rejections) > 0 && p.backoffMs >= rejectionPatience*pr.config.RetryMs:
+	case len(p.rejections) > 0 && p.backoffMs >= rejectionPatience*pr.config.RetryIntervalMs:
 		pr.restart(now, p)
 	default:
 		pr.sendRequests(now, p)
--- a/internal/cluster/idempotency/replica/cluster_test.go
+++ b/internal/cluster/idempotency/replica/cluster_test.go
@@ -87,7 +87,7 @@
 	}
 	config := Config{Group: testGroup, ListenAddr: c.addrs[member], MemberAddrs: c.addrs, DataDir: c.dataDir(member), Core: idempotency.Config{
 		Self: idempotency.MemberID(member), Incarnation: incarnation(startMs), ReplicaSets: []idempotency.ReplicaSet{set}, ReplicationFactor: 3,
-		RetentionMs: 60e3, RetryMs: 10, MaxReceiptBytes: 64, RepairRate: 1e4, AntiEntropyMs: 200,
+		RetentionMs: 60e3, RetryIntervalMs: 10, MaxReceiptBytes: 64, RepairsPerSecond: 1e4, AntiEntropyIntervalMs: 200,
 	}}
 	if change != nil {
 		change(&config)
--- a/internal/cluster/idempotency/replica/disk.go
+++ b/internal/cluster/idempotency/replica/disk.go
@@ -173,7 +173,7 @@
 		return
 	}
 	now := r.clock.Now()
-	interval := max(r.config.Core.AntiEntropyMs, r.config.Core.RetentionMs/verificationsPerRetention)
+	interval := max(r.config.Core.AntiEntropyIntervalMs, r.config.Core.RetentionMs/verificationsPerRetention)
 	switch {
 	case r.disk.corruptSegment != "":
 		r.disk.corruptSegment = ""
--- a/internal/cluster/idempotency/replica/replica.go
+++ b/internal/cluster/idempotency/replica/replica.go
@@ -33,7 +33,7 @@
 const (
 	// receivedQueue is how many datagrams wait for the member's goroutine. More are dropped.
 	receivedQueue = 4096
-	// ticksPerRetry is how often the core is ticked within its RetryMs.
+	// ticksPerRetry is how often the core is ticked within its RetryIntervalMs.
 	ticksPerRetry = 4
 	// minTickInterval is the shortest time between two ticks.
 	minTickInterval = time.Millisecond
@@ -182,7 +182,7 @@
 // run is the member's goroutine.
 func (r *Replica) run() {
 	defer r.shutDown()
-	retryInterval := clock.Duration(r.config.Core.RetryMs)
+	retryInterval := clock.Duration(r.config.Core.RetryIntervalMs)
 	ticker := time.NewTicker(max(minTickInterval, retryInterval/ticksPerRetry))
 	defer ticker.Stop()
 	for {
--- a/internal/cluster/idempotency/replica/replica_test.go
+++ b/internal/cluster/idempotency/replica/replica_test.go
@@ -192,7 +192,7 @@
 // A segment that becomes corrupt while its member runs is found, and all records are written again from memory: the member can be started from them.
 func TestSegmentBecomesCorrupt(t *testing.T) {
 	c := newTestCluster(t)
-	c.startAll(func(config *Config) { config.Core.RetentionMs, config.Core.AntiEntropyMs = 1600, 200 }) // segments are closed after 400 ms, and read each 200
+	c.startAll(func(config *Config) { config.Core.RetentionMs, config.Core.AntiEntropyIntervalMs = 1600, 200 }) // segments are closed after 400 ms, and read each 200
 	segment := ""
 	for i := 0; segment == ""; i++ {
 		c.claimAndSettle(0, fmt.Sprint("m", i))
@@ -242,7 +242,7 @@
 		b.Run(fmt.Sprint(workers, " at a time"), func(b *testing.B) {
 			c := newTestCluster(b)
 			c.startAll(func(config *Config) {
-				config.Core.RetentionMs, config.Core.RetryMs, config.Core.AntiEntropyMs, config.Core.MaxReceiptBytes = 600e3, 20, 30e3, 1024
+				config.Core.RetentionMs, config.Core.RetryIntervalMs, config.Core.AntiEntropyIntervalMs, config.Core.MaxReceiptBytes = 600e3, 20, 30e3, 1024
 			})
 			b.ResetTimer()
 			runOperations(b, c, workers)
--- a/internal/cluster/idempotency/simcluster/cluster.go
+++ b/internal/cluster/idempotency/simcluster/cluster.go
@@ -86,8 +86,8 @@
 		set.Members = append(set.Members, idempotency.MemberID(i))
 	}
 	c.config = idempotency.Config{
-		ReplicaSets: []idempotency.ReplicaSet{set}, ReplicationFactor: 3, RetentionMs: retentionMs, RetryMs: 20, MaxReceiptBytes: 64,
-		RepairRate: 1000, AntiEntropyMs: 500, Seed: seed,
+		ReplicaSets: []idempotency.ReplicaSet{set}, ReplicationFactor: 3, RetentionMs: retentionMs, RetryIntervalMs: 20, MaxReceiptBytes: 64,
+		RepairsPerSecond: 1000, AntiEntropyIntervalMs: 500, Seed: seed,
 	}
 	if change != nil {
 		change(&c.config)
--- a/internal/cluster/idempotency/simcluster/cluster_test.go
+++ b/internal/cluster/idempotency/simcluster/cluster_test.go
@@ -50,7 +50,7 @@
 func TestOneEffectThroughLostDisks(t *testing.T) {
 	lost := 0
 	for _, seed := range []uint64{1001, 1004, 1029} {
-		c := newCluster(3, seed, func(config *idempotency.Config) { config.BallotBlock = 1 })
+		c := newCluster(3, seed, func(config *idempotency.Config) { config.BallotCeilingStep = 1 })
 		c.links.Set(c.allNodes(), c.allNodes(), func(l *faultrelay.Link) {
 			*l = faultrelay.Link{LossRate: 0.1, JitterMs: 150, Duplicates: 1, DuplicateDelayMs: 300}
 		})
--- a/internal/cluster/idempotency/simcluster/load.go
+++ b/internal/cluster/idempotency/simcluster/load.go
@@ -31,7 +31,7 @@
 // SimulateLoad simulates members for so many seconds, with so many operations a second, a fifth of which are claimed again later. Links take 1 to 6 ms,
 // syncs 2 ms. In the second half one member after another is lost with its disk, and another one takes its place.
 func SimulateLoad(members int, rate float64, seconds int, seed uint64) LoadReport {
-	c := newCluster(members, seed, func(config *idempotency.Config) { config.AntiEntropyMs, config.RepairRate = 30e3, 2000 })
+	c := newCluster(members, seed, func(config *idempotency.Config) { config.AntiEntropyIntervalMs, config.RepairsPerSecond = 30e3, 2000 })
 	c.links.Set(c.allNodes(), c.allNodes(), func(l *faultrelay.Link) { *l = faultrelay.Link{JitterMs: 5} })
 	for range 500 {
 		c.step() // until all have acknowledged the others' storage
--- a/internal/testbed/idempotencytest/member.go
+++ b/internal/testbed/idempotencytest/member.go
@@ -120,7 +120,7 @@
 		Group: groupName, ListenAddr: s.config.ListenAddr, MemberAddrs: s.config.MemberAddrs, DataDir: s.config.DataDir, SyncDelay: s.config.SyncDelay,
 		Core: idempotency.Config{
 			Self: self, Incarnation: incarnation, ReplicaSets: []idempotency.ReplicaSet{set}, ReplicationFactor: 3, RetentionMs: s.config.RetentionMs,
-			RetryMs: 10, MaxRecords: 1 << 20, MaxReceiptBytes: 256, RepairRate: 5000, AntiEntropyMs: 500, Seed: s.config.Seed,
+			RetryIntervalMs: 10, MaxRecords: 1 << 20, MaxReceiptBytes: 256, RepairsPerSecond: 5000, AntiEntropyIntervalMs: 500, Seed: s.config.Seed,
 		},
 	}
 	var err error
