--- a/cmd/mintspring/idempotency.go
+++ b/cmd/mintspring/idempotency.go
@@ -49,10 +49,10 @@
 		c.Claims[idempotency.DecisionGranted], c.Claims[idempotency.DecisionWait], c.Claims[idempotency.DecisionReplay],
 		c.Claims[idempotency.DecisionUnknown], c.Claims[idempotency.DecisionNoQuorum], c.Settlements, c.FailedSettlements)
 	p.Printf("  now %d granted claims, %d open proposals, %d pending repairs; repaired %d; received %d messages, %d corrupt, %d of other replica sets\n",
-		s.GrantedClaims, s.OpenProposals, s.PendingRepairs, c.Repaired, c.Messages, c.Corrupt, c.ForeignReplicaSets)
+		s.GrantedClaims, s.OpenProposals, s.PendingRepairs, c.RepairedRecords, c.ReceivedMessages, c.CorruptDatagrams, c.ForeignReplicaSets)
 	p.Printf("  %s", consistency(s))
 	separator := "; not reached at the last comparison:"
-	for _, member := range s.NotCompared {
+	for _, member := range s.UnresponsivePeers {
 		p.Printf("%s %d", separator, member+1)
 		separator = ","
 	}
--- a/internal/cluster/idempotency/antientropy_test.go
+++ b/internal/cluster/idempotency/antientropy_test.go
@@ -28,7 +28,7 @@
 		t.Errorf("before the scan is over: %+v", s)
 	}
 	deliver(c, 4, page(2, 1))
-	if s := c.Status(5); s.ConsistentMs != 4 || len(s.NotCompared) > 0 {
+	if s := c.Status(5); s.ConsistentMs != 4 || len(s.UnresponsivePeers) > 0 {
 		t.Errorf("after the scan: %+v", s)
 	}
 }
--- a/internal/cluster/idempotency/core.go
+++ b/internal/cluster/idempotency/core.go
@@ -52,21 +52,21 @@
 func (c *Core) ReceiveDatagram(now float64, b []byte) {
 	m, err := ParseMessage(b)
 	if err != nil {
-		c.CountCorrupt()
+		c.CountCorruptDatagram()
 		return
 	}
 	c.Receive(now, m)
 }
 
-// CountCorrupt counts a datagram that could not be decoded.
-func (c *Core) CountCorrupt() { c.counts.Corrupt++ }
+// CountCorruptDatagram counts a datagram that could not be decoded.
+func (c *Core) CountCorruptDatagram() { c.counts.CorruptDatagrams++ }
 
 // Receive takes in a message, also one of this member to itself.
 func (c *Core) Receive(now float64, m *Message) {
 	if m.To != c.config.Self {
 		return
 	}
-	c.counts.Messages++
+	c.counts.ReceivedMessages++
 	if !c.config.sharesReplicaSet(m.ReplicaSets) {
 		c.counts.ForeignReplicaSets++
 		return
--- a/internal/cluster/idempotency/proposer.go
+++ b/internal/cluster/idempotency/proposer.go
@@ -259,7 +259,7 @@
 	switch p.kind {
 	case repairProposal:
 		if decision == DecisionGranted {
-			pr.counts.Repaired++
+			pr.counts.RepairedRecords++
 		}
 		pr.onRepaired(p.key)
 	case settleProposal:
--- a/internal/cluster/idempotency/replica/golden_test.go
+++ b/internal/cluster/idempotency/replica/golden_test.go
@@ -32,9 +32,9 @@
 
 	status := Status{
 		Status: idempotency.Status{
-			Self: 1, StorageIncarnation: 2 << 40, State: "holds", Records: 3, ByState: map[string]int{"done": 2, "out": 1}, Promises: 4, Floor: 5, GrantedClaims: 6, OpenProposals: 7,
-			PendingRepairs: 8, CaughtUpWith: []idempotency.MemberID{0, 2}, ConsistentMs: 1500.5, NotCompared: []idempotency.MemberID{2}, Members: []idempotency.MemberStatus{{Member: 0, StorageIncarnation: 9}, {Member: 2, StorageIncarnation: 10}},
-			Counts: idempotency.Counts{Claims: [5]int{1, 2, 3, 4, 5}, Settlements: 6, FailedSettlements: 7, BallotRetries: 8, Repaired: 9, Corrupt: 10, ForeignReplicaSets: 11, Messages: 12},
+			Self: 1, StorageIncarnation: 2 << 40, State: "holds", Records: 3, ByState: map[string]int{"done": 2, "out": 1}, Promises: 4, PromiseFloor: 5, GrantedClaims: 6, OpenProposals: 7,
+			PendingRepairs: 8, CaughtUpWith: []idempotency.MemberID{0, 2}, ConsistentMs: 1500.5, UnresponsivePeers: []idempotency.MemberID{2}, Members: []idempotency.MemberStatus{{Member: 0, StorageIncarnation: 9}, {Member: 2, StorageIncarnation: 10}},
+			Counts: idempotency.Counts{Claims: [5]int{1, 2, 3, 4, 5}, Settlements: 6, FailedSettlements: 7, BallotRetries: 8, RepairedRecords: 9, CorruptDatagrams: 10, ForeignReplicaSets: 11, ReceivedMessages: 12},
 		},
 		Group: "sales", Dir: "/data/book", Syncs: 13, Entries: 14, Largest: 15,
 	}
--- a/internal/cluster/idempotency/replica/transport.go
+++ b/internal/cluster/idempotency/replica/transport.go
@@ -40,7 +40,7 @@
 	m, err := idempotency.ParseMessage(d.payload)
 	switch {
 	case err != nil:
-		r.core.CountCorrupt()
+		r.core.CountCorruptDatagram()
 	case m.From == d.from: // no member sends messages of another one
 		r.core.Receive(r.clock.Now(), m)
 	}
--- a/internal/cluster/idempotency/simcluster/cluster_test.go
+++ b/internal/cluster/idempotency/simcluster/cluster_test.go
@@ -130,7 +130,7 @@
 	if t.Logf("%d records have three copies again after %.0f ms", records, c.now-start); !c.storeAlike() || records < 50 {
 		t.Errorf("%d records, after %.0f ms", records, c.now-start)
 	}
-	if repaired := c.nodes[2].core.Status(c.now).Counts.Repaired; repaired < records/2 {
+	if repaired := c.nodes[2].core.Status(c.now).Counts.RepairedRecords; repaired < records/2 {
 		t.Errorf("it repaired %d", repaired)
 	}
 	c.reportViolations(t)
--- a/internal/cluster/idempotency/simcluster/replicaset_test.go
+++ b/internal/cluster/idempotency/simcluster/replicaset_test.go
@@ -104,7 +104,7 @@
 			continue
 		}
 		s := n.core.Status(c.localTime(n))
-		if s.ConsistentMs < 1000 || len(s.NotCompared) != 1 || s.NotCompared[0] != idempotency.MemberID(gone) {
+		if s.ConsistentMs < 1000 || len(s.UnresponsivePeers) != 1 || s.UnresponsivePeers[0] != idempotency.MemberID(gone) {
 			return false
 		}
 	}
--- a/internal/cluster/idempotency/status.go
+++ b/internal/cluster/idempotency/status.go
@@ -6,10 +6,10 @@
 	Settlements        int                      `json:"settled"`
 	FailedSettlements  int                      `json:"settlements_failed"`
 	BallotRetries      int                      `json:"ballots_again"`
-	Repaired           int                      `json:"mended"`
-	Corrupt            int                      `json:"spoilt"`      // datagrams that could not be decoded
+	RepairedRecords    int                      `json:"mended"`
+	CorruptDatagrams   int                      `json:"spoilt"`      // datagrams that could not be decoded
 	ForeignReplicaSets int                      `json:"other_lists"` // messages of members that share no replica set
-	Messages           int                      `json:"messages"`
+	ReceivedMessages   int                      `json:"messages"`
 }
 
 // Status is what a member shows to operators.
@@ -20,13 +20,13 @@
 	Records            int                `json:"records"`
 	ByState            map[string]int     `json:"by_state"` // records
 	Promises           int                `json:"promises"`
-	Floor              uint32             `json:"floor"` // rounds up to there are rejected for every key
+	PromiseFloor       uint32             `json:"floor"` // rounds up to there are rejected for every key
 	GrantedClaims      int                `json:"out"`   // of this member, that have not been settled
 	OpenProposals      int                `json:"asking"`
 	PendingRepairs     int                `json:"to_mend"`
 	CaughtUpWith       []MemberID         `json:"caught_up_with,omitempty"`
 	ConsistentMs       float64            `json:"same_for_ms"`                 // for which scans have found nothing to repair; -1: the last one did, or none has ended
-	NotCompared        []MemberID         `json:"not_compared_with,omitempty"` // members that did not answer in the last scan
+	UnresponsivePeers  []MemberID         `json:"not_compared_with,omitempty"` // members that did not answer in the last scan
 	Counts             Counts             `json:"counts"`
 	Members            []MemberStatus     `json:"members"`
 }
@@ -47,12 +47,12 @@
 		Records:            len(a.records),
 		ByState:            map[string]int{},
 		Promises:           len(a.promises),
-		Floor:              a.promiseFloor,
+		PromiseFloor:       a.promiseFloor,
 		GrantedClaims:      len(c.proposer.granted),
 		OpenProposals:      len(c.proposer.proposals),
 		PendingRepairs:     len(c.antiEntropy.repairQueue),
 		ConsistentMs:       -1,
-		NotCompared:        c.antiEntropy.unresponsivePeers(),
+		UnresponsivePeers:  c.antiEntropy.unresponsivePeers(),
 		Counts:             c.counts,
 	}
 	if since := c.antiEntropy.consistentSince; since > 0 {
