--- a/internal/cluster/idempotency/acceptor.go
+++ b/internal/cluster/idempotency/acceptor.go
@@ -90,7 +90,7 @@
 	}
 	for key, r := range stored.Records {
 		// Its age is not known after a start; it is kept for as long as if it were new.
-		a.records[key] = &replicaRecord{accepted: r.Accepted, record: r.Record, claimedAt: math.Inf(-1), changedAt: math.Inf(-1), retainedFrom: now}
+		a.records[key] = &replicaRecord{accepted: r.AcceptedBallot, record: r.Record, claimedAt: math.Inf(-1), changedAt: math.Inf(-1), retainedFrom: now}
 	}
 	for m, incarnation := range stored.KnownStorage {
 		a.knownStorage[m] = incarnation
@@ -201,7 +201,7 @@
 	// How long the message was on its way is not known, but no longer than since this ballot was promised: nothing becomes younger by being copied.
 	// That its last change may seem later than it was does no harm.
 	claimedAt, changedAt := promise.at-m.AgeMs, now-m.UnchangedMs
-	a.setRecord(now, VersionedRecord{Key: m.Key, Accepted: m.Ballot, Record: m.Record}, claimedAt, changedAt)
+	a.setRecord(now, VersionedRecord{Key: m.Key, AcceptedBallot: m.Ballot, Record: m.Record}, claimedAt, changedAt)
 	// With the vote for this ballot goes the promise for the next one, so that the proposer of a claim can settle it in one phase.
 	a.addPromise(now, m.Key, m.Ballot.next())
 	a.raiseCeiling(m.Ballot.Round + 1)
@@ -216,7 +216,7 @@
 		stored = &replicaRecord{claimedAt: claimedAt}
 		a.records[r.Key] = stored
 	}
-	stored.accepted, stored.record = r.Accepted, r.Record
+	stored.accepted, stored.record = r.AcceptedBallot, r.Record
 	stored.claimedAt, stored.changedAt = min(stored.claimedAt, claimedAt), changedAt
 	if stored.retainedFrom = changedAt; math.IsInf(changedAt, -1) {
 		stored.retainedFrom = now
@@ -343,7 +343,7 @@
 
 // versioned returns the record of a key as it is sent in pages.
 func (r *replicaRecord) versioned(now float64, key Key) VersionedRecord {
-	v := VersionedRecord{Key: key, Accepted: r.accepted, Record: r.record}
+	v := VersionedRecord{Key: key, AcceptedBallot: r.accepted, Record: r.record}
 	v.AgeMs, v.UnchangedMs = r.ages(now)
 	return v
 }
--- a/internal/cluster/idempotency/antientropy.go
+++ b/internal/cluster/idempotency/antientropy.go
@@ -109,7 +109,7 @@
 	}
 	for _, r := range m.Records {
 		stored := ae.acceptor.records[r.Key]
-		if (stored == nil || stored.accepted.less(r.Accepted)) && !ae.repairing[r.Key] && ae.config.replicates(r.Key, ae.config.Self) {
+		if (stored == nil || stored.accepted.less(r.AcceptedBallot)) && !ae.repairing[r.Key] && ae.config.replicates(r.Key, ae.config.Self) {
 			scan.differing++
 			ae.repairing[r.Key] = true
 			ae.repairQueue = append(ae.repairQueue, r.Key)
--- a/internal/cluster/idempotency/catchup.go
+++ b/internal/cluster/idempotency/catchup.go
@@ -230,7 +230,7 @@
 	for ; position < len(cursor.keys) && len(r.Records) < maxPageKeys; position++ {
 		key := cursor.keys[position]
 		if stored := a.records[key]; stored != nil && now-stored.retainedFrom < comparedLifetime*a.config.RetentionMs {
-			r.Records = append(r.Records, VersionedRecord{Key: key, Accepted: stored.accepted})
+			r.Records = append(r.Records, VersionedRecord{Key: key, AcceptedBallot: stored.accepted})
 		}
 	}
 	r.Ballot.Round, r.More = uint32(position), position < len(cursor.keys)
@@ -315,10 +315,10 @@
 		if !a.config.replicates(r.Key, a.config.Self) {
 			continue
 		}
-		if stored := a.records[r.Key]; stored != nil && !stored.accepted.less(r.Accepted) {
+		if stored := a.records[r.Key]; stored != nil && !stored.accepted.less(r.AcceptedBallot) {
 			continue
 		}
 		a.setRecord(now, r, now-r.AgeMs-delayMs, now-r.UnchangedMs)
-		a.out.store(recordEntry(r.Key, r.Accepted, r.Record))
+		a.out.store(recordEntry(r.Key, r.AcceptedBallot, r.Record))
 	}
 }
--- a/internal/cluster/idempotency/codec.go
+++ b/internal/cluster/idempotency/codec.go
@@ -51,7 +51,7 @@
 // versionedRecord appends key and ballot and, if it is to be complete, the record and its ages.
 func (e *encoder) versionedRecord(r *VersionedRecord, complete bool) {
 	e.bytes(r.Key[:])
-	e.ballot(r.Accepted)
+	e.ballot(r.AcceptedBallot)
 	if complete {
 		e.record(r.Record)
 		e.f64(r.AgeMs)
@@ -116,7 +116,7 @@
 }
 
 func (d *decoder) versionedRecord(complete bool) VersionedRecord {
-	r := VersionedRecord{Key: d.key(), Accepted: d.ballot()}
+	r := VersionedRecord{Key: d.key(), AcceptedBallot: d.ballot()}
 	if complete {
 		r.Record = d.record()
 		r.AgeMs, r.UnchangedMs = d.duration(), d.duration()
--- a/internal/cluster/idempotency/core.go
+++ b/internal/cluster/idempotency/core.go
@@ -12,12 +12,12 @@
 
 // Result is the end of a claim or a settlement.
 type Result struct {
-	Number     uint64 // that it was proposed with
-	Settlement bool   // it is of a settlement, not of a claim
-	Decision   Decision
-	WaitMs     float64 // of DecisionWait: when the other claim is over at the latest
-	Receipt    []byte  // of DecisionReplay
-	DurationMs float64
+	Number       uint64 // that it was proposed with
+	IsSettlement bool   // it is of a settlement, not of a claim
+	Decision     Decision
+	WaitMs       float64 // of DecisionWait: when the other claim is over at the latest
+	Receipt      []byte  // of DecisionReplay
+	DurationMs   float64
 }
 
 // New returns a member with what its data directory holds. nil: an empty one.
@@ -144,7 +144,7 @@
 	if !ok {
 		return VersionedRecord{}, false
 	}
-	return VersionedRecord{Key: key, Accepted: r.accepted, Record: r.record}, true
+	return VersionedRecord{Key: key, AcceptedBallot: r.accepted, Record: r.record}, true
 }
 
 // FailStorage says that the storage has failed: this member stores and promises nothing more, and goes on as a proposer.
--- a/internal/cluster/idempotency/golden_test.go
+++ b/internal/cluster/idempotency/golden_test.go
@@ -27,9 +27,9 @@
 // Messages, stored entries, record marks, list hashes and the placement of copies do not change between versions: testdata/golden holds what an
 // earlier one wrote. A fleet of two versions has to read each other's messages, and a new version the data directory of the one before.
 func TestGoldenMessages(t *testing.T) {
-	listing := VersionedRecord{Key: goldenKey, Accepted: goldenAccepted}
+	listing := VersionedRecord{Key: goldenKey, AcceptedBallot: goldenAccepted}
 	page := func(r Record, born, since float64) VersionedRecord {
-		return VersionedRecord{Key: goldenKey, Accepted: goldenAccepted, Record: r, AgeMs: born, UnchangedMs: since}
+		return VersionedRecord{Key: goldenKey, AcceptedBallot: goldenAccepted, Record: r, AgeMs: born, UnchangedMs: since}
 	}
 	known := []MemberStorage{{0, 1 << 40}, {3, 99}}
 	for name, m := range map[string]Message{
@@ -68,7 +68,7 @@
 	want.KnownStorage[1], want.KnownStorage[7] = 1<<40|3, 9
 	want.BallotCeiling = 4096
 	for i, r := range goldenRecord {
-		want.Records[NewKey("w", []byte("k"), []byte{byte(i)})] = VersionedRecord{Key: NewKey("w", []byte("k"), []byte{byte(i)}), Accepted: goldenAccepted, Record: r}
+		want.Records[NewKey("w", []byte("k"), []byte{byte(i)})] = VersionedRecord{Key: NewKey("w", []byte("k"), []byte{byte(i)}), AcceptedBallot: goldenAccepted, Record: r}
 	}
 	entries := append(want.Entries(), CaughtUpEntry(1<<40|3))
 	want.CaughtUpStorage = 1<<40 | 3
--- a/internal/cluster/idempotency/message.go
+++ b/internal/cluster/idempotency/message.go
@@ -27,11 +27,11 @@
 
 // VersionedRecord is the record of a key and the ballot under which it was accepted. In MsgComparePage it has no more than these two.
 type VersionedRecord struct {
-	Key         Key
-	Accepted    Ballot
-	Record      Record
-	AgeMs       float64 // since the first claim; +Inf: not known
-	UnchangedMs float64 // since the last change; +Inf: not known
+	Key            Key
+	AcceptedBallot Ballot
+	Record         Record
+	AgeMs          float64 // since the first claim; +Inf: not known
+	UnchangedMs    float64 // since the last change; +Inf: not known
 }
 
 // MemberStorage is the latest storage incarnation that a member is known to have.
--- a/internal/cluster/idempotency/message_test.go
+++ b/internal/cluster/idempotency/message_test.go
@@ -39,7 +39,7 @@
 		m.KnownStorage = append(m.KnownStorage, MemberStorage{4, 5})
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "records") {
-		r := VersionedRecord{Key: testKey, Accepted: Ballot{8, drawClaimID(t, "listed")}}
+		r := VersionedRecord{Key: testKey, AcceptedBallot: Ballot{8, drawClaimID(t, "listed")}}
 		if m.Type == MsgCatchUpPage {
 			r.Record, r.AgeMs, r.UnchangedMs = drawRecord(t, "listed"), 1, 2
 		}
--- a/internal/cluster/idempotency/outbox.go
+++ b/internal/cluster/idempotency/outbox.go
@@ -21,5 +21,5 @@
 	number  uint64 // of the batch
 }
 
-// Empty reports whether there is nothing to sync and nothing that waits for it.
-func (r *Ready) Empty() bool { return len(r.Entries) == 0 && len(r.MessagesAfterSync) == 0 }
+// NothingToSync reports whether there is nothing to sync and nothing that waits for it.
+func (r *Ready) NothingToSync() bool { return len(r.Entries) == 0 && len(r.MessagesAfterSync) == 0 }
--- a/internal/cluster/idempotency/proposer.go
+++ b/internal/cluster/idempotency/proposer.go
@@ -65,7 +65,7 @@
 func (pr *proposer) settle(now float64, number uint64, s settlement, deadline float64) {
 	granted := pr.granted[number]
 	if granted == nil {
-		pr.results = append(pr.results, Result{Number: number, Settlement: true})
+		pr.results = append(pr.results, Result{Number: number, IsSettlement: true})
 		return
 	}
 	delete(pr.granted, number)
@@ -268,7 +268,7 @@
 			pr.counts.FailedSettlements++
 		}
 		if !p.internal {
-			pr.results = append(pr.results, Result{Number: p.number &^ settlementBit, Settlement: true, Decision: decision, DurationMs: now - p.startedAt})
+			pr.results = append(pr.results, Result{Number: p.number &^ settlementBit, IsSettlement: true, Decision: decision, DurationMs: now - p.startedAt})
 		}
 	case claimProposal:
 		pr.finishClaim(now, p, decision)
--- a/internal/cluster/idempotency/replica/cluster_test.go
+++ b/internal/cluster/idempotency/replica/cluster_test.go
@@ -110,7 +110,7 @@
 }
 
 func (c *testCluster) deliver(member int, result idempotency.Result) {
-	id := resultID{member, result.Number, result.Settlement}
+	id := resultID{member, result.Number, result.IsSettlement}
 	c.mu.Lock()
 	to := c.waiting[id]
 	delete(c.waiting, id)
--- a/internal/cluster/idempotency/replica/replica.go
+++ b/internal/cluster/idempotency/replica/replica.go
@@ -267,7 +267,7 @@
 		more = r.send(ready.Messages)
 		ready.Messages = nil
 		switch {
-		case ready.Empty():
+		case ready.NothingToSync():
 		case !r.stores() && !r.recovering():
 			r.core.Advance(ready) // it promises nothing
 		default:
--- a/internal/cluster/idempotency/simcluster/cluster.go
+++ b/internal/cluster/idempotency/simcluster/cluster.go
@@ -239,7 +239,7 @@
 	n := c.nodes[i]
 	ready := n.core.Ready()
 	c.send(i, ready.Messages)
-	if !ready.Empty() {
+	if !ready.NothingToSync() {
 		if len(n.pending) == 0 {
 			n.syncDoneAt = c.now + n.syncMs
 		}
--- a/internal/cluster/idempotency/simcluster/cluster_test.go
+++ b/internal/cluster/idempotency/simcluster/cluster_test.go
@@ -142,7 +142,7 @@
 	for _, key := range first.Keys() {
 		record, _ := first.Record(key)
 		for _, n := range c.nodes[1:] {
-			if other, ok := n.core.Record(key); !ok || other.Accepted != record.Accepted {
+			if other, ok := n.core.Record(key); !ok || other.AcceptedBallot != record.AcceptedBallot {
 				return false
 			}
 		}
--- a/internal/cluster/idempotency/simcluster/oracle.go
+++ b/internal/cluster/idempotency/simcluster/oracle.go
@@ -114,7 +114,7 @@
 		return
 	}
 	o := &c.operations[claim.operation]
-	if result.Settlement {
+	if result.IsSettlement {
 		delete(c.claims, id)
 		if result.Decision == idempotency.DecisionGranted && o.possibleReceipts[id.receipt()] {
 			c.settled(claim.operation, id.receipt())
--- a/internal/cluster/idempotency/storage/storage_test.go
+++ b/internal/cluster/idempotency/storage/storage_test.go
@@ -27,8 +27,8 @@
 	for i := range operations {
 		id := idempotency.ClaimID{Member: 1, Incarnation: 7, Number: uint64(i)}
 		state.Records[idempotency.NewKey("w", []byte("k"), fmt.Append(nil, i))] = idempotency.VersionedRecord{
-			Accepted: idempotency.Ballot{Round: 2, Claim: id},
-			Record:   idempotency.Record{State: idempotency.StateCompleted, Claim: id, HasReceipt: true, Receipt: fmt.Appendf(nil, "receipt %d", i)},
+			AcceptedBallot: idempotency.Ballot{Round: 2, Claim: id},
+			Record:         idempotency.Record{State: idempotency.StateCompleted, Claim: id, HasReceipt: true, Receipt: fmt.Appendf(nil, "receipt %d", i)},
 		}
 	}
 	state.KnownStorage[0], state.BallotCeiling = 9, 1024
--- a/internal/cluster/idempotency/storedstate.go
+++ b/internal/cluster/idempotency/storedstate.go
@@ -67,7 +67,7 @@
 	d := &decoder{b: entry}
 	switch kind := d.u8(); kind {
 	case recordEntryKind:
-		r := VersionedRecord{Key: d.key(), Accepted: d.ballot(), Record: d.record()}
+		r := VersionedRecord{Key: d.key(), AcceptedBallot: d.ballot(), Record: d.record()}
 		s.Records[r.Key] = r
 	case storageEntryKind:
 		known := MemberStorage{MemberID(d.u16()), StorageIncarnation(d.u64())}
@@ -90,7 +90,7 @@
 	entries := append(storageEntries(s.KnownStorage), ceilingEntry(s.BallotCeiling))
 	for _, key := range sortedKeys(s.Records) {
 		r := s.Records[key]
-		entries = append(entries, recordEntry(key, r.Accepted, r.Record))
+		entries = append(entries, recordEntry(key, r.AcceptedBallot, r.Record))
 	}
 	return entries
 }
--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -149,7 +149,7 @@
 func (g *claimGate) resultArrived(now float64, result *idempotency.Result) {
 	c := g.claims[result.Number]
 	switch {
-	case result.Settlement:
+	case result.IsSettlement:
 		if c != nil && c.phase == settling {
 			if result.Decision != idempotency.DecisionGranted {
 				g.counters.notReplicated++
--- a/internal/testbed/idempotencytest/member.go
+++ b/internal/testbed/idempotencytest/member.go
@@ -129,7 +129,7 @@
 }
 
 func (s *server) onResult(result idempotency.Result) {
-	id := waiterID{result.Number, result.Settlement}
+	id := waiterID{result.Number, result.IsSettlement}
 	s.mu.Lock()
 	to := s.waiters[id]
 	delete(s.waiters, id)
