--- a/internal/cluster/idempotency/acceptor.go
+++ b/internal/cluster/idempotency/acceptor.go
@@ -6,75 +6,76 @@
 	"slices"
 )
 
-// replicaRecord is what an acceptor stores of one key. Times are of this member's clock.
+// replicaRecord is an acceptor's record of one key. Times are of this member's clock.
 type replicaRecord struct {
-	accepted     Ballot
-	record       Record
-	claimedAt    float64 // the first claim; -Inf: not known any more
-	changedAt    float64 // the last change; -Inf: not known any more
-	retainedFrom float64 // from when on it is kept for RetentionMs
-	batch        uint64  // by which it is synced
+	acceptedBallot Ballot
+	record         Record
+	firstClaimedAt float64 // time of the first claim; -Inf: unknown
+	lastChangedAt  float64 // -Inf: unknown
+	retainedFrom   float64 // start of the RetentionMs for which it is kept
+	batch          uint64  // batch that syncs it
 }
 
-// ages returns how long ago the key was first claimed and its record changed.
+// ages returns the times since the key was first claimed and since its record last changed.
 func (r *replicaRecord) ages(now float64) (ageMs, unchangedMs float64) {
-	return now - r.claimedAt, now - r.changedAt
+	return now - r.firstClaimedAt, now - r.lastChangedAt
 }
 
 // ballotPromise is the promise to accept nothing below a ballot, and when it was made.
 type ballotPromise struct {
-	ballot Ballot
-	at     float64
+	ballot     Ballot
+	promisedAt float64
 }
 
 const (
-	// defaultBallotBlock is how far the ballot ceiling is raised at a time, so that not each promise has to be synced.
-	defaultBallotBlock = 1 << 10
-	// maxPromises bounds the promises that are remembered by key.
+	// defaultBallotCeilingStep is the default of Config.BallotCeilingStep. A promise needs a sync only when it raises the ceiling.
+	defaultBallotCeilingStep = 1 << 10
+	// maxPromises limits the promises that are remembered by key.
 	maxPromises = 1 << 16
-	// maxClockDrift is how far clocks may drift apart while a new storage waits until all records of the one before have expired.
-	maxClockDrift = 0.05
-	// expirySweeps is how many times in RetentionMs expired records are looked for.
-	expirySweeps = 64
+	// maxRelativeClockDrift is the clock drift, as a fraction, that is allowed for while new storage waits until all records of its previous
+	// storage have expired.
+	maxRelativeClockDrift = 0.05
+	// expirySweepsPerRetention is the number of sweeps for expired records per RetentionMs.
+	expirySweepsPerRetention = 64
 )
 
-// acceptor is a member as one that stores records and votes.
+// acceptor is the part of a member that stores records and votes.
 //
-// Promises are not stored one by one. In their place the disk has a ceiling above all rounds that were promised: an acceptor that starts again
-// rejects every ballot up to it, and so keeps each promise that it cannot remember. It accepts only the exact ballot that it remembers to have
-// promised.
+// Promises are not stored one by one. Instead the disk has a ceiling above all promised rounds. After a restart an acceptor rejects every
+// ballot up to the ceiling, and so keeps the promises that it no longer remembers. It accepts only the exact ballot that it remembers
+// having promised.
 type acceptor struct {
 	config *Config
-	out    *outbox
-	peers  []MemberID // all others that store records
+	outbox *outbox
+	peers  []MemberID // all other members that store records
 
-	records  map[Key]*replicaRecord
-	promises map[Key]ballotPromise
-	expireAt float64 // when expired records are looked for next
+	records           map[Key]*replicaRecord
+	promises          map[Key]ballotPromise
+	nextExpirySweepAt float64 // time of the next sweep
 
-	promiseFloor  uint32 // rounds up to there are rejected for every key
-	ballotCeiling uint32 // has to be synced before a promise above syncedCeiling is sent
+	promiseFloor  uint32 // rounds up to this one are rejected for every key
+	ballotCeiling uint32 // must be synced before a promise above syncedCeiling is sent
 	syncedCeiling uint32
-	batch         uint64 // that is being collected
+	batch         uint64 // number of the batch being collected
 	syncedBatch   uint64
 
-	knownStorage     map[MemberID]StorageIncarnation
-	announcements    map[MemberID]*announcement
-	acknowledgements int // of peers that know this member's storage
-	catchUps         map[MemberID]*catchUp
-	cursors          map[MemberID]*pageCursor
-	createdAt        float64 // of a storage that has not caught up
+	knownStorage      map[MemberID]StorageIncarnation
+	announcements     map[MemberID]*announcement
+	acknowledgedPeers int // number of peers that know this member's storage
+	catchUps          map[MemberID]*catchUp
+	pageCursors       map[MemberID]*pageCursor
+	startedAt         float64 // of this member; new storage waits from then on until old records have expired
 
 	caughtUp      bool // it has all records that it has to store
-	superseded    bool // another process has this number with a later storage
+	superseded    bool // another process has this member's number and later storage
 	storageFailed bool
 }
 
-// newAcceptor returns the acceptor of a member with what its data directory holds.
+// newAcceptor returns the acceptor of a member with the contents of its data directory.
 func newAcceptor(now float64, config *Config, out *outbox, stored *StoredState) *acceptor {
 	a := &acceptor{
 		config:        config,
-		out:           out,
+		outbox:        out,
 		peers:         config.peers(),
 		records:       map[Key]*replicaRecord{},
 		promises:      map[Key]ballotPromise{},
@@ -85,12 +86,14 @@
 		knownStorage:  map[MemberID]StorageIncarnation{},
 		announcements: map[MemberID]*announcement{},
 		catchUps:      map[MemberID]*catchUp{},
-		cursors:       map[MemberID]*pageCursor{},
-		createdAt:     now,
+		pageCursors:   map[MemberID]*pageCursor{},
+		startedAt:     now,
 	}
 	for key, r := range stored.Records {
-		// Its age is not known after a start; it is kept for as long as if it were new.
-		a.records[key] = &replicaRecord{accepted: r.AcceptedBallot, record: r.Record, claimedAt: math.Inf(-1), changedAt: math.Inf(-1), retainedFrom: now}
+		// Ages are unknown after a start. The record is retained as if it were new.
+		a.records[key] = &replicaRecord{
+			acceptedBallot: r.AcceptedBallot, record: r.Record, firstClaimedAt: math.Inf(-1), lastChangedAt: math.Inf(-1), retainedFrom: now,
+		}
 	}
 	for m, incarnation := range stored.KnownStorage {
 		a.knownStorage[m] = incarnation
@@ -103,12 +106,12 @@
 	return a
 }
 
-// available reports whether it may answer requests at all.
+// available reports whether this member may answer requests as an acceptor.
 func (a *acceptor) available() bool {
 	return a.config.StorageIncarnation != 0 && !a.superseded && !a.storageFailed
 }
 
-// handleRequest answers a request to this member as one that stores records.
+// handleRequest handles a request to this member as an acceptor.
 func (a *acceptor) handleRequest(now float64, m *Message) {
 	if !a.available() {
 		return
@@ -123,7 +126,7 @@
 	case MsgPrepare, MsgAccept:
 		groups := a.config.replicaGroups(m.Key)
 		if !groups.contains(a.config.Self) || !a.mayVote(groups) {
-			return // as if it were not there
+			return // like a member that is down
 		}
 		if m.Type == MsgPrepare {
 			a.handlePrepare(now, m, groups)
@@ -140,8 +143,8 @@
 	return r
 }
 
-// newVote returns an answer to MsgPrepare or MsgAccept. It says which storage of the key's replicas is known, so that the proposer can leave out votes
-// of storage that is lost.
+// newVote returns an answer to MsgPrepare or MsgAccept. It lists the known storage of the key's replicas, so that the proposer can ignore
+// votes from lost storage.
 func (a *acceptor) newVote(request *Message, kind MessageType, groups replicaGroups) *Message {
 	r := a.newReply(request, kind)
 	r.Ballot, r.KnownStorage = request.Ballot, a.knownStorageOf(groups)
@@ -151,11 +154,11 @@
 func (a *acceptor) reject(request *Message, groups replicaGroups, promised Ballot) {
 	r := a.newVote(request, MsgRejected, groups)
 	r.PromiseFloor = promised.Round
-	a.out.send(r)
+	a.outbox.send(r)
 }
 
-// promised returns the ballot below which a key's ballots are rejected.
-func (a *acceptor) promised(key Key) Ballot {
+// promisedBallot returns the ballot below which ballots for a key are rejected.
+func (a *acceptor) promisedBallot(key Key) Ballot {
 	floor := lastBallot(a.promiseFloor)
 	if p, ok := a.promises[key]; ok && floor.less(p.ballot) {
 		return p.ballot
@@ -164,7 +167,7 @@
 }
 
 func (a *acceptor) handlePrepare(now float64, m *Message, groups replicaGroups) {
-	if promised := a.promised(m.Key); m.Ballot.less(promised) {
+	if promised := a.promisedBallot(m.Key); m.Ballot.less(promised) {
 		a.reject(m, groups, promised)
 		return
 	}
@@ -175,60 +178,62 @@
 	a.addPromise(now, m.Key, m.Ballot)
 	r := a.newVote(m, MsgPromise, groups)
 	if stored != nil {
-		r.HasRecord, r.Accepted, r.Record = true, stored.accepted, stored.record
+		r.HasRecord, r.AcceptedBallot, r.Record = true, stored.acceptedBallot, stored.record
 		r.AgeMs, r.UnchangedMs = stored.ages(now)
 	}
-	a.raiseCeiling(m.Ballot.Round)
-	// A record that is not synced yet is not shown: two that show the same would be taken for a quorum that has it.
+	a.raiseBallotCeiling(m.Ballot.Round)
+	// A record is not reported before it is synced: the proposer takes the members that report the same record as a quorum that stores it.
 	if m.Ballot.Round > a.syncedCeiling || stored != nil && stored.batch > a.syncedBatch {
-		a.out.sendAfterSync(r)
+		a.outbox.sendAfterSync(r)
 	} else {
-		a.out.send(r)
+		a.outbox.send(r)
 	}
 }
 
 func (a *acceptor) handleAccept(now float64, m *Message, groups replicaGroups) {
 	stored := a.records[m.Key]
-	if stored != nil && stored.accepted == m.Ballot { // a duplicate
-		a.out.sendAfterSync(a.newVote(m, MsgAccepted, groups))
+	if stored != nil && stored.acceptedBallot == m.Ballot { // a duplicate
+		a.outbox.sendAfterSync(a.newVote(m, MsgAccepted, groups))
 		return
 	}
 	promise, ok := a.promises[m.Key]
 	if !ok || promise.ballot != m.Ballot {
-		a.reject(m, groups, a.promised(m.Key))
+		a.reject(m, groups, a.promisedBallot(m.Key))
 		return
 	}
-	// How long the message was on its way is not known, but no longer than since this ballot was promised: nothing becomes younger by being copied.
-	// That its last change may seem later than it was does no harm.
-	claimedAt, changedAt := promise.at-m.AgeMs, now-m.UnchangedMs
+	// The transit time of the message is unknown, but it is less than the time since this ballot was promised. Counting the age from the
+	// promise ensures that copying never makes a record younger. The last change may appear later than it was, which only lengthens
+	// retention and the wait of other claims.
+	claimedAt, changedAt := promise.promisedAt-m.AgeMs, now-m.UnchangedMs
 	a.setRecord(now, VersionedRecord{Key: m.Key, AcceptedBallot: m.Ballot, Record: m.Record}, claimedAt, changedAt)
-	// With the vote for this ballot goes the promise for the next one, so that the proposer of a claim can settle it in one phase.
+	// A vote for this ballot also promises the next one, so that the proposer of a claim can settle it in one phase.
 	a.addPromise(now, m.Key, m.Ballot.next())
-	a.raiseCeiling(m.Ballot.Round + 1)
-	a.out.store(recordEntry(m.Key, m.Ballot, m.Record))
-	a.out.sendAfterSync(a.newVote(m, MsgAccepted, groups))
+	a.raiseBallotCeiling(m.Ballot.Round + 1)
+	a.outbox.store(recordEntry(m.Key, m.Ballot, m.Record))
+	a.outbox.sendAfterSync(a.newVote(m, MsgAccepted, groups))
 }
 
-// setRecord takes in an accepted record. Whatever was known of its age before counts too: a record never becomes younger.
+// setRecord stores an accepted record. The earliest known time of the first claim is kept, so that a record never becomes younger.
 func (a *acceptor) setRecord(now float64, r VersionedRecord, claimedAt, changedAt float64) {
 	stored := a.records[r.Key]
 	if stored == nil {
-		stored = &replicaRecord{claimedAt: claimedAt}
+		stored = &replicaRecord{firstClaimedAt: claimedAt}
 		a.records[r.Key] = stored
 	}
-	stored.accepted, stored.record = r.AcceptedBallot, r.Record
-	stored.claimedAt, stored.changedAt = min(stored.claimedAt, claimedAt), changedAt
+	stored.acceptedBallot, stored.record = r.AcceptedBallot, r.Record
+	stored.firstClaimedAt, stored.lastChangedAt = min(stored.firstClaimedAt, claimedAt), changedAt
 	if stored.retainedFrom = changedAt; math.IsInf(changedAt, -1) {
 		stored.retainedFrom = now
 	}
 	stored.batch = a.batch
 }
 
-// addPromise remembers a promise. Beyond maxPromises all that are remembered become one for every key, by the promise floor.
+// addPromise remembers a promise. When there are maxPromises, it raises the promise floor above them, which covers every key, and forgets
+// them.
 func (a *acceptor) addPromise(now float64, key Key, b Ballot) {
 	if len(a.promises) >= maxPromises {
 		for _, p := range a.promises {
-			a.promiseFloor = max(a.promiseFloor, p.ballot.Round) // which the ceiling on the disk is never below
+			a.promiseFloor = max(a.promiseFloor, p.ballot.Round) // the ballot ceiling is never below these rounds
 		}
 		clear(a.promises)
 		if b.Round <= a.promiseFloor {
@@ -238,40 +243,43 @@
 	a.promises[key] = ballotPromise{b, now}
 }
 
-// raiseCeiling raises the ballot ceiling above a round. No promise above the synced ceiling may be sent before the new one is synced.
-func (a *acceptor) raiseCeiling(round uint32) {
+// raiseBallotCeiling raises the ballot ceiling above a round. A promise above the synced ceiling may be sent only after the new ceiling is
+// synced.
+func (a *acceptor) raiseBallotCeiling(round uint32) {
 	if round > a.ballotCeiling {
-		a.ballotCeiling = round + cmp.Or(a.config.BallotCeilingStep, defaultBallotBlock)
-		a.out.store(ceilingEntry(a.ballotCeiling))
+		a.ballotCeiling = round + cmp.Or(a.config.BallotCeilingStep, defaultBallotCeilingStep)
+		a.outbox.store(ceilingEntry(a.ballotCeiling))
 	}
 }
 
-// raiseFloor makes a promise of a round for every key.
-func (a *acceptor) raiseFloor(round uint32) {
+// raisePromiseFloor promises to reject all rounds up to this one for every key.
+func (a *acceptor) raisePromiseFloor(round uint32) {
 	a.promiseFloor = max(a.promiseFloor, round)
-	a.raiseCeiling(a.promiseFloor)
+	a.raiseBallotCeiling(a.promiseFloor)
 }
 
 // mayVote reports whether this member may vote on a key with these replicas.
 //
-// A member with new storage has to have caught up with so many of each group that nothing that its storage before took part in can be unknown to
-// it: all but as many as a quorum can do without, which of three is both others. And so many of each group have to know its storage that a member
-// with the same number and newer storage meets one that does, and takes a later incarnation: incarnations come from clocks, which may be behind,
-// and a vote of the storage before would count as one of the later storage.
+// A member with new storage must first catch up with enough members of each group that every quorum in which its previous storage voted
+// includes one of them. Of three replicas these are both others.
+//
+// In addition, enough members of each group must know its storage incarnation that any newer storage with the same member number meets one
+// of them while it catches up. Incarnations come from clocks, which may be behind, and the newer storage then takes a later incarnation.
+// Otherwise votes from this storage would count as votes from the newer one.
 func (a *acceptor) mayVote(groups replicaGroups) bool {
 	for _, g := range groups {
 		if !slices.Contains(g, a.config.Self) {
 			continue
 		}
-		if !a.isKnownTo(g) || !a.hasCaughtUpWith(g) {
+		if !a.isStorageKnownTo(g) || !a.hasCaughtUpWith(g) {
 			return false
 		}
 	}
 	return true
 }
 
-// isKnownTo reports whether enough of a group know this member's storage.
-func (a *acceptor) isKnownTo(g replicaGroup) bool {
+// isStorageKnownTo reports whether enough members of a group know this member's storage.
+func (a *acceptor) isStorageKnownTo(g replicaGroup) bool {
 	known := 0
 	for _, m := range g {
 		if announced := a.announcements[m]; announced != nil && announced.acknowledged {
@@ -281,8 +289,8 @@
 	return known >= g.quorum()-1
 }
 
-// hasCaughtUpWith reports whether this member has caught up with enough of a group. Alone in a group it has to wait until all records of its storage
-// before have expired.
+// hasCaughtUpWith reports whether this member has caught up with enough members of a group. If it is the only member, it has to wait until
+// all records of its previous storage have expired.
 func (a *acceptor) hasCaughtUpWith(g replicaGroup) bool {
 	if a.caughtUp {
 		return true
@@ -299,7 +307,7 @@
 	return done >= len(g)-g.quorum()+1
 }
 
-// tick does what is due at a time.
+// tick does the work that is due.
 func (a *acceptor) tick(now float64) {
 	if !a.available() {
 		return
@@ -309,13 +317,13 @@
 	} else {
 		a.tickCatchUp(now)
 	}
-	if now >= a.expireAt {
-		a.expireAt = now + a.config.RetentionMs/expirySweeps
+	if now >= a.nextExpirySweepAt {
+		a.nextExpirySweepAt = now + a.config.RetentionMs/expirySweepsPerRetention
 		a.expireRecords(now)
 	}
 }
 
-// expireRecords forgets records after their time. What was promised for their keys is from then on promised for every key.
+// expireRecords removes expired records and their promises. It raises the promise floor instead, which covers every key.
 func (a *acceptor) expireRecords(now float64) {
 	floor := a.promiseFloor
 	for key, r := range a.records {
@@ -326,13 +334,13 @@
 			floor = max(floor, p.ballot.Round)
 			delete(a.promises, key)
 		}
-		floor = max(floor, r.accepted.Round)
+		floor = max(floor, r.acceptedBallot.Round)
 		delete(a.records, key)
 	}
-	a.raiseFloor(floor)
+	a.raisePromiseFloor(floor)
 }
 
-// fileHeader returns the entries which each file of the data directory begins with.
+// fileHeader returns the entries at the beginning of each file of the data directory.
 func (a *acceptor) fileHeader() [][]byte {
 	header := append(storageEntries(a.knownStorage), ceilingEntry(a.ballotCeiling))
 	if a.caughtUp {
@@ -341,9 +349,9 @@
 	return header
 }
 
-// versioned returns the record of a key as it is sent in pages.
-func (r *replicaRecord) versioned(now float64, key Key) VersionedRecord {
-	v := VersionedRecord{Key: key, AcceptedBallot: r.accepted, Record: r.record}
+// toVersionedRecord returns the record in the form in which pages contain it.
+func (r *replicaRecord) toVersionedRecord(now float64, key Key) VersionedRecord {
+	v := VersionedRecord{Key: key, AcceptedBallot: r.acceptedBallot, Record: r.record}
 	v.AgeMs, v.UnchangedMs = r.ages(now)
 	return v
 }
--- a/internal/cluster/idempotency/acceptor_test.go
+++ b/internal/cluster/idempotency/acceptor_test.go
@@ -26,7 +26,7 @@
 	c := New(0, config, stored)
 	if stored.CaughtUpStorage == testStorage {
 		for _, m := range []MemberID{0, 1, 2} {
-			c.acceptor.acknowledge(m)
+			c.acceptor.recordAcknowledgement(m)
 		}
 	}
 	return c
@@ -44,7 +44,7 @@
 
 // deliver has a member take in a message about the test's key, and returns what it wants done.
 func deliver(c *Core, now float64, m Message) Ready {
-	m.To, m.ReplicaSets, m.Key = c.config.Self, c.config.replicaSetHashes, testKey
+	m.To, m.ReplicaSetHashes, m.Key = c.config.Self, c.config.replicaSetHashes, testKey
 	c.Receive(now, &m)
 	return c.Ready()
 }
@@ -86,7 +86,7 @@
 	}
 	c = newTestCore(0, stored, nil)
 	r := deliver(c, 4, prepare(2, 4))
-	if len(r.Messages) != 1 || r.Messages[0].Type != MsgRejected || r.Messages[0].PromiseFloor != 3+defaultBallotBlock {
+	if len(r.Messages) != 1 || r.Messages[0].Type != MsgRejected || r.Messages[0].PromiseFloor != 3+defaultBallotCeilingStep {
 		t.Fatalf("a late ballot after a restart: %+v", r.Messages)
 	}
 }
--- a/internal/cluster/idempotency/antientropy.go
+++ b/internal/cluster/idempotency/antientropy.go
@@ -2,47 +2,49 @@
 
 import "slices"
 
-// comparePatience is the backoff of a compare request, in multiples of RetryIntervalMs, after which a peer is taken not to be there.
-const comparePatience = 8
+// unresponsiveBackoffFactor is the backoff of a compare request, in multiples of RetryIntervalMs, at which a peer is considered unresponsive.
+const unresponsiveBackoffFactor = 8
 
-// Pacing of repairs: what was not used of the rate within repairBurstMs is lost, but for repairHeadStartMs.
+// Pacing of repairs: the unused part of the rate accumulates for repairIdleResetMs at most, and is then cut to that of
+// repairBurstAfterIdleMs.
 const (
-	repairBurstMs     = 1000
-	repairHeadStartMs = 10
+	repairIdleResetMs      = 1000
+	repairBurstAfterIdleMs = 10
 )
 
-// antiEntropy compares this member's records with those of its peers, one after another, and repairs those that it lacks or has older.
+// antiEntropy compares this member's records with those of its peers, one peer after another, and repairs records that are missing or out
+// of date here.
 type antiEntropy struct {
 	config   *Config
-	out      *outbox
+	outbox   *outbox
 	acceptor *acceptor
 	proposer *proposer
 
-	scan             antiEntropyScan
-	consistentSince  float64    // since when scans have found nothing to repair; 0: the last one did, or none has ended
-	lastUnresponsive []MemberID // peers that did not answer in the last scan
+	scan                  antiEntropyScan
+	consistentSince       float64    // start of the first scan since which no repair was needed; 0: the last scan needed some, or none has ended
+	lastUnresponsivePeers []MemberID // peers that did not answer in the last scan
 
-	repairQueue []Key
-	repairing   map[Key]bool // keys in the queue or with a repair under way
-	repairAt    float64      // when the rate allows the next repair
-	lastRepair  uint64       // its number
+	repairQueue      []Key
+	repairing        map[Key]bool // keys in the queue or with a repair in progress
+	nextRepairAt     float64      // when the rate allows the next repair
+	lastRepairNumber uint64       // number of the last repair
 }
 
 // antiEntropyScan is one pass over all peers.
 type antiEntropyScan struct {
-	number       uint64 // by which late answers to an earlier scan are recognized
-	startedAt    float64
-	finished     bool
-	peerIndex    int
-	position     uint64
-	requestAt    float64
-	backoffMs    float64 // 0: no request is waiting for its answer
-	differing    int     // records that were found to need a repair
-	unresponsive []MemberID
+	number            uint64 // distinguishes late answers to an earlier scan
+	startedAt         float64
+	finished          bool
+	peerIndex         int
+	position          uint64
+	nextRequestAt     float64
+	backoffMs         float64 // 0: no request is pending
+	recordsToRepair   int     // found in this scan
+	unresponsivePeers []MemberID
 }
 
 func newAntiEntropy(config *Config, out *outbox, a *acceptor) *antiEntropy {
-	return &antiEntropy{config: config, out: out, acceptor: a, repairing: map[Key]bool{}, lastRepair: firstInternalNumber}
+	return &antiEntropy{config: config, outbox: out, acceptor: a, repairing: map[Key]bool{}, lastRepairNumber: repairNumberBase}
 }
 
 // tick starts repairs that are due, and sends the next request of a scan.
@@ -53,64 +55,64 @@
 	}
 	ae.startRepairs(now)
 	scan := &ae.scan
-	if now < scan.requestAt || len(ae.repairQueue) > maxPageKeys {
+	if now < scan.nextRequestAt || len(ae.repairQueue) > maxPageKeys {
 		return
 	}
 	if scan.finished || scan.startedAt == 0 {
 		*scan = antiEntropyScan{number: scan.number + 1, startedAt: now}
 	}
-	if scan.backoffMs >= comparePatience*ae.config.RetryIntervalMs {
-		scan.unresponsive = append(scan.unresponsive, peers[scan.peerIndex])
+	if scan.backoffMs >= unresponsiveBackoffFactor*ae.config.RetryIntervalMs {
+		scan.unresponsivePeers = append(scan.unresponsivePeers, peers[scan.peerIndex])
 		ae.nextPeer(now)
 		return
 	}
 	scan.backoffMs = max(2*scan.backoffMs, ae.config.RetryIntervalMs)
-	scan.requestAt = now + scan.backoffMs
+	scan.nextRequestAt = now + scan.backoffMs
 	request := ae.config.newMessage(MsgCompare, peers[scan.peerIndex])
 	request.Number, request.Ballot.Claim.Number = scan.position, scan.number
-	ae.out.send(request)
+	ae.outbox.send(request)
 }
 
-// nextPeer goes on with the next peer, and ends the scan behind the last.
+// nextPeer continues the scan with the next peer, or ends it after the last one.
 func (ae *antiEntropy) nextPeer(now float64) {
 	scan := &ae.scan
-	scan.backoffMs, scan.position, scan.requestAt = 0, 0, now
+	scan.backoffMs, scan.position, scan.nextRequestAt = 0, 0, now
 	scan.peerIndex++
 	if scan.peerIndex < len(ae.acceptor.peers) {
 		return
 	}
-	scan.finished, scan.requestAt = true, max(now, scan.startedAt+ae.config.AntiEntropyIntervalMs)
-	ae.lastUnresponsive = scan.unresponsive
+	scan.finished, scan.nextRequestAt = true, max(now, scan.startedAt+ae.config.AntiEntropyIntervalMs)
+	ae.lastUnresponsivePeers = scan.unresponsivePeers
 	switch {
-	case scan.differing > 0 || len(ae.repairing) > 0:
+	case scan.recordsToRepair > 0 || len(ae.repairing) > 0:
 		ae.consistentSince = 0
 	case ae.consistentSince == 0:
 		ae.consistentSince = scan.startedAt
 	}
 }
 
-// expects reports whether a page answers the last request of the current scan.
-func (ae *antiEntropy) expects(m *Message) bool {
+// expectsPage reports whether a page answers the last request of the current scan.
+func (ae *antiEntropy) expectsPage(m *Message) bool {
 	scan := &ae.scan
 	return !scan.finished && scan.backoffMs > 0 && ae.acceptor.peers[scan.peerIndex] == m.From && m.Ballot.Claim.Number == scan.number &&
 		(m.Restart || m.Number == scan.position)
 }
 
-// handleComparePage takes in which records a peer has, and queues repairs of those that this member lacks or has older.
+// handleComparePage queues repairs of the records on a peer's page that are missing or out of date here.
 func (ae *antiEntropy) handleComparePage(now float64, m *Message) {
-	if !ae.expects(m) {
+	if !ae.expectsPage(m) {
 		return
 	}
 	scan := &ae.scan
-	scan.backoffMs, scan.requestAt = 0, now
+	scan.backoffMs, scan.nextRequestAt = 0, now
 	if m.Restart {
 		scan.position = 0
 		return
 	}
 	for _, r := range m.Records {
 		stored := ae.acceptor.records[r.Key]
-		if (stored == nil || stored.accepted.less(r.AcceptedBallot)) && !ae.repairing[r.Key] && ae.config.replicates(r.Key, ae.config.Self) {
-			scan.differing++
+		if (stored == nil || stored.acceptedBallot.less(r.AcceptedBallot)) && !ae.repairing[r.Key] && ae.config.replicates(r.Key, ae.config.Self) {
+			scan.recordsToRepair++
 			ae.repairing[r.Key] = true
 			ae.repairQueue = append(ae.repairQueue, r.Key)
 		}
@@ -123,20 +125,20 @@
 
 // startRepairs starts as many repairs as the rate allows.
 func (ae *antiEntropy) startRepairs(now float64) {
-	if ae.repairAt < now-repairBurstMs {
-		ae.repairAt = now - repairHeadStartMs
+	if ae.nextRepairAt < now-repairIdleResetMs {
+		ae.nextRepairAt = now - repairBurstAfterIdleMs
 	}
-	for len(ae.repairQueue) > 0 && ae.repairAt < now {
+	for len(ae.repairQueue) > 0 && ae.nextRepairAt < now {
 		key := ae.repairQueue[0]
 		ae.repairQueue = ae.repairQueue[1:]
-		ae.repairAt += 1000 / max(ae.config.RepairsPerSecond, 1)
-		ae.lastRepair++
-		ae.proposer.repair(now, ae.lastRepair, key)
+		ae.nextRepairAt += 1000 / max(ae.config.RepairsPerSecond, 1)
+		ae.lastRepairNumber++
+		ae.proposer.repair(now, ae.lastRepairNumber, key)
 	}
 }
 
-// repaired is called at the end of each repair, also of one that failed.
-func (ae *antiEntropy) repaired(key Key) { delete(ae.repairing, key) }
+// repairFinished is called at the end of each repair, even if it failed.
+func (ae *antiEntropy) repairFinished(key Key) { delete(ae.repairing, key) }
 
 // unresponsivePeers returns the peers that did not answer in the last scan.
-func (ae *antiEntropy) unresponsivePeers() []MemberID { return slices.Clone(ae.lastUnresponsive) }
+func (ae *antiEntropy) unresponsivePeers() []MemberID { return slices.Clone(ae.lastUnresponsivePeers) }
--- a/internal/cluster/idempotency/ballot.go
+++ b/internal/cluster/idempotency/ballot.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// Ballot orders the proposals for one key. No two proposals have the same ballot: a claim raises its round for each and never lowers it.
+// Ballot orders the proposals for one key. Ballots are unique: each contains its claim, and a claim uses a higher round for each proposal.
 type Ballot struct {
 	Round uint32
 	Claim ClaimID
@@ -21,10 +21,10 @@
 	return b.Claim.Number < other.Claim.Number
 }
 
-// next is the least later ballot of the same claim.
+// next returns the ballot of the same claim in the next round.
 func (b Ballot) next() Ballot { return Ballot{b.Round + 1, b.Claim} }
 
-// lastBallot is the greatest ballot of a round.
+// lastBallot returns the greatest ballot of a round.
 func lastBallot(round uint32) Ballot {
 	return Ballot{Round: round, Claim: ClaimID{Member: math.MaxUint16, Incarnation: math.MaxUint64, Number: math.MaxUint64}}
 }
--- a/internal/cluster/idempotency/catchup.go
+++ b/internal/cluster/idempotency/catchup.go
@@ -3,42 +3,43 @@
 import "slices"
 
 const (
-	// maxPageBytes is when a catch-up page is full.
+	// maxPageBytes is the size at which a catch-up page is full.
 	maxPageBytes = 24 << 10
 	// pageRecordBytes is the size of a record in a catch-up page, without its receipt.
 	pageRecordBytes = 96
-	// maxPageKeys is how many keys a compare page has at most.
+	// maxPageKeys limits the keys in a compare page.
 	maxPageKeys = 400
-	// maxKnownStorage is how many storage incarnations fit into a message.
+	// maxKnownStorage limits the storage incarnations in a message, whose count is one byte.
 	maxKnownStorage = 255
-	// comparedLifetime is the part of its retention during which a record is compared. One that expires soon would be copied back and forth.
-	comparedLifetime = 0.9
+	// comparedRetentionFraction is the part of its retention during which a record is compared. A record that expires soon would be copied
+	// back and forth between replicas.
+	comparedRetentionFraction = 0.9
 )
 
-// announcement is how far a peer is with knowing this member's storage incarnation.
+// announcement is the state of announcing this member's storage incarnation to a peer.
 type announcement struct {
 	acknowledged bool
 	retryAt      float64
 	backoffMs    float64
 }
 
-// catchUp is how far this member, with new storage, is with reading what a peer has.
+// catchUp is the progress of reading a peer's records into this member's new storage.
 type catchUp struct {
 	position    uint64
 	done        bool
-	requestedAt float64 // when this page was requested first; 0: not yet
+	requestedAt float64 // first request for the current page; 0: not requested yet
 	retryAt     float64
 	backoffMs   float64
 }
 
-// pageCursor holds the keys that a peer reads page by page: those that both replicate, as they were when it began.
+// pageCursor holds the keys that a peer reads page by page: those that both members replicate, as of the request for the first page.
 type pageCursor struct {
-	storage StorageIncarnation
-	request MessageType
-	keys    []Key
+	peerStorage StorageIncarnation
+	requestType MessageType
+	keys        []Key
 }
 
-// knownStorageOf returns the latest storage that is known of a key's replicas.
+// knownStorageOf returns the latest known storage of a key's replicas.
 func (a *acceptor) knownStorageOf(groups replicaGroups) []MemberStorage {
 	known := make([]MemberStorage, 0, maxReplicaSets*a.config.ReplicationFactor)
 	for _, m := range groups.members() {
@@ -49,25 +50,25 @@
 	return known
 }
 
-// learnStorage takes in that a member has storage of an incarnation; the latest counts.
-func (a *acceptor) learnStorage(known MemberStorage) {
+// updateKnownStorage records the storage incarnation of a member if it is later than the known one.
+func (a *acceptor) updateKnownStorage(known MemberStorage) {
 	if known.Incarnation <= a.knownStorage[known.Member] {
 		return
 	}
 	a.knownStorage[known.Member] = known.Incarnation
 	a.detectNewerStorage(known)
-	a.out.store(storageEntry(known))
+	a.outbox.store(storageEntry(known))
 }
 
-// detectNewerStorage notices that another process has this member's number, with storage of its own.
+// detectNewerStorage marks this member as superseded if another process has its number and later storage.
 func (a *acceptor) detectNewerStorage(known MemberStorage) {
 	if own := a.config.StorageIncarnation; own != 0 && known.Member == a.config.Self && known.Incarnation > own {
 		a.superseded = true
 	}
 }
 
-// newerStorage returns the known storage of the sender if it is later than the one that the message comes from: the sender's clock is behind that of
-// the storage before it, or the message comes from that storage.
+// newerStorage returns the known storage of the sender if it is later than the storage that the message comes from. Then either the message
+// comes from the sender's previous storage, or the sender created its storage while its clock was behind.
 func (a *acceptor) newerStorage(m *Message) []MemberStorage {
 	if known := a.knownStorage[m.From]; m.StorageIncarnation < known {
 		return []MemberStorage{{m.From, known}}
@@ -75,32 +76,32 @@
 	return nil
 }
 
-// handleAnnounce acknowledges the storage of a peer once it is on the disk, or answers with a later one that is known.
+// handleAnnounce acknowledges the storage of a peer once its incarnation is synced, or answers with a later incarnation if one is known.
 func (a *acceptor) handleAnnounce(m *Message) {
 	r := a.newReply(m, MsgAnnounceAck)
 	r.Ballot.Claim.Incarnation = m.StorageIncarnation
 	if r.KnownStorage = a.newerStorage(m); r.KnownStorage == nil {
-		a.learnStorage(MemberStorage{m.From, m.StorageIncarnation})
+		a.updateKnownStorage(MemberStorage{m.From, m.StorageIncarnation})
 	}
-	a.out.sendAfterSync(r)
+	a.outbox.sendAfterSync(r)
 }
 
-// handleAnnounceAck takes in that a peer knows this member's storage, or which later one it knows.
+// handleAnnounceAck handles the answer of a peer that knows this member's storage, or later storage with the same member number.
 func (a *acceptor) handleAnnounceAck(m *Message) {
 	for _, known := range m.KnownStorage {
-		a.learnStorage(known)
+		a.updateKnownStorage(known)
 	}
 	if m.Ballot.Claim.Incarnation == a.config.StorageIncarnation && len(m.KnownStorage) == 0 {
-		a.acknowledge(m.From)
+		a.recordAcknowledgement(m.From)
 	}
 }
 
-// acknowledge notes that a peer knows this member's storage.
-func (a *acceptor) acknowledge(m MemberID) {
+// recordAcknowledgement records that a peer knows this member's storage.
+func (a *acceptor) recordAcknowledgement(m MemberID) {
 	announced := a.announcementTo(m)
 	if !announced.acknowledged {
 		announced.acknowledged = true
-		a.acknowledgements++
+		a.acknowledgedPeers++
 	}
 }
 
@@ -113,9 +114,9 @@
 	return announced
 }
 
-// sendAnnouncements announces this member's storage to each peer until it has acknowledged it.
+// sendAnnouncements announces this member's storage to the peers that have not acknowledged it.
 func (a *acceptor) sendAnnouncements(now float64) {
-	if a.acknowledgements >= len(a.peers) {
+	if a.acknowledgedPeers >= len(a.peers) {
 		return
 	}
 	for _, m := range a.peers {
@@ -125,13 +126,13 @@
 		}
 		announced.backoffMs = a.config.nextBackoff(announced.backoffMs)
 		announced.retryAt = now + announced.backoffMs
-		a.out.send(a.config.newMessage(MsgAnnounce, m))
+		a.outbox.send(a.config.newMessage(MsgAnnounce, m))
 	}
 }
 
-// tickCatchUp requests the next page of each peer. When all records of the storage before must have expired there is nothing left to catch up with.
+// tickCatchUp requests the next page from each peer. It ends the catch-up when all records of the previous storage must have expired.
 func (a *acceptor) tickCatchUp(now float64) {
-	if now-a.createdAt > a.config.RetentionMs*(1+maxClockDrift) {
+	if now-a.startedAt > a.config.RetentionMs*(1+maxRelativeClockDrift) {
 		a.finishCatchUp()
 		return
 	}
@@ -151,25 +152,25 @@
 		c.retryAt = now + c.backoffMs
 		request := a.config.newMessage(MsgCatchUp, m)
 		request.Number = c.position
-		a.out.send(request)
+		a.outbox.send(request)
 	}
 }
 
 func (a *acceptor) finishCatchUp() {
 	a.caughtUp = true
-	a.out.store(CaughtUpEntry(a.config.StorageIncarnation))
+	a.outbox.store(CaughtUpEntry(a.config.StorageIncarnation))
 }
 
-// handleCatchUp answers a peer with new storage. From here on this member counts no vote of an earlier storage of that peer, and says so in each of
-// its own votes; only then does the peer get the records that it has to store.
+// handleCatchUp answers a peer with new storage. It first records the peer's storage incarnation. All later votes of this member list it,
+// so that votes from the peer's earlier storage no longer count. Only then does the peer get the records that it has to store.
 func (a *acceptor) handleCatchUp(now float64, m *Message) {
 	if newer := a.newerStorage(m); newer != nil {
 		r := a.newReply(m, MsgCatchUpPage)
 		r.Restart, r.KnownStorage = true, newer
-		a.out.sendAfterSync(r)
+		a.outbox.sendAfterSync(r)
 		return
 	}
-	a.learnStorage(MemberStorage{m.From, m.StorageIncarnation})
+	a.updateKnownStorage(MemberStorage{m.From, m.StorageIncarnation})
 	if !a.caughtUp {
 		return
 	}
@@ -177,19 +178,20 @@
 	cursor := a.cursorFor(m)
 	if cursor == nil {
 		r.Restart = true
-		a.out.sendAfterSync(r)
+		a.outbox.sendAfterSync(r)
 		return
 	}
 	r.PromiseFloor = a.ballotCeiling
 	r.KnownStorage = a.allKnownStorage()
-	end := a.appendPage(now, r, cursor)
-	// The position of the next page, and the storage that the page is for: one that comes late to a later storage would be taken for all there is.
+	end := a.appendPageRecords(now, r, cursor)
+	// The ballot has the position of the next page and the storage that the page is for. Without the latter, a late page for the peer's
+	// earlier storage could end the catch-up of its current storage too early.
 	r.Ballot = Ballot{uint32(end), ClaimID{Incarnation: m.StorageIncarnation}}
 	r.More = end < len(cursor.keys)
-	a.out.sendAfterSync(r)
+	a.outbox.sendAfterSync(r)
 }
 
-// allKnownStorage returns what this member knows of all members' storage: one with new storage has to know it too.
+// allKnownStorage returns the known storage of all members, which a member with new storage has to know too.
 func (a *acceptor) allKnownStorage() []MemberStorage {
 	members := sortedMembers(a.knownStorage)
 	members = members[:min(len(members), maxKnownStorage)]
@@ -200,20 +202,20 @@
 	return known
 }
 
-// appendPage fills a catch-up page with the records from the page's position on, and returns the position behind them.
-func (a *acceptor) appendPage(now float64, page *Message, cursor *pageCursor) int {
+// appendPageRecords fills a catch-up page with the records from its position on, and returns the position of the next page.
+func (a *acceptor) appendPageRecords(now float64, page *Message, cursor *pageCursor) int {
 	position, size := int(page.Number), 0
 	for ; position < len(cursor.keys) && size < maxPageBytes; position++ {
 		key := cursor.keys[position]
 		if r := a.records[key]; r != nil {
-			page.Records = append(page.Records, r.versioned(now, key))
+			page.Records = append(page.Records, r.toVersionedRecord(now, key))
 			size += pageRecordBytes + len(r.record.Receipt)
 		}
 	}
 	return position
 }
 
-// handleCompare answers with the keys and ballots of the records that this member has and the sender has to store as well.
+// handleCompare answers with the keys and ballots of the records that this member stores and the sender also has to store.
 func (a *acceptor) handleCompare(now float64, m *Message) {
 	if !a.caughtUp || a.newerStorage(m) != nil {
 		return
@@ -223,30 +225,30 @@
 	cursor := a.cursorFor(m)
 	if cursor == nil {
 		r.Restart = true
-		a.out.send(r)
+		a.outbox.send(r)
 		return
 	}
 	position := int(m.Number)
 	for ; position < len(cursor.keys) && len(r.Records) < maxPageKeys; position++ {
 		key := cursor.keys[position]
-		if stored := a.records[key]; stored != nil && now-stored.retainedFrom < comparedLifetime*a.config.RetentionMs {
-			r.Records = append(r.Records, VersionedRecord{Key: key, AcceptedBallot: stored.accepted})
+		if stored := a.records[key]; stored != nil && now-stored.retainedFrom < comparedRetentionFraction*a.config.RetentionMs {
+			r.Records = append(r.Records, VersionedRecord{Key: key, AcceptedBallot: stored.acceptedBallot})
 		}
 	}
 	r.Ballot.Round, r.More = uint32(position), position < len(cursor.keys)
-	a.out.send(r)
+	a.outbox.send(r)
 }
 
-// cursorFor returns the cursor of a request for a page, and a new one for the first page. nil: the request is for a later page of a cursor that is
-// not there.
+// cursorFor returns the cursor for a page request, and creates one for the first page. It returns nil if the request is for a later page of
+// a cursor that does not exist.
 func (a *acceptor) cursorFor(m *Message) *pageCursor {
-	cursor := a.cursors[m.From]
+	cursor := a.pageCursors[m.From]
 	if m.Number == 0 {
-		cursor = &pageCursor{storage: m.StorageIncarnation, request: m.Type, keys: a.sharedKeys(m.From)}
-		a.cursors[m.From] = cursor
+		cursor = &pageCursor{peerStorage: m.StorageIncarnation, requestType: m.Type, keys: a.sharedKeys(m.From)}
+		a.pageCursors[m.From] = cursor
 		return cursor
 	}
-	if cursor == nil || cursor.storage != m.StorageIncarnation || cursor.request != m.Type || m.Number > uint64(len(cursor.keys)) {
+	if cursor == nil || cursor.peerStorage != m.StorageIncarnation || cursor.requestType != m.Type || m.Number > uint64(len(cursor.keys)) {
 		return nil
 	}
 	return cursor
@@ -264,15 +266,15 @@
 	return keys
 }
 
-// handleCatchUpPage takes in records that this member has to store. It votes on nothing before it has all of them, so that it may take them in as if
-// it had accepted them then.
+// handleCatchUpPage stores the records of a page from a peer. This member does not vote before it has all records, so it may store them as
+// if it had accepted them itself.
 func (a *acceptor) handleCatchUpPage(now float64, m *Message) {
 	c := a.catchUps[m.From]
 	if a.caughtUp || c == nil || c.done {
 		return
 	}
 	for _, known := range m.KnownStorage {
-		a.learnStorage(known)
+		a.updateKnownStorage(known)
 	}
 	if m.Restart {
 		c.position, c.retryAt, c.requestedAt = 0, now, 0
@@ -281,8 +283,8 @@
 	if m.Number != c.position || m.Ballot.Claim.Incarnation != a.config.StorageIncarnation {
 		return
 	}
-	a.takeOver(now, m.Records, now-c.requestedAt)
-	a.acknowledge(m.From) // the page is for this storage
+	a.storeNewerRecords(now, m.Records, now-c.requestedAt)
+	a.recordAcknowledgement(m.From) // a page for this storage shows that the peer knows it
 	c.position = uint64(m.Ballot.Round)
 	c.backoffMs, c.requestedAt = 0, 0
 	c.retryAt = now
@@ -293,8 +295,9 @@
 		return
 	}
 	c.done = true
-	// Whatever the storage before had promised, to anybody who got a quorum by it, is no higher than what one of these had promised with it.
-	a.raiseFloor(m.PromiseFloor)
+	// If a promise of the previous storage was part of a quorum, then one of the peers that this member catches up with made the same
+	// promise. It is not above that peer's ballot ceiling.
+	a.raisePromiseFloor(m.PromiseFloor)
 	if a.hasCaughtUpWithAll() {
 		a.finishCatchUp()
 	}
@@ -309,16 +312,16 @@
 	return true
 }
 
-// takeOver stores the records of a page that was no longer than delayMs on its way, if they are later than what is stored.
-func (a *acceptor) takeOver(now float64, records []VersionedRecord, delayMs float64) {
+// storeNewerRecords stores the records of a page that are newer than those stored here. The page took delayMs at most to arrive.
+func (a *acceptor) storeNewerRecords(now float64, records []VersionedRecord, delayMs float64) {
 	for _, r := range records {
 		if !a.config.replicates(r.Key, a.config.Self) {
 			continue
 		}
-		if stored := a.records[r.Key]; stored != nil && !stored.accepted.less(r.AcceptedBallot) {
+		if stored := a.records[r.Key]; stored != nil && !stored.acceptedBallot.less(r.AcceptedBallot) {
 			continue
 		}
 		a.setRecord(now, r, now-r.AgeMs-delayMs, now-r.UnchangedMs)
-		a.out.store(recordEntry(r.Key, r.AcceptedBallot, r.Record))
+		a.outbox.store(recordEntry(r.Key, r.AcceptedBallot, r.Record))
 	}
 }
--- a/internal/cluster/idempotency/codec.go
+++ b/internal/cluster/idempotency/codec.go
@@ -48,18 +48,18 @@
 	e.bytes(r.Receipt)
 }
 
-// versionedRecord appends key and ballot and, if it is to be complete, the record and its ages.
-func (e *encoder) versionedRecord(r *VersionedRecord, complete bool) {
+// versionedRecord appends key and ballot and, with withRecord, the record and its ages.
+func (e *encoder) versionedRecord(r *VersionedRecord, withRecord bool) {
 	e.bytes(r.Key[:])
 	e.ballot(r.AcceptedBallot)
-	if complete {
+	if withRecord {
 		e.record(r.Record)
 		e.f64(r.AgeMs)
 		e.f64(r.UnchangedMs)
 	}
 }
 
-// decoder reads values in big endian. After the first that is missing or not valid all others are zero and malformed is set.
+// decoder reads values in big endian. A missing or invalid value sets malformed. After a missing value all others are zero.
 type decoder struct {
 	b         []byte
 	malformed bool
@@ -115,9 +115,9 @@
 	return r
 }
 
-func (d *decoder) versionedRecord(complete bool) VersionedRecord {
+func (d *decoder) versionedRecord(withRecord bool) VersionedRecord {
 	r := VersionedRecord{Key: d.key(), AcceptedBallot: d.ballot()}
-	if complete {
+	if withRecord {
 		r.Record = d.record()
 		r.AgeMs, r.UnchangedMs = d.duration(), d.duration()
 	}
--- a/internal/cluster/idempotency/config.go
+++ b/internal/cluster/idempotency/config.go
@@ -6,29 +6,29 @@
 	"mintspring/internal/cluster"
 )
 
-// maxReplicaSets is how many replica sets may be in use at a time.
+// maxReplicaSets limits the replica sets that are in use at the same time.
 const maxReplicaSets = 2
 
-// Config is what a member is started with.
+// Config configures a member.
 type Config struct {
-	Self                  MemberID
+	Self                  MemberID            // number of this member
 	Incarnation           cluster.Incarnation // of this process
-	StorageIncarnation    StorageIncarnation  // 0: it stores nothing and only proposes
-	ReplicaSets           []ReplicaSet        // the one in use and, while it changes, the one before
+	StorageIncarnation    StorageIncarnation  // of this member's data directory; 0: it stores nothing and only proposes
+	ReplicaSets           []ReplicaSet        // the current one and, while it is being replaced, the previous one
 	ReplicationFactor     int                 // replicas of a key
-	RetentionMs           float64             // for which a record is kept from its last change on
-	RetryIntervalMs       float64             // after which a request that was not answered is sent again
-	MaxRecords            int                 // that it stores; beyond them it takes no new ones; 0: any number
-	MaxReceiptBytes       int                 // of a receipt that is kept
-	RepairsPerSecond      float64             // records a second that are copied or written again
-	AntiEntropyIntervalMs float64             // between two scans of the other members' records; 0: none
-	BallotCeilingStep     uint32              // rounds by which the ballot ceiling is raised at a time; 0: defaultBallotBlock
-	Seed                  uint64              // of the jitter of retries
+	RetentionMs           float64             // how long a record is kept after its last change
+	RetryIntervalMs       float64             // initial delay before an unanswered request is sent again
+	MaxRecords            int                 // stored records; at this limit promises for new keys are refused; 0: no limit
+	MaxReceiptBytes       int                 // larger receipts are not stored
+	RepairsPerSecond      float64             // limits the records that are caught up or repaired
+	AntiEntropyIntervalMs float64             // between the starts of two scans of the other members' records; 0: no scans
+	BallotCeilingStep     uint32              // rounds by which the ballot ceiling is raised at a time; 0: defaultBallotCeilingStep
+	Seed                  uint64              // of the retry jitter
 
 	replicaSetHashes [maxReplicaSets]uint32 // filled in by New
 }
 
-// withHashes returns the configuration with the hashes of its replica sets.
+// withHashes returns the configuration with replicaSetHashes set.
 func (c Config) withHashes() Config {
 	for i := range c.ReplicaSets {
 		c.replicaSetHashes[i] = c.ReplicaSets[i].hash()
@@ -36,7 +36,7 @@
 	return c
 }
 
-// replicaGroups returns the replicas of a key, by the replica set in use and, while it changes, by the one before.
+// replicaGroups returns the replicas of a key, one group for each replica set.
 func (c *Config) replicaGroups(key Key) replicaGroups {
 	var groups replicaGroups
 	for i := range c.ReplicaSets {
@@ -48,8 +48,8 @@
 // replicates reports whether a member is a replica of a key in any replica set.
 func (c *Config) replicates(key Key, m MemberID) bool { return c.replicaGroups(key).contains(m) }
 
-// sharesReplicaSet reports whether messages of a member that uses these replica sets may be taken in: without a common one quorums need not
-// intersect.
+// sharesReplicaSet reports whether this member uses a replica set with one of these hashes. Messages from members without a common replica
+// set are ignored, because their quorums may not intersect with those of this member.
 func (c *Config) sharesReplicaSet(hashes [maxReplicaSets]uint32) bool {
 	for _, own := range c.replicaSetHashes {
 		if own != 0 && (own == hashes[0] || own == hashes[1]) {
@@ -59,7 +59,7 @@
 	return false
 }
 
-// peers returns all other members of the replica sets, in the order of their numbers.
+// peers returns all other members of the replica sets, sorted by number.
 func (c *Config) peers() []MemberID {
 	var peers []MemberID
 	for _, set := range c.ReplicaSets {
@@ -73,15 +73,15 @@
 	return peers
 }
 
-// newMessage returns a message of this member.
+// newMessage returns a message from this member.
 func (c *Config) newMessage(kind MessageType, to MemberID) *Message {
-	return &Message{Type: kind, From: c.Self, To: to, StorageIncarnation: c.StorageIncarnation, ReplicaSets: c.replicaSetHashes}
+	return &Message{Type: kind, From: c.Self, To: to, StorageIncarnation: c.StorageIncarnation, ReplicaSetHashes: c.replicaSetHashes}
 }
 
-// maxBackoffFactor is the longest time between two requests, in multiples of RetryIntervalMs.
+// maxBackoffFactor limits the backoff between two requests, in multiples of RetryIntervalMs.
 const maxBackoffFactor = 16
 
-// nextBackoff returns the time in ms until the next retry after one of backoffMs, or 0 for the first.
+// nextBackoff returns the backoff that follows backoffMs, both in ms. Before the first request backoffMs is 0.
 func (c *Config) nextBackoff(backoffMs float64) float64 {
 	return min(max(2*backoffMs, c.RetryIntervalMs), maxBackoffFactor*c.RetryIntervalMs)
 }
--- a/internal/cluster/idempotency/core.go
+++ b/internal/cluster/idempotency/core.go
@@ -3,43 +3,43 @@
 // Core is one member of the fleet, without its sockets and files.
 type Core struct {
 	config      Config
-	out         outbox
+	outbox      outbox
 	counts      Counts
 	acceptor    *acceptor
 	proposer    *proposer
 	antiEntropy *antiEntropy
 }
 
-// Result is the end of a claim or a settlement.
+// Result reports how the proposal of a claim or a settlement ended.
 type Result struct {
-	Number       uint64 // that it was proposed with
-	IsSettlement bool   // it is of a settlement, not of a claim
+	Number       uint64 // of the claim
+	IsSettlement bool   // false: the result of a claim
 	Decision     Decision
-	WaitMs       float64 // of DecisionWait: when the other claim is over at the latest
-	Receipt      []byte  // of DecisionReplay
+	WaitMs       float64 // with DecisionWait: remaining timeout of the claim in flight
+	Receipt      []byte  // with DecisionReplay
 	DurationMs   float64
 }
 
-// New returns a member with what its data directory holds. nil: an empty one.
+// New returns a member with the contents of its data directory; nil means an empty one.
 func New(now float64, config Config, stored *StoredState) *Core {
 	if stored == nil {
 		stored = NewStoredState()
 	}
 	c := &Core{config: config.withHashes()}
-	c.acceptor = newAcceptor(now, &c.config, &c.out, stored)
-	c.antiEntropy = newAntiEntropy(&c.config, &c.out, c.acceptor)
-	c.proposer = newProposer(&c.config, &c.out, &c.counts, c.antiEntropy.repaired)
+	c.acceptor = newAcceptor(now, &c.config, &c.outbox, stored)
+	c.antiEntropy = newAntiEntropy(&c.config, &c.outbox, c.acceptor)
+	c.proposer = newProposer(&c.config, &c.outbox, &c.counts, c.antiEntropy.repairFinished)
 	c.antiEntropy.proposer = c.proposer
 	return c
 }
 
-// Claim proposes a claim of a key. Its result is there by the deadline at the latest. A number is used once by each process.
+// Claim proposes to claim a key. Its result is available by the deadline. Each process may use a number only once.
 func (c *Core) Claim(now float64, number uint64, key Key, options ClaimOptions, deadline float64) {
 	c.proposer.claim(now, number, key, options, deadline)
 }
 
-// Settle proposes the outcome of a granted claim, by its number. The receipt is of OutcomeCompleted, nil if there is none; one above MaxReceiptBytes
-// is not kept. The result says whether the outcome is recorded.
+// Settle proposes to record the outcome of the granted claim with this number. A receipt is stored with OutcomeCompleted only, unless it is
+// nil or larger than MaxReceiptBytes. The result is DecisionGranted if the outcome is recorded.
 func (c *Core) Settle(now float64, number uint64, outcome Outcome, receipt []byte, deadline float64) {
 	s := settlement{outcome: outcome}
 	if receipt != nil && len(receipt) <= c.config.MaxReceiptBytes {
@@ -48,7 +48,7 @@
 	c.proposer.settle(now, number, s, deadline)
 }
 
-// ReceiveDatagram takes in a datagram.
+// ReceiveDatagram decodes and handles a datagram.
 func (c *Core) ReceiveDatagram(now float64, b []byte) {
 	m, err := ParseMessage(b)
 	if err != nil {
@@ -61,13 +61,13 @@
 // CountCorruptDatagram counts a datagram that could not be decoded.
 func (c *Core) CountCorruptDatagram() { c.counts.CorruptDatagrams++ }
 
-// Receive takes in a message, also one of this member to itself.
+// Receive handles a message, which may come from this member itself.
 func (c *Core) Receive(now float64, m *Message) {
 	if m.To != c.config.Self {
 		return
 	}
 	c.counts.ReceivedMessages++
-	if !c.config.sharesReplicaSet(m.ReplicaSets) {
+	if !c.config.sharesReplicaSet(m.ReplicaSetHashes) {
 		c.counts.ForeignReplicaSets++
 		return
 	}
@@ -88,49 +88,49 @@
 	}
 }
 
-// Tick does what is due at a time. It has to be called several times in RetryIntervalMs.
+// Tick does the work that is due. It has to be called several times per RetryIntervalMs.
 func (c *Core) Tick(now float64) {
 	c.proposer.tick(now)
 	c.acceptor.tick(now)
 	c.antiEntropy.tick(now)
 }
 
-// Ready returns what is to be sent and synced since the last call.
+// Ready returns the messages to send and the entries to sync that have accumulated since the last call.
 func (c *Core) Ready() Ready {
 	r := Ready{
-		Messages:          c.out.messages,
-		Entries:           c.out.entries,
-		MessagesAfterSync: c.out.messagesAfterSync,
-		ceiling:           c.acceptor.ballotCeiling,
-		number:            c.acceptor.batch,
+		Messages:          c.outbox.messages,
+		Entries:           c.outbox.entries,
+		MessagesAfterSync: c.outbox.messagesAfterSync,
+		ballotCeiling:     c.acceptor.ballotCeiling,
+		batch:             c.acceptor.batch,
 	}
-	c.out = outbox{}
+	c.outbox = outbox{}
 	c.acceptor.batch++
 	return r
 }
 
-// Advance says that the entries of a batch, and those of all before it, are synced.
+// Advance reports that the entries of a batch and of all earlier ones are synced.
 func (c *Core) Advance(r Ready) {
-	c.acceptor.syncedCeiling = max(c.acceptor.syncedCeiling, r.ceiling)
-	c.acceptor.syncedBatch = max(c.acceptor.syncedBatch, r.number)
+	c.acceptor.syncedCeiling = max(c.acceptor.syncedCeiling, r.ballotCeiling)
+	c.acceptor.syncedBatch = max(c.acceptor.syncedBatch, r.batch)
 }
 
-// TakeResults returns what has ended since the last call.
+// TakeResults returns the results since the last call.
 func (c *Core) TakeResults() []Result {
 	results := c.proposer.results
 	c.proposer.results = nil
 	return results
 }
 
-// FileHeader returns the entries which each file of the data directory begins with.
+// FileHeader returns the entries at the beginning of each file of the data directory.
 func (c *Core) FileHeader() [][]byte { return c.acceptor.fileHeader() }
 
-// RecordEntries returns all stored records as entries, for files that are written again.
+// RecordEntries returns all stored records as entries, for rewriting the data directory.
 func (c *Core) RecordEntries() [][]byte {
 	entries := make([][]byte, 0, len(c.acceptor.records))
 	for _, key := range c.Keys() {
 		r := c.acceptor.records[key]
-		entries = append(entries, recordEntry(key, r.accepted, r.record))
+		entries = append(entries, recordEntry(key, r.acceptedBallot, r.record))
 	}
 	return entries
 }
@@ -144,20 +144,21 @@
 	if !ok {
 		return VersionedRecord{}, false
 	}
-	return VersionedRecord{Key: key, AcceptedBallot: r.accepted, Record: r.record}, true
+	return VersionedRecord{Key: key, AcceptedBallot: r.acceptedBallot, Record: r.record}, true
 }
 
-// FailStorage says that the storage has failed: this member stores and promises nothing more, and goes on as a proposer.
+// FailStorage reports that the storage has failed. From then on this member stores and promises nothing, but still proposes.
 func (c *Core) FailStorage() { c.acceptor.storageFailed = true }
 
-// RestoreStorage says that the storage works again and holds, synced, the header and all records as they were when a batch was taken.
+// RestoreStorage reports that the storage works again, and that the file header and all records as of this batch are synced.
 func (c *Core) RestoreStorage(r Ready) {
 	c.Advance(r)
 	c.acceptor.storageFailed = false
 }
 
-// NewerStorage returns the later storage incarnation under this member's number, 0 if none is known. If this member's own storage has never served,
-// the clock was behind when it was made, and it may take a later incarnation; otherwise another process uses the number.
+// NewerStorage returns the latest storage incarnation that is known under this member's number, or 0 if it is not later than this member's
+// own. If this member's storage has never served, the clock was behind when that storage was created, and it may take a later
+// incarnation. Otherwise another process uses the number.
 func (c *Core) NewerStorage() (latest StorageIncarnation, neverServed bool) {
 	if !c.acceptor.superseded {
 		return 0, false
@@ -168,10 +169,10 @@
 // CaughtUp reports whether this member has all records that it has to store.
 func (c *Core) CaughtUp() bool { return c.acceptor.caughtUp }
 
-// Busy reports whether a claim or a settlement has not ended. What a member proposes by itself does not count: it can be done at any other time.
+// Busy reports whether a claim or a settlement is pending. Repairs and releases do not count: they can be done at any other time.
 func (c *Core) Busy() bool {
 	for _, p := range c.proposer.proposals {
-		if p.kind != repairProposal && !p.internal {
+		if p.kind != repairProposal && !p.isRelease {
 			return true
 		}
 	}
--- a/internal/cluster/idempotency/golden_test.go
+++ b/internal/cluster/idempotency/golden_test.go
@@ -35,7 +35,7 @@
 	for name, m := range map[string]Message{
 		"prepare":         {Type: MsgPrepare, Number: 7, Key: goldenKey, Ballot: goldenBallot},
 		"promise_none":    {Type: MsgPromise, Number: 7, Key: goldenKey, Ballot: goldenBallot, PromiseFloor: 4, KnownStorage: known},
-		"promise_record":  {Type: MsgPromise, Number: 7, Key: goldenKey, Ballot: goldenBallot, HasRecord: true, Accepted: goldenAccepted, Record: goldenRecord[StateCompleted], AgeMs: 12.25, UnchangedMs: math.Inf(1)},
+		"promise_record":  {Type: MsgPromise, Number: 7, Key: goldenKey, Ballot: goldenBallot, HasRecord: true, AcceptedBallot: goldenAccepted, Record: goldenRecord[StateCompleted], AgeMs: 12.25, UnchangedMs: math.Inf(1)},
 		"accept_free":     {Type: MsgAccept, Number: 7, Key: goldenKey, Ballot: goldenBallot, Record: goldenRecord[StateUnclaimed], AgeMs: 1, UnchangedMs: 0.5},
 		"accept_out":      {Type: MsgAccept, Number: 7, Key: goldenKey, Ballot: goldenBallot, Record: goldenRecord[StateInFlight], AgeMs: math.Inf(1), UnchangedMs: math.Inf(1)},
 		"accept_open":     {Type: MsgAccept, Number: 1<<63 | 7, Key: goldenKey, Ballot: goldenBallot, Record: goldenRecord[StateIndeterminate]},
@@ -52,7 +52,7 @@
 		"greeted":         {Type: MsgAnnounceAck, Ballot: Ballot{Claim: ClaimID{Incarnation: 42}}},
 		"greeted_another": {Type: MsgAnnounceAck, Ballot: Ballot{Claim: ClaimID{Incarnation: 42}}, KnownStorage: known[1:]},
 	} {
-		m.From, m.To, m.StorageIncarnation, m.ReplicaSets = 2, 1, 1<<48|5, [2]uint32{0xdeadbeef, 0x01020304}
+		m.From, m.To, m.StorageIncarnation, m.ReplicaSetHashes = 2, 1, 1<<48|5, [2]uint32{0xdeadbeef, 0x01020304}
 		want := goldentest.Read(t, "message_"+name+".bin")
 		if got := m.Append(nil); !bytes.Equal(got, want) {
 			t.Errorf("%s is written as\n%x, want\n%x", name, got, want)
--- a/internal/cluster/idempotency/message.go
+++ b/internal/cluster/idempotency/message.go
@@ -17,15 +17,15 @@
 	MsgAccept                             // to acceptors: phase 2 of a proposal
 	MsgAccepted                           // answers MsgAccept
 	MsgRejected                           // answers MsgPrepare and MsgAccept whose ballot is too low
-	MsgCatchUp                            // to replicas: a member with new storage asks for all records that it has to store
-	MsgCatchUpPage                        // answers MsgCatchUp with some of them
-	MsgCompare                            // to replicas: asks which records the sender has to store
-	MsgComparePage                        // answers MsgCompare with keys and ballots
-	MsgAnnounce                           // to replicas: the sender's storage incarnation
-	MsgAnnounceAck                        // answers MsgAnnounce once it is on the disk
+	MsgCatchUp                            // to replicas: a member with new storage requests all records that it has to store
+	MsgCatchUpPage                        // answers MsgCatchUp with a page of these records
+	MsgCompare                            // to replicas: requests keys and ballots of the records that the sender has to store
+	MsgComparePage                        // answers MsgCompare with a page of keys and ballots
+	MsgAnnounce                           // to replicas: announces the sender's storage incarnation
+	MsgAnnounceAck                        // answers MsgAnnounce once the incarnation is synced
 )
 
-// VersionedRecord is the record of a key and the ballot under which it was accepted. In MsgComparePage it has no more than these two.
+// VersionedRecord is the record of a key and the ballot under which it was accepted. MsgComparePage has only Key and AcceptedBallot.
 type VersionedRecord struct {
 	Key            Key
 	AcceptedBallot Ballot
@@ -45,18 +45,18 @@
 	Type               MessageType
 	From, To           MemberID
 	StorageIncarnation StorageIncarnation // of the sender; 0: it stores nothing
-	ReplicaSets        [maxReplicaSets]uint32
+	ReplicaSetHashes   [maxReplicaSets]uint32
 	Number             uint64 // of the proposal, or the position of a page
 	Key                Key
 	Ballot             Ballot
-	HasRecord          bool // of MsgPromise: the acceptor has accepted a record, which follows
-	Accepted           Ballot
+	HasRecord          bool // in MsgPromise: the acceptor has accepted a record
+	AcceptedBallot     Ballot
 	Record             Record
 	AgeMs              float64 // since the first claim; +Inf: not known
 	UnchangedMs        float64 // since the last change; +Inf: not known
-	PromiseFloor       uint32  // of MsgRejected: rounds up to there are rejected; of MsgCatchUpPage: the sender's ballot ceiling
-	More               bool    // of pages: there are more
-	Restart            bool    // of pages: the receiver has to start again from the first page
+	PromiseFloor       uint32  // in MsgRejected: round of the higher promise; in MsgCatchUpPage: the sender's ballot ceiling
+	More               bool    // in pages: there are more pages
+	Restart            bool    // in pages: the receiver has to start again from the first page
 	KnownStorage       []MemberStorage
 	Records            []VersionedRecord
 }
@@ -67,10 +67,10 @@
 	ErrMalformed = errors.New("malformed message or entry")
 )
 
-// MaxMessageSize is the size in bytes of the largest message that may be sent.
+// MaxMessageSize is the maximum size of a message in bytes.
 const MaxMessageSize = 60 << 10
 
-// A datagram begins with two bytes of magic, its version and the CRC-32C of the body, which is all that follows.
+// A datagram consists of a magic number of two bytes, the version, the CRC-32C of the body, and the body.
 const (
 	wireMagic      = "mb"
 	wireVersion    = 1
@@ -78,18 +78,18 @@
 	bodyOffset     = checksumOffset + 4
 )
 
-// usualMessageSize is the size of most messages without their receipt.
-const usualMessageSize = 192
+// typicalMessageSize is the size in bytes of most messages, without receipts.
+const typicalMessageSize = 192
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// hasRecord reports whether the message has one record of its own.
+// hasRecord reports whether the fields AcceptedBallot, Record, AgeMs and UnchangedMs are encoded.
 func (m *Message) hasRecord() bool { return m.Type == MsgAccept || m.HasRecord }
 
-// Append appends the datagram of a message to b and returns the extended slice.
+// Append appends the encoded message to b and returns the extended slice.
 func (m *Message) Append(b []byte) []byte {
 	start := len(b)
-	e := &encoder{slices.Grow(b, usualMessageSize+len(m.Record.Receipt))}
+	e := &encoder{slices.Grow(b, typicalMessageSize+len(m.Record.Receipt))}
 	e.bytes([]byte(wireMagic))
 	e.u8(wireVersion)
 	e.u32(0) // the checksum
@@ -97,7 +97,7 @@
 	e.u16(uint16(m.From))
 	e.u16(uint16(m.To))
 	e.u64(uint64(m.StorageIncarnation))
-	for _, hash := range m.ReplicaSets {
+	for _, hash := range m.ReplicaSetHashes {
 		e.u32(hash)
 	}
 	e.u64(m.Number)
@@ -105,7 +105,7 @@
 	e.ballot(m.Ballot)
 	e.flags(m.HasRecord, m.More, m.Restart)
 	if m.hasRecord() {
-		e.ballot(m.Accepted)
+		e.ballot(m.AcceptedBallot)
 		e.record(m.Record)
 		e.f64(m.AgeMs)
 		e.f64(m.UnchangedMs)
@@ -135,14 +135,14 @@
 	}
 	d := &decoder{b: body}
 	m := &Message{Type: MessageType(d.u8()), From: MemberID(d.u16()), To: MemberID(d.u16()), StorageIncarnation: StorageIncarnation(d.u64())}
-	for i := range m.ReplicaSets {
-		m.ReplicaSets[i] = d.u32()
+	for i := range m.ReplicaSetHashes {
+		m.ReplicaSetHashes[i] = d.u32()
 	}
 	m.Number, m.Key, m.Ballot = d.u64(), d.key(), d.ballot()
 	flags := d.u8()
 	m.HasRecord, m.More, m.Restart = flags&1 != 0, flags&2 != 0, flags&4 != 0
 	if m.hasRecord() {
-		m.Accepted, m.Record = d.ballot(), d.record()
+		m.AcceptedBallot, m.Record = d.ballot(), d.record()
 		m.AgeMs, m.UnchangedMs = d.duration(), d.duration()
 	}
 	m.PromiseFloor = d.u32()
--- a/internal/cluster/idempotency/message_test.go
+++ b/internal/cluster/idempotency/message_test.go
@@ -33,7 +33,7 @@
 		HasRecord: rapid.Bool().Draw(t, "has record"), PromiseFloor: 7, More: rapid.Bool().Draw(t, "more"),
 	}
 	if m.hasRecord() {
-		m.Accepted, m.Record, m.AgeMs, m.UnchangedMs = Ballot{3, drawClaimID(t, "accepted")}, drawRecord(t, "record"), 5, math.Inf(1)
+		m.AcceptedBallot, m.Record, m.AgeMs, m.UnchangedMs = Ballot{3, drawClaimID(t, "accepted")}, drawRecord(t, "record"), 5, math.Inf(1)
 	}
 	for range rapid.IntRange(0, 3).Draw(t, "known storage") {
 		m.KnownStorage = append(m.KnownStorage, MemberStorage{4, 5})
--- a/internal/cluster/idempotency/proposal.go
+++ b/internal/cluster/idempotency/proposal.go
@@ -1,6 +1,6 @@
 package idempotency
 
-// proposalKind is what a proposal is for.
+// proposalKind is the purpose of a proposal.
 type proposalKind uint8
 
 const (
@@ -9,24 +9,24 @@
 	repairProposal                     // to have all replicas store the latest record
 )
 
-// phase is how far a proposal is.
+// phase is the current step of a proposal.
 type phase uint8
 
 const (
-	preparing  phase = iota // it waits for promises
-	accepting               // it waits for votes
-	backingOff              // it waits before it starts again, so that two proposers of one key stop preempting each other
+	preparing  phase = iota // waits for promises
+	accepting               // waits for acceptors to accept the proposed record
+	backingOff              // waits before it restarts, so that two proposers of one key stop preempting each other
 )
 
-// proposal is one change of a record that this member wants, from its first request to its end. Times are of this member's clock.
+// proposal is a change of a record that this member proposes, from the first request to the result. Times are of this member's clock.
 type proposal struct {
 	kind       proposalKind
-	number     uint64 // of the claim, with settlementBit for a settlement
+	number     uint64 // of the claim or repair; a settlement has the number of its claim with settlementBit
 	key        Key
 	claim      ClaimID
 	options    ClaimOptions // of a claim
 	settlement settlement
-	internal   bool // nobody waits for its result
+	isRelease  bool // settlement of a claim that was not granted; no caller waits for the result
 	groups     replicaGroups
 	startedAt  float64
 	deadline   float64
@@ -34,46 +34,46 @@
 	phase          phase
 	phaseStartedAt float64
 	ballot         Ballot
-	round          uint32 // the highest that it has used
+	maxRound       uint32 // highest round that it has used
 	restarts       int
 	retryAt        float64
 	backoffMs      float64
-	votes          map[MemberID]*Message
-	rejections     map[MemberID]bool
-	latestStorage  map[MemberID]StorageIncarnation // the latest that any answer knew of
+	votes          map[MemberID]*Message           // answers of the current phase: MsgPromise or MsgAccepted
+	rejections     map[MemberID]bool               // members that have rejected the current ballot
+	latestStorage  map[MemberID]StorageIncarnation // latest incarnation of each member that an answer has reported
 
-	proposed    Record // what the second phase writes
+	proposed    Record // record that the second phase writes
 	ageMs       float64
 	unchangedMs float64
-	decision    Decision // once proposed is accepted
-	waitMs      float64  // of DecisionWait
-	sentAccept  bool     // it has reached the second phase before
+	decision    Decision // result once a quorum has accepted the proposed record, or at once if the second phase is not needed
+	waitMs      float64  // with DecisionWait
+	sentAccept  bool     // the second phase was started at least once
 }
 
-// learnStorage takes in which storage an answer comes from and which it knows. A vote counts for the storage that it comes from: a member that comes
-// back with new storage has announced it to all others, and has read what they have, before it votes. A vote of its storage before therefore counts no
-// more as soon as one of the answers knows of the new one.
-func (p *proposal) learnStorage(m *Message) {
+// updateLatestStorage records the storage incarnation of an answer's sender and those that the answer lists. Before a member with new
+// storage votes, it announces that storage to the other replicas and reads their records (acceptor.mayVote). So a vote from its previous
+// storage no longer counts once any answer lists the new storage.
+func (p *proposal) updateLatestStorage(m *Message) {
 	p.latestStorage[m.From] = max(p.latestStorage[m.From], m.StorageIncarnation)
 	for _, known := range m.KnownStorage {
 		p.latestStorage[known.Member] = max(p.latestStorage[known.Member], known.Incarnation)
 	}
 }
 
-// vote returns the vote of a member if it has one that counts.
-func (p *proposal) vote(m MemberID) *Message {
+// validVote returns the vote of a member in the current phase, or nil if there is none or it comes from lost storage.
+func (p *proposal) validVote(m MemberID) *Message {
 	if v := p.votes[m]; v != nil && v.StorageIncarnation == p.latestStorage[m] {
 		return v
 	}
 	return nil
 }
 
-// hasQuorum reports whether a quorum of each group has voted for it.
+// hasQuorum reports whether a quorum of each group has voted for the proposal.
 func (p *proposal) hasQuorum() bool {
 	for _, g := range p.groups {
 		votes := 0
 		for _, m := range g {
-			if p.vote(m) != nil {
+			if p.validVote(m) != nil {
 				votes++
 			}
 		}
@@ -84,26 +84,27 @@
 	return true
 }
 
-// cannotReachQuorum reports whether in some group so many have rejected it, or voted from storage that is lost, that no quorum is left.
+// cannotReachQuorum reports whether in some group too few members for a quorum are left, because the others have rejected the ballot or
+// lost their storage.
 func (p *proposal) cannotReachQuorum() bool {
 	for _, g := range p.groups {
-		lost := 0
+		unavailable := 0
 		for _, m := range g {
-			if p.rejections[m] || p.votes[m] != nil && p.vote(m) == nil {
-				lost++
+			if p.rejections[m] || p.votes[m] != nil && p.validVote(m) == nil {
+				unavailable++
 			}
 		}
-		if len(g)-lost < g.quorum() {
+		if len(g)-unavailable < g.quorum() {
 			return true
 		}
 	}
 	return false
 }
 
-// evaluatePromises decides by what a quorum has promised. It returns true if the second phase has to write the proposed record, and false if the
-// proposal ends with its decision at once.
+// evaluatePromises decides the proposal by the promises of a quorum. It returns true if the second phase has to write the proposed record,
+// and false if the proposal ends at once.
 func (p *proposal) evaluatePromises(now float64) bool {
-	found := p.promisedRecord()
+	found := p.summarizePromises()
 	if found.exists {
 		found.ageMs += now - p.phaseStartedAt
 	}
@@ -122,7 +123,7 @@
 	}
 }
 
-func (p *proposal) evaluateClaim(found promisedRecord) bool {
+func (p *proposal) evaluateClaim(found promiseSummary) bool {
 	p.decision, p.proposed, p.waitMs = decideClaim(found.record, found.ageMs, found.unchangedMs, p.claim, p.options)
 	switch p.decision {
 	case DecisionGranted:
@@ -131,21 +132,23 @@
 		}
 		return true
 	case DecisionReplay:
-		// What all of a quorum have is agreed on. Anything else is written first, or another claim might be answered differently.
-		return !found.agreed
+		// A record that the whole quorum reports is agreed on. Any other record is written first, or another claim might get a different
+		// answer.
+		return !found.unanimous
 	}
 	return false
 }
 
-func (p *proposal) evaluateSettlement(found promisedRecord) bool {
+func (p *proposal) evaluateSettlement(found promiseSummary) bool {
 	next, ok := p.settlement.apply(found.record, p.claim)
 	switch {
 	case ok:
 		p.proposed, p.decision = next, DecisionGranted
 		return true
-	case p.internal && found.record.State == StateInFlight:
-		// It is of another claim, and whether it is agreed on is not known. It is written, so that its proposer finds it. Otherwise two claims that each
-		// find the other's at one replica and release neither would leave an operation in flight that nobody executes.
+	case p.isRelease && found.record.State == StateInFlight:
+		// The record belongs to another claim, and may not be agreed on. It is written to a quorum, so that the proposer of that claim
+		// finds and releases it. Otherwise two releases that each find only the record of the other claim would leave an operation in
+		// flight that nobody executes.
 		p.proposed, p.decision = found.record, DecisionUnknown
 		return true
 	}
@@ -153,43 +156,44 @@
 	return false
 }
 
-// promisedRecord is what the promises of a quorum say of a key.
-type promisedRecord struct {
-	record      Record // the one that was accepted last
+// promiseSummary summarizes the promises of a quorum for a key.
+type promiseSummary struct {
+	record      Record // the one with the highest accepted ballot
 	exists      bool
-	agreed      bool // all promises have it
+	unanimous   bool // all promises report this record
 	ageMs       float64
 	unchangedMs float64
 }
 
-func (p *proposal) promisedRecord() promisedRecord {
+func (p *proposal) summarizePromises() promiseSummary {
 	latest, ageMs := p.latestPromise()
 	if latest == nil {
-		return promisedRecord{}
+		return promiseSummary{}
 	}
-	found := promisedRecord{record: latest.Record, exists: true, agreed: true, ageMs: ageMs}
+	found := promiseSummary{record: latest.Record, exists: true, unanimous: true, ageMs: ageMs}
 	for _, m := range p.groups.members() {
-		v := p.vote(m)
+		v := p.validVote(m)
 		switch {
 		case v == nil:
-		case v.HasRecord && v.Accepted == latest.Accepted:
+		case v.HasRecord && v.AcceptedBallot == latest.AcceptedBallot:
 			found.unchangedMs = max(found.unchangedMs, v.UnchangedMs)
 		default:
-			found.agreed = false
+			found.unanimous = false
 		}
 	}
 	return found
 }
 
-// latestPromise returns the promise with the record that was accepted last, nil if none has a record, and the greatest age that any knows.
+// latestPromise returns the promise with the highest accepted ballot, or nil if no promise has a record. ageMs is the greatest age of any
+// record.
 func (p *proposal) latestPromise() (latest *Message, ageMs float64) {
 	for _, m := range p.groups.members() {
-		v := p.vote(m)
+		v := p.validVote(m)
 		if v == nil || !v.HasRecord {
 			continue
 		}
 		ageMs = max(ageMs, v.AgeMs)
-		if latest == nil || latest.Accepted.less(v.Accepted) {
+		if latest == nil || latest.AcceptedBallot.less(v.AcceptedBallot) {
 			latest = v
 		}
 	}
--- a/internal/cluster/idempotency/proposer.go
+++ b/internal/cluster/idempotency/proposer.go
@@ -3,105 +3,109 @@
 import "math/rand/v2"
 
 const (
-	// firstInternalNumber is where the numbers begin of proposals that a member makes by itself.
-	firstInternalNumber = 1 << 48
-	// settlementBit tells the number of a settlement from that of the claim that it ends.
+	// repairNumberBase is the number below those of repairs, and above those of all claims.
+	repairNumberBase = 1 << 48
+	// settlementBit distinguishes the number of a settlement from that of its claim.
 	settlementBit = 1 << 63
-	// maxGranted bounds the granted claims that are remembered until they are settled.
-	maxGranted = 1 << 16
+	// maxGrantedClaims bounds the granted claims that are remembered until they are settled.
+	maxGrantedClaims = 1 << 16
 )
 
-// Times of a proposal, in multiples of RetryIntervalMs.
+// Timeouts and backoffs of a proposal, in multiples of RetryIntervalMs.
 const (
-	releaseTimeout    = 200 // for which a claim that came to nothing is tried to be released
-	repairTimeout     = 64  // for which a repair is tried
-	repairPatience    = 4   // for which a repair waits for votes of all replicas, and not just of a quorum
-	rejectionPatience = 4   // backoff from which on replicas that have not answered are taken to be gone
-	maxRestartBackoff = 8   // longest backoff before a proposal starts again
+	releaseTimeoutFactor          = 200 // timeout of the release of a claim that was not granted
+	repairTimeoutFactor           = 64  // timeout of a repair
+	repairVoteWaitFactor          = 4   // how long a repair waits for the votes of all replicas instead of a quorum
+	rejectionRestartBackoffFactor = 4   // backoff at which a rejected proposal restarts without the remaining answers
+	maxRestartBackoffFactor       = 8   // limits the backoff before a restart
 )
 
-// Jitter of retries, as parts of the backoff.
+// Jitter of retries and restarts, as fractions of the backoff.
 const (
 	minRetryJitter   = 0.8
-	retryJitter      = 0.4
+	retryJitterRange = 0.4
 	maxRestartJitter = 0.25
 )
 
 // proposer drives proposals through the two phases of Paxos.
 type proposer struct {
-	config     *Config
-	out        *outbox
-	rng        *rand.Rand
-	counts     *Counts
-	onRepaired func(Key) // called at the end of each repair
+	config           *Config
+	outbox           *outbox
+	rng              *rand.Rand
+	counts           *Counts
+	onRepairFinished func(Key) // called at the end of each repair
 
-	proposals map[uint64]*proposal // by number, with settlementBit for settlements
-	order     []uint64             // numbers of the proposals, as they began
-	granted   map[uint64]*proposal // claims that were granted and are not settled
-	minRound  uint32               // rounds up to there have been rejected
-	results   []Result
+	proposals        map[uint64]*proposal // by number, with settlementBit for settlements
+	proposalOrder    []uint64             // numbers of the proposals in the order of their start
+	grantedClaims    map[uint64]*proposal // granted claims that are not settled yet, by number
+	maxRejectedRound uint32               // highest round in a rejection
+	results          []Result
 }
 
-func newProposer(config *Config, out *outbox, counts *Counts, onRepaired func(Key)) *proposer {
+func newProposer(config *Config, out *outbox, counts *Counts, onRepairFinished func(Key)) *proposer {
 	return &proposer{
-		config:     config,
-		out:        out,
-		rng:        rand.New(rand.NewPCG(config.Seed, uint64(config.Incarnation))),
-		counts:     counts,
-		onRepaired: onRepaired,
-		proposals:  map[uint64]*proposal{},
-		granted:    map[uint64]*proposal{},
+		config:           config,
+		outbox:           out,
+		rng:              rand.New(rand.NewPCG(config.Seed, uint64(config.Incarnation))),
+		counts:           counts,
+		onRepairFinished: onRepairFinished,
+		proposals:        map[uint64]*proposal{},
+		grantedClaims:    map[uint64]*proposal{},
 	}
 }
 
-// claim proposes a claim.
+// claim proposes to claim a key.
 func (pr *proposer) claim(now float64, number uint64, key Key, options ClaimOptions, deadline float64) {
 	p := &proposal{kind: claimProposal, number: number, key: key, claim: pr.claimID(number), options: options, deadline: deadline}
 	pr.start(now, p)
 	pr.startPrepare(now, p)
 }
 
-// settle proposes the end of a granted claim.
+// settle proposes to record the outcome of a granted claim.
 func (pr *proposer) settle(now float64, number uint64, s settlement, deadline float64) {
-	granted := pr.granted[number]
+	granted := pr.grantedClaims[number]
 	if granted == nil {
 		pr.results = append(pr.results, Result{Number: number, IsSettlement: true})
 		return
 	}
-	delete(pr.granted, number)
+	delete(pr.grantedClaims, number)
 	p := &proposal{
 		kind: settleProposal, number: number | settlementBit, key: granted.key, claim: granted.claim,
-		settlement: s, deadline: deadline, round: granted.round,
+		settlement: s, deadline: deadline, maxRound: granted.maxRound,
 	}
 	pr.start(now, p)
-	// Replicas that voted for the claim have promised the next ballot to it, so that the first phase can be left out.
+	// Replicas that accepted the claim have promised its next ballot, so the first phase can be skipped.
 	next, ok := s.apply(granted.proposed, granted.claim)
 	if !ok || granted.proposed.State != StateInFlight {
 		pr.startPrepare(now, p)
 		return
 	}
 	p.ballot = granted.ballot.next()
-	p.round = p.ballot.Round
+	p.maxRound = p.ballot.Round
 	p.proposed, p.decision = next, DecisionGranted
 	p.ageMs = now - granted.startedAt + granted.ageMs
 	pr.startPhase(now, p, accepting)
 }
 
-// release settles a claim that was not granted and may have been accepted by some replicas nevertheless. Nothing was executed by it. Without a
-// release whoever claims the key next would be answered to wait, and then that nothing is known.
+// release settles a claim that was not granted, and hence not executed, but that some replicas may have accepted. Without a release the
+// next claim of the key would get DecisionWait, and DecisionUnknown after the timeout.
 func (pr *proposer) release(now float64, claim *proposal) {
 	p := &proposal{
 		kind: settleProposal, number: claim.number | settlementBit, key: claim.key, claim: claim.claim,
-		settlement: settlement{outcome: OutcomeNotExecuted}, deadline: now + releaseTimeout*pr.config.RetryIntervalMs, round: claim.round, internal: true,
+		settlement: settlement{outcome: OutcomeNotExecuted}, deadline: now + releaseTimeoutFactor*pr.config.RetryIntervalMs,
+		maxRound: claim.maxRound, isRelease: true,
 	}
 	pr.start(now, p)
 	pr.startPrepare(now, p)
 }
 
-// repair proposes the latest record of a key again, under a new ballot, so that all its replicas store it. Records are not copied without one: what
-// this member may have promised while it stored nothing has to hold for them too.
+// repair proposes the latest record of a key again under a new ballot, so that all its replicas store it. Copying the record without a new
+// ballot could break promises that this member made for the key while it did not have the record.
 func (pr *proposer) repair(now float64, number uint64, key Key) {
-	p := &proposal{kind: repairProposal, number: number, key: key, claim: pr.claimID(number), deadline: now + repairTimeout*pr.config.RetryIntervalMs}
+	p := &proposal{
+		kind: repairProposal, number: number, key: key, claim: pr.claimID(number),
+		deadline: now + repairTimeoutFactor*pr.config.RetryIntervalMs,
+	}
 	pr.start(now, p)
 	pr.startPrepare(now, p)
 }
@@ -114,13 +118,13 @@
 	p.groups, p.startedAt = pr.config.replicaGroups(p.key), now
 	p.latestStorage = map[MemberID]StorageIncarnation{}
 	pr.proposals[p.number] = p
-	pr.order = append(pr.order, p.number)
+	pr.proposalOrder = append(pr.proposalOrder, p.number)
 }
 
-// startPrepare begins the first phase with a ballot above all that the proposal has used and all rounds that were rejected.
+// startPrepare starts the first phase in a round above all that the proposal has used and all that were rejected.
 func (pr *proposer) startPrepare(now float64, p *proposal) {
-	p.round = max(p.round, pr.minRound) + 1
-	p.ballot = Ballot{p.round, p.claim}
+	p.maxRound = max(p.maxRound, pr.maxRejectedRound) + 1
+	p.ballot = Ballot{p.maxRound, p.claim}
 	pr.startPhase(now, p, preparing)
 }
 
@@ -133,13 +137,13 @@
 
 // sendRequests sends the requests of the current phase to all replicas that have not answered.
 func (pr *proposer) sendRequests(now float64, p *proposal) {
-	p.retryAt = now + p.backoffMs*(minRetryJitter+retryJitter*pr.rng.Float64())
+	p.retryAt = now + p.backoffMs*(minRetryJitter+retryJitterRange*pr.rng.Float64())
 	p.backoffMs = pr.config.nextBackoff(p.backoffMs)
 	for _, m := range p.groups.members() {
 		if p.votes[m] != nil || p.rejections[m] {
 			continue
 		}
-		pr.out.send(pr.newRequest(now, p, m))
+		pr.outbox.send(pr.newRequest(now, p, m))
 	}
 }
 
@@ -159,16 +163,16 @@
 	return request
 }
 
-// handleReply takes in a vote or a rejection.
+// handleReply handles a vote or a rejection.
 func (pr *proposer) handleReply(now float64, m *Message) {
 	p := pr.proposals[m.Number]
 	if p == nil || p.key != m.Key || p.ballot != m.Ballot || p.phase == backingOff {
 		return
 	}
-	p.learnStorage(m)
+	p.updateLatestStorage(m)
 	switch {
 	case m.Type == MsgRejected:
-		pr.minRound = max(pr.minRound, m.PromiseFloor)
+		pr.maxRejectedRound = max(pr.maxRejectedRound, m.PromiseFloor)
 		p.rejections[m.From] = true
 	case m.Type == MsgPromise && p.phase == preparing, m.Type == MsgAccepted && p.phase == accepting:
 		p.votes[m.From] = m
@@ -177,17 +181,17 @@
 	}
 	switch {
 	case p.hasQuorum():
-		if p.kind != repairProposal || pr.isAnswered(now, p) {
+		if p.kind != repairProposal || pr.repairVotesComplete(now, p) {
 			pr.advance(now, p)
 		}
 	case p.cannotReachQuorum():
 		pr.restart(now, p)
 	case p.restarts == 0 && p.phase == preparing && p.rejections[m.From]:
-		pr.restart(now, p) // its first ballot was a guess
+		pr.restart(now, p) // its first round was a guess
 	}
 }
 
-// advance ends the current phase, whose quorum is there.
+// advance ends the current phase once it has a quorum.
 func (pr *proposer) advance(now float64, p *proposal) {
 	if p.phase == accepting {
 		pr.finish(now, p, p.decision)
@@ -201,7 +205,7 @@
 	pr.finish(now, p, p.decision)
 }
 
-// restart begins a proposal again, from the second time on after a random time that grows with each.
+// restart restarts a proposal, the first time at once and from then on after a random part of the backoff.
 func (pr *proposer) restart(now float64, p *proposal) {
 	pr.counts.BallotRetries++
 	p.restarts++
@@ -210,19 +214,20 @@
 		return
 	}
 	p.phase = backingOff
-	p.backoffMs = min(max(p.backoffMs, pr.config.RetryIntervalMs), maxRestartBackoff*pr.config.RetryIntervalMs)
+	p.backoffMs = min(max(p.backoffMs, pr.config.RetryIntervalMs), maxRestartBackoffFactor*pr.config.RetryIntervalMs)
 	p.retryAt = now + p.backoffMs*maxRestartJitter*pr.rng.Float64()
 }
 
-// isAnswered reports whether all replicas have answered, or those that have not have had their time: a repair is wanted at each of them.
-func (pr *proposer) isAnswered(now float64, p *proposal) bool {
-	return len(p.votes)+len(p.rejections) == len(p.groups.members()) || now-p.phaseStartedAt >= repairPatience*pr.config.RetryIntervalMs
+// repairVotesComplete reports whether all replicas have answered a repair or the wait for them is over. A repair should reach every
+// replica, not just a quorum.
+func (pr *proposer) repairVotesComplete(now float64, p *proposal) bool {
+	return len(p.votes)+len(p.rejections) == len(p.groups.members()) || now-p.phaseStartedAt >= repairVoteWaitFactor*pr.config.RetryIntervalMs
 }
 
-// tick does what is due at a time.
+// tick does the work that is due.
 func (pr *proposer) tick(now float64) {
-	numbers := pr.order
-	pr.order = nil // what starts meanwhile comes behind
+	numbers := pr.proposalOrder
+	pr.proposalOrder = nil // proposals that start meanwhile are added at the end
 	remaining := numbers[:0]
 	for _, number := range numbers {
 		p := pr.proposals[number]
@@ -234,26 +239,26 @@
 			remaining = append(remaining, number)
 		}
 	}
-	pr.order = append(remaining, pr.order...)
+	pr.proposalOrder = append(remaining, pr.proposalOrder...)
 }
 
 func (pr *proposer) tickProposal(now float64, p *proposal) {
 	switch {
 	case now >= p.deadline:
 		pr.finish(now, p, DecisionNoQuorum)
-	case p.kind == repairProposal && p.phase != backingOff && p.hasQuorum() && pr.isAnswered(now, p):
+	case p.kind == repairProposal && p.phase != backingOff && p.hasQuorum() && pr.repairVotesComplete(now, p):
 		pr.advance(now, p)
 	case now < p.retryAt:
 	case p.phase == backingOff:
 		pr.startPrepare(now, p)
-	case len(p.rejections) > 0 && p.backoffMs >= rejectionPatience*pr.config.RetryIntervalMs:
+	case len(p.rejections) > 0 && p.backoffMs >= rejectionRestartBackoffFactor*pr.config.RetryIntervalMs:
 		pr.restart(now, p)
 	default:
 		pr.sendRequests(now, p)
 	}
 }
 
-// finish ends a proposal.
+// finish ends a proposal with a decision.
 func (pr *proposer) finish(now float64, p *proposal, decision Decision) {
 	delete(pr.proposals, p.number)
 	switch p.kind {
@@ -261,14 +266,16 @@
 		if decision == DecisionGranted {
 			pr.counts.RepairedRecords++
 		}
-		pr.onRepaired(p.key)
+		pr.onRepairFinished(p.key)
 	case settleProposal:
 		pr.counts.Settlements++
 		if decision != DecisionGranted {
 			pr.counts.FailedSettlements++
 		}
-		if !p.internal {
-			pr.results = append(pr.results, Result{Number: p.number &^ settlementBit, IsSettlement: true, Decision: decision, DurationMs: now - p.startedAt})
+		if !p.isRelease {
+			pr.results = append(pr.results, Result{
+				Number: p.number &^ settlementBit, IsSettlement: true, Decision: decision, DurationMs: now - p.startedAt,
+			})
 		}
 	case claimProposal:
 		pr.finishClaim(now, p, decision)
@@ -280,8 +287,8 @@
 	result := Result{Number: p.number, Decision: decision, DurationMs: now - p.startedAt}
 	switch decision {
 	case DecisionGranted:
-		if len(pr.granted) < maxGranted {
-			pr.granted[p.number] = p
+		if len(pr.grantedClaims) < maxGrantedClaims {
+			pr.grantedClaims[p.number] = p
 		}
 	case DecisionReplay:
 		result.Receipt = p.proposed.Receipt
--- a/internal/cluster/idempotency/proposer_test.go
+++ b/internal/cluster/idempotency/proposer_test.go
@@ -24,7 +24,7 @@
 // Members that share no replica set do not take in each other's messages; while one replica set replaces another a quorum of each is needed.
 func TestReplicaSetsThatChange(t *testing.T) {
 	c := newTestCore(0, nil, nil)
-	c.Receive(1, &Message{Type: MsgPrepare, From: 1, To: 0, ReplicaSets: [2]uint32{1, 2}, Key: testKey, Ballot: testBallot(1, 1)})
+	c.Receive(1, &Message{Type: MsgPrepare, From: 1, To: 0, ReplicaSetHashes: [2]uint32{1, 2}, Key: testKey, Ballot: testBallot(1, 1)})
 	if len(c.Ready().MessagesAfterSync) > 0 || c.counts.ForeignReplicaSets != 1 {
 		t.Error("a message of another replica set is taken in")
 	}
--- a/internal/cluster/idempotency/record.go
+++ b/internal/cluster/idempotency/record.go
@@ -10,7 +10,7 @@
 // Key identifies an operation: a digest of its request class, its routing key and the idempotency key that its client gave it.
 type Key [16]byte
 
-// NewKey returns the key of a request. The same idempotency key under another class or routing key is another operation.
+// NewKey returns the key of a request. The same idempotency key with another class or routing key identifies another operation.
 func NewKey(class string, routingKey, idempotencyKey []byte) Key {
 	digest := sha256.New()
 	var size [8]byte
@@ -22,63 +22,64 @@
 	return Key(digest.Sum(nil)[:len(Key{})])
 }
 
-// MemberID is the number of a member of the fleet, the same at each member.
+// MemberID is the number of a member of the fleet. All members use the same numbers.
 type MemberID uint16
 
-// StorageIncarnation tells a member's data directories apart: it is the incarnation of the process that created the directory. A member that lost
-// its disk comes back with a later one. 0 stands for no storage.
+// StorageIncarnation identifies a data directory of a member by the incarnation of the process that created it. A member that has lost its
+// disk returns with a later one. 0 means no storage.
 type StorageIncarnation = cluster.Incarnation
 
-// ClaimID identifies a claim: the member that made it, the incarnation of that member's process, and a number that is unique there.
+// ClaimID identifies a claim: the member that made it, the incarnation of that member's process, and a number that is unique within the
+// process.
 type ClaimID struct {
 	Member      MemberID
 	Incarnation cluster.Incarnation
 	Number      uint64
 }
 
-// State is how far an operation is.
+// State is the execution state of an operation.
 type State uint8
 
 // States of an operation. The numbers are stored and sent.
 const (
-	StateUnclaimed     State = iota // nothing of it was executed, nothing is in flight
+	StateUnclaimed     State = iota // it was not executed, and no attempt is in flight
 	StateInFlight                   // it is claimed, and an attempt may be in flight
-	StateIndeterminate              // nothing more of it is sent, and whether it was executed is unknown
+	StateIndeterminate              // no more attempts are sent, and whether one was executed is unknown
 	StateCompleted                  // it was executed
 )
 
-// String returns the name that operators see.
+// String returns the name in status output.
 func (s State) String() string { return [...]string{"free", "out", "open", "done"}[s&3] }
 
-// Record is what the replicas of a key agree on.
+// Record is the state of an operation that the replicas of its key agree on.
 type Record struct {
 	State           State
 	Claim           ClaimID // the last claim
-	TimeoutMs       float64 // from the claim on, after which its owner has given it up
-	MayHaveExecuted bool    // an attempt before the last claim may have been executed
-	HasReceipt      bool    // of StateCompleted: Receipt is the receipt, which may be empty
+	TimeoutMs       float64 // from the claim until its owner gives up
+	MayHaveExecuted bool    // an attempt of an earlier claim may have been executed
+	HasReceipt      bool    // with StateCompleted: Receipt is stored, and may be empty
 	Receipt         []byte
 }
 
-// ClaimOptions say how a claim may be executed.
+// ClaimOptions are the time limits of a claim.
 type ClaimOptions struct {
-	TimeoutMs     float64 // for which it may be in flight
-	DedupWindowMs float64 // from its first claim on, in which servers drop a repeat of it wherever it is sent; 0: they drop none
+	TimeoutMs     float64 // how long it may be in flight
+	DedupWindowMs float64 // time from the first claim during which any server drops a duplicate; 0: servers do not deduplicate
 }
 
-// Decision is what becomes of a claim or a settlement.
+// Decision is the answer to a claim or a settlement.
 type Decision uint8
 
-// Decisions. DecisionGranted of a settlement says that the outcome is recorded.
+// Decisions. For a settlement, DecisionGranted means that the outcome is recorded.
 const (
 	DecisionNoQuorum Decision = iota // no quorum of replicas answered in time: nothing is granted
 	DecisionGranted                  // the claim may be executed
-	DecisionWait                     // another claim is in flight and may yet be answered
-	DecisionReplay                   // the operation was executed, and its receipt is known
-	DecisionUnknown                  // whether it was executed is unknown, or its receipt was not kept
+	DecisionWait                     // another claim is in flight and has not timed out
+	DecisionReplay                   // the operation was executed, and its receipt is returned
+	DecisionUnknown                  // whether it was executed is unknown, or its receipt was not stored
 )
 
-// String returns the name that operators see.
+// String returns the name in status output.
 func (d Decision) String() string {
 	return [...]string{"none", "go", "wait", "earlier", "lost"}[min(d, DecisionUnknown)]
 }
@@ -86,15 +87,16 @@
 // Outcome is how a granted claim ended.
 type Outcome uint8
 
-// Outcomes.
+// Outcomes of a claim.
 const (
-	OutcomeNotExecuted Outcome = iota // nothing of it was executed, and nothing is in flight
-	OutcomeUnknown                    // nothing more of it is sent, and some of it may have been executed
+	OutcomeNotExecuted Outcome = iota // it was not executed, and no attempt is in flight
+	OutcomeUnknown                    // no more attempts are sent, and one may have been executed
 	OutcomeCompleted                  // it was executed
 )
 
-// decideClaim decides on a claim of a record that was first claimed ageMs ago and last changed unchangedMs ago, both +Inf where that is not known.
-// It returns the record to write if the claim is granted, and how long to wait for DecisionWait. docs/notes/idempotency.md has it as a table.
+// decideClaim decides on a claim, given the current record, which was first claimed ageMs ago and last changed unchangedMs ago (+Inf if
+// unknown). It returns the record to write if the claim is granted, and how long to wait with DecisionWait. docs/notes/idempotency.md has
+// the decision table.
 func decideClaim(r Record, ageMs, unchangedMs float64, id ClaimID, options ClaimOptions) (decision Decision, next Record, waitMs float64) {
 	claimed := Record{State: StateInFlight, Claim: id, TimeoutMs: options.TimeoutMs}
 	switch r.State {
@@ -102,12 +104,12 @@
 		return DecisionGranted, claimed, 0
 	case StateInFlight:
 		if r.Claim == id {
-			return DecisionGranted, r, 0 // it was written before, and its proposer had not heard of it
+			return DecisionGranted, r, 0 // the claim was already accepted, but its proposer did not receive the votes
 		}
 		if unchangedMs < r.TimeoutMs {
 			return DecisionWait, r, r.TimeoutMs - unchangedMs
 		}
-		// The owner may be paused with the request in its hands and send it at any later time: only it can say that nothing more is sent.
+		// The owner may be paused and send the request at any later time. Only the owner knows when it sends no more attempts.
 		return DecisionUnknown, r, 0
 	case StateIndeterminate:
 		if options.DedupWindowMs > 0 && ageMs+options.TimeoutMs <= options.DedupWindowMs {
@@ -122,15 +124,15 @@
 	return DecisionUnknown, r, 0
 }
 
-// settlement is the end of a granted claim as it is to be recorded.
+// settlement is the outcome to record for a granted claim.
 type settlement struct {
 	outcome    Outcome
 	hasReceipt bool
 	receipt    []byte
 }
 
-// apply returns the record after the claim has ended. It returns false where the record is not of that claim. A record that was settled before stays
-// as it is.
+// apply returns the record with the claim settled. A record that is already settled stays unchanged. It returns false if the record does
+// not belong to the claim.
 func (s settlement) apply(r Record, id ClaimID) (Record, bool) {
 	if r.Claim != id || r.State == StateUnclaimed {
 		return r, false
@@ -145,7 +147,7 @@
 	case s.outcome == OutcomeNotExecuted && !r.MayHaveExecuted:
 		next.State = StateUnclaimed
 	default:
-		next.State = StateIndeterminate // also where nothing of this claim was executed, but some of an earlier one may have been
+		next.State = StateIndeterminate // also if this claim was not executed but an earlier one may have been
 	}
 	return next, true
 }
--- a/internal/cluster/idempotency/replicaset.go
+++ b/internal/cluster/idempotency/replicaset.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ReplicaSet lists the members that store records, and the zone of each member by its number ("" or missing: none). The replicas of each key are
-// chosen among them.
+// ReplicaSet lists the members that store records. The replicas of each key are chosen among them. Zones has the zone of each member,
+// indexed by its number; an empty or missing string means no zone.
 type ReplicaSet struct {
 	Members []MemberID
 	Zones   []string
@@ -20,7 +20,7 @@
 	return ""
 }
 
-// hash tells replica sets apart in messages. It is never 0 in practice, which stands for none.
+// hash identifies the replica set in messages, where 0 means no replica set. In practice no replica set has the hash 0.
 func (s *ReplicaSet) hash() uint32 {
 	digest := xxhash.New()
 	for _, m := range s.Members {
@@ -31,24 +31,24 @@
 	return uint32(digest.Sum64())
 }
 
-// candidate is a member with its score for a key.
+// candidate is a member and its score for a key.
 type candidate struct {
 	member MemberID
 	score  uint64
 }
 
-// usualMembers is how many candidates are scored without an allocation.
-const usualMembers = 16
+// typicalMemberCount is the number of candidates that can be scored without an allocation.
+const typicalMemberCount = 16
 
-// replicas returns the members that store a key: those that score highest for it (rendezvous hashing), one of each zone first. Taking one member
-// away moves its keys and no others.
+// replicas returns the members that store a key: those with the highest scores for it (rendezvous hashing), one of each zone first.
+// Removing a member moves only its own keys.
 func (s *ReplicaSet) replicas(key Key, count int) []MemberID {
-	candidates := s.appendCandidates(make([]candidate, 0, usualMembers), key)
+	candidates := s.appendCandidates(make([]candidate, 0, typicalMemberCount), key)
 	count = min(count, len(candidates))
 	chosen := make([]MemberID, 0, count)
 	for len(chosen) < count {
 		best := bestCandidate(candidates, func(m MemberID) bool { return !s.sharesZone(m, chosen) })
-		if best < 0 { // each zone has one
+		if best < 0 { // each zone has a replica already
 			best = bestCandidate(candidates, func(MemberID) bool { return true })
 		}
 		chosen = append(chosen, candidates[best].member)
@@ -67,8 +67,8 @@
 	return candidates
 }
 
-// bestCandidate returns the index of the highest score among the allowed members, and of the lowest number where scores are equal. -1: none is
-// allowed.
+// bestCandidate returns the index of the allowed member with the highest score, or -1 if no member is allowed. Among equal scores the
+// lowest member number wins.
 func bestCandidate(candidates []candidate, allowed func(MemberID) bool) int {
 	best := -1
 	for i, c := range candidates {
@@ -87,20 +87,20 @@
 	return zone != "" && slices.ContainsFunc(others, func(o MemberID) bool { return s.zone(o) == zone })
 }
 
-// replicaGroup is the replicas of one key in one replica set.
+// replicaGroup lists the replicas of one key in one replica set.
 type replicaGroup []MemberID
 
-// quorum is how many members of the group are a majority.
+// quorum returns the number of members that form a majority.
 func (g replicaGroup) quorum() int { return len(g)/2 + 1 }
 
-// replicaGroups are the replicas of one key, in each replica set that is in use. An agreement needs a quorum of each group.
+// replicaGroups lists the replicas of one key in each replica set. A change of a record needs a quorum of each group.
 type replicaGroups []replicaGroup
 
 func (groups replicaGroups) contains(m MemberID) bool {
 	return slices.ContainsFunc(groups, func(g replicaGroup) bool { return slices.Contains(g, m) })
 }
 
-// members returns each member of any group once.
+// members returns the members of all groups, without duplicates.
 func (groups replicaGroups) members() []MemberID {
 	if len(groups) == 1 {
 		return groups[0]
--- a/internal/cluster/idempotency/status.go
+++ b/internal/cluster/idempotency/status.go
@@ -1,6 +1,6 @@
 package idempotency
 
-// Counts are what a member has done and received since its start.
+// Counts counts the operations and messages of a member since its start.
 type Counts struct {
 	Claims             [DecisionUnknown + 1]int `json:"claims"` // by decision
 	Settlements        int                      `json:"settled"`
@@ -12,32 +12,32 @@
 	ReceivedMessages   int                      `json:"messages"`
 }
 
-// Status is what a member shows to operators.
+// Status is the state of a member, as shown to operators.
 type Status struct {
 	Self               MemberID           `json:"self"`
 	StorageIncarnation StorageIncarnation `json:"folder"`
 	State              string             `json:"state"`
 	Records            int                `json:"records"`
-	ByState            map[string]int     `json:"by_state"` // records
+	ByState            map[string]int     `json:"by_state"` // number of records in each state
 	Promises           int                `json:"promises"`
-	PromiseFloor       uint32             `json:"floor"` // rounds up to there are rejected for every key
-	GrantedClaims      int                `json:"out"`   // of this member, that have not been settled
+	PromiseFloor       uint32             `json:"floor"` // rounds up to this one are rejected for every key
+	GrantedClaims      int                `json:"out"`   // granted to this member and not settled yet
 	OpenProposals      int                `json:"asking"`
 	PendingRepairs     int                `json:"to_mend"`
 	CaughtUpWith       []MemberID         `json:"caught_up_with,omitempty"`
-	ConsistentMs       float64            `json:"same_for_ms"`                 // for which scans have found nothing to repair; -1: the last one did, or none has ended
+	ConsistentMs       float64            `json:"same_for_ms"`                 // since a scan last needed repairs; -1: the last scan did, or none has ended
 	UnresponsivePeers  []MemberID         `json:"not_compared_with,omitempty"` // members that did not answer in the last scan
 	Counts             Counts             `json:"counts"`
 	Members            []MemberStatus     `json:"members"`
 }
 
-// MemberStatus is what is known of a member's storage.
+// MemberStatus is the latest known storage incarnation of a member.
 type MemberStatus struct {
 	Member             MemberID           `json:"member"`
 	StorageIncarnation StorageIncarnation `json:"folder"`
 }
 
-// Status returns what the member shows at a time.
+// Status returns the state of the member.
 func (c *Core) Status(now float64) Status {
 	a := c.acceptor
 	s := Status{
@@ -48,7 +48,7 @@
 		ByState:            map[string]int{},
 		Promises:           len(a.promises),
 		PromiseFloor:       a.promiseFloor,
-		GrantedClaims:      len(c.proposer.granted),
+		GrantedClaims:      len(c.proposer.grantedClaims),
 		OpenProposals:      len(c.proposer.proposals),
 		PendingRepairs:     len(c.antiEntropy.repairQueue),
 		ConsistentMs:       -1,
@@ -72,7 +72,7 @@
 	return s
 }
 
-// State returns what this member does as one that stores records. Operators see it, in the log and on the admin port.
+// State describes whether this member stores records, for the log and the admin port.
 func (c *Core) State() string {
 	switch {
 	case c.config.StorageIncarnation == 0:
--- a/internal/cluster/idempotency/storedstate.go
+++ b/internal/cluster/idempotency/storedstate.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// Kinds of stored entries, each of which begins with its kind.
+// Kinds of stored entries. The first byte of an entry is its kind.
 const (
 	recordEntryKind   = 'C'
 	storageEntryKind  = 'V'
@@ -14,13 +14,13 @@
 	caughtUpEntryKind = 'S'
 )
 
-// usualRecordEntrySize is the size of a record's entry without its receipt.
-const usualRecordEntrySize = 96
+// typicalRecordEntrySize is the size in bytes of a record's entry, without its receipt.
+const typicalRecordEntrySize = 96
 
 func newEntry(kind byte) *encoder { return &encoder{[]byte{kind}} }
 
 func recordEntry(key Key, accepted Ballot, r Record) []byte {
-	e := &encoder{make([]byte, 0, usualRecordEntrySize+len(r.Receipt))}
+	e := &encoder{make([]byte, 0, typicalRecordEntrySize+len(r.Receipt))}
 	e.u8(recordEntryKind)
 	e.bytes(key[:])
 	e.ballot(accepted)
@@ -41,20 +41,20 @@
 	return e.b
 }
 
-// CaughtUpEntry returns the entry which says that the storage of an incarnation has all records that it has to store. A new storage has it where
-// nothing was stored before: when the first members of a fleet are set up.
+// CaughtUpEntry returns an entry which says that the storage of an incarnation has all records that it has to store. New storage begins
+// with this entry only when the first members of a fleet are set up, because nothing was stored before.
 func CaughtUpEntry(incarnation StorageIncarnation) []byte {
 	e := newEntry(caughtUpEntryKind)
 	e.u64(uint64(incarnation))
 	return e.b
 }
 
-// StoredState is what the entries of a data directory come to.
+// StoredState is the combined content of the entries in a data directory.
 type StoredState struct {
 	Records         map[Key]VersionedRecord // without their ages, which are not stored
 	KnownStorage    map[MemberID]StorageIncarnation
 	BallotCeiling   uint32
-	CaughtUpStorage StorageIncarnation // that has all records that it has to store
+	CaughtUpStorage StorageIncarnation // incarnation of the storage that has all records it has to store
 }
 
 // NewStoredState returns the state of an empty data directory.
@@ -62,7 +62,7 @@
 	return &StoredState{Records: map[Key]VersionedRecord{}, KnownStorage: map[MemberID]StorageIncarnation{}}
 }
 
-// Apply takes in the next entry, whose values replace earlier ones.
+// Apply applies the next entry. Its values replace earlier ones.
 func (s *StoredState) Apply(entry []byte) error {
 	d := &decoder{b: entry}
 	switch kind := d.u8(); kind {
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// Entries returns the entries that come to this state, without the one of CaughtUpStorage.
+// Entries returns entries that reproduce this state, except for CaughtUpStorage.
 func (s *StoredState) Entries() [][]byte {
 	entries := append(storageEntries(s.KnownStorage), ceilingEntry(s.BallotCeiling))
 	for _, key := range sortedKeys(s.Records) {
@@ -95,7 +95,7 @@
 	return entries
 }
 
-// storageEntries returns an entry of each member, in the order of their numbers.
+// storageEntries returns one entry for each member, sorted by number.
 func storageEntries(known map[MemberID]StorageIncarnation) [][]byte {
 	entries := make([][]byte, 0, len(known)+1)
 	for _, m := range sortedMembers(known) {
