--- a/internal/cluster/idempotency/antientropy_test.go
+++ b/internal/cluster/idempotency/antientropy_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// A late answer to an earlier scan does not end this one: what it lacks would be taken for what nobody has.
+// A late answer to an earlier scan does not end the current one. Otherwise the scan could report consistency without the peer's current
+// records.
 func TestLateAnswersToAnEarlierScan(t *testing.T) {
 	c := newTestCore(0, nil, func(c *Config) { c.AntiEntropyIntervalMs = 100 })
 	c.Tick(1)
@@ -19,10 +20,10 @@
 		return c.Ready().Messages
 	}
 	if sent := answer(2, 0); len(sent) > 0 {
-		t.Errorf("after a late answer it goes on with %+v", sent[0])
+		t.Errorf("after a late answer the scan continues with %+v", sent[0])
 	}
 	if sent := answer(3, 1); len(sent) != 1 || sent[0].To != 2 {
-		t.Errorf("after its answer it goes on with %+v", sent)
+		t.Errorf("after its answer the scan continues with %+v", sent)
 	}
 	if s := c.Status(3); s.ConsistentMs != -1 {
 		t.Errorf("before the scan is over: %+v", s)
--- a/internal/cluster/idempotency/bench_test.go
+++ b/internal/cluster/idempotency/bench_test.go
@@ -6,12 +6,12 @@
 	"testing"
 )
 
-// instantCluster has three members on one clock whose disks and links take no time.
+// instantCluster runs three members on one clock, without disk or network delays.
 type instantCluster struct {
-	cores   []*Core
-	now     float64
-	results map[uint64]Result
-	stored  int // bytes
+	cores       []*Core
+	now         float64
+	results     map[uint64]Result
+	storedBytes int
 }
 
 func newInstantCluster() *instantCluster {
@@ -33,7 +33,7 @@
 	return s
 }
 
-// run passes messages on until there are none.
+// run delivers messages until none are left.
 func (s *instantCluster) run() {
 	for more := true; more; {
 		more = false
@@ -41,7 +41,7 @@
 			r := c.Ready()
 			c.Advance(r)
 			for _, entry := range r.Entries {
-				s.stored += len(entry)
+				s.storedBytes += len(entry)
 			}
 			for _, m := range append(r.Messages, r.MessagesAfterSync...) {
 				more = true
@@ -54,7 +54,8 @@
 	}
 }
 
-// The processor time of all three replicas of an operation together: a claim and its settlement, messages encoded and decoded.
+// BenchmarkOperations measures the processor time of all three replicas for a claim and its settlement, including message encoding and
+// decoding.
 func BenchmarkOperations(b *testing.B) {
 	s := newInstantCluster()
 	receipt := make([]byte, 100)
@@ -80,6 +81,6 @@
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	b.ReportMetric(float64(after.HeapAlloc-before.HeapAlloc)/float64(b.N)/3, "B-memory/record")
-	b.ReportMetric(float64(s.stored)/float64(b.N)/3, "B-disk/record")
+	b.ReportMetric(float64(s.storedBytes)/float64(b.N)/3, "B-disk/record")
 	runtime.KeepAlive(s)
 }
--- a/internal/cluster/idempotency/message_test.go
+++ b/internal/cluster/idempotency/message_test.go
@@ -48,7 +48,7 @@
 	return m
 }
 
-// An encoded message decodes to itself, and one flipped bit is noticed.
+// An encoded message decodes to itself, and a single flipped bit is detected.
 func TestMessageRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := drawMessage(t)
@@ -71,7 +71,8 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		m, err := ParseMessage(b)
 		if err == nil && !bytes.Equal(m.Append(nil), b) {
-			// Only unknown bits of flags may differ: with two encodings of one message there would be two checksums for one meaning.
+			// The input may differ from the encoding in unknown flag bits only. Otherwise one message would have several encodings and
+			// checksums.
 			if again, err := ParseMessage(m.Append(nil)); err != nil || !reflect.DeepEqual(again, m) {
 				t.Errorf("%+v is decoded from its own bytes as %+v, %v", m, again, err)
 			}
@@ -79,11 +80,11 @@
 	})
 }
 
-// No entry, whatever its bytes, makes Apply panic.
+// Apply does not panic on any input.
 func FuzzApplyEntry(f *testing.F) {
 	f.Add(recordEntry(testKey, Ballot{}, Record{Receipt: []byte("r")}))
 	f.Add(storageEntry(MemberStorage{1, 2}))
 	f.Fuzz(func(_ *testing.T, entry []byte) {
-		_ = NewStoredState().Apply(entry) // most are malformed
+		_ = NewStoredState().Apply(entry) // most entries are malformed
 	})
 }
--- a/internal/cluster/idempotency/record_test.go
+++ b/internal/cluster/idempotency/record_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// What becomes of a claim, case by case: the table of docs/notes/idempotency.md.
+// The decision table of docs/notes/idempotency.md.
 func TestDecideClaim(t *testing.T) {
 	own, other := ClaimID{1, 10, 5}, ClaimID{2, 20, 7}
 	unknown := math.Inf(1)
@@ -19,16 +19,16 @@
 		waitMs             float64
 		mayHaveExecuted    bool
 	}{
-		"first claim":                               {record: Record{}, want: DecisionGranted},
-		"earlier claim was not executed":            {record: Record{State: StateUnclaimed, Claim: other}, ageMs: 50, unchangedMs: 10, want: DecisionGranted},
-		"in flight":                                 {record: inFlight, ageMs: 100, unchangedMs: 100, want: DecisionWait, waitMs: 400},
-		"in flight beyond its timeout":              {record: inFlight, ageMs: 600, unchangedMs: 600, dedupWindowMs: 10000, want: DecisionUnknown},
-		"in flight for an unknown time":             {record: inFlight, ageMs: unknown, unchangedMs: unknown, dedupWindowMs: 10000, want: DecisionUnknown},
-		"own claim whose answers were lost":         {record: Record{State: StateInFlight, Claim: own, TimeoutMs: 500}, ageMs: 900, unchangedMs: 900, want: DecisionGranted},
-		"indeterminate, no deduplication":           {record: indeterminate, ageMs: 100, unchangedMs: 10, want: DecisionUnknown},
-		"indeterminate, within the dedup window":    {record: indeterminate, ageMs: 100, unchangedMs: 10, dedupWindowMs: 700, want: DecisionGranted, mayHaveExecuted: true},
-		"indeterminate, beyond the dedup window":    {record: indeterminate, ageMs: 300, unchangedMs: 10, dedupWindowMs: 700, want: DecisionUnknown},
-		"indeterminate, first claimed unknown time": {record: indeterminate, ageMs: unknown, unchangedMs: 10, dedupWindowMs: 700, want: DecisionUnknown},
+		"first claim":                                {record: Record{}, want: DecisionGranted},
+		"earlier claim was not executed":             {record: Record{State: StateUnclaimed, Claim: other}, ageMs: 50, unchangedMs: 10, want: DecisionGranted},
+		"in flight":                                  {record: inFlight, ageMs: 100, unchangedMs: 100, want: DecisionWait, waitMs: 400},
+		"in flight beyond its timeout":               {record: inFlight, ageMs: 600, unchangedMs: 600, dedupWindowMs: 10000, want: DecisionUnknown},
+		"in flight for an unknown time":              {record: inFlight, ageMs: unknown, unchangedMs: unknown, dedupWindowMs: 10000, want: DecisionUnknown},
+		"own claim whose answers were lost":          {record: Record{State: StateInFlight, Claim: own, TimeoutMs: 500}, ageMs: 900, unchangedMs: 900, want: DecisionGranted},
+		"indeterminate, no deduplication":            {record: indeterminate, ageMs: 100, unchangedMs: 10, want: DecisionUnknown},
+		"indeterminate, within the dedup window":     {record: indeterminate, ageMs: 100, unchangedMs: 10, dedupWindowMs: 700, want: DecisionGranted, mayHaveExecuted: true},
+		"indeterminate, beyond the dedup window":     {record: indeterminate, ageMs: 300, unchangedMs: 10, dedupWindowMs: 700, want: DecisionUnknown},
+		"indeterminate, time of first claim unknown": {record: indeterminate, ageMs: unknown, unchangedMs: 10, dedupWindowMs: 700, want: DecisionUnknown},
 		"completed":                          {record: Record{State: StateCompleted, Claim: other, HasReceipt: true, Receipt: []byte("r")}, ageMs: 9, unchangedMs: 9, want: DecisionReplay},
 		"completed with too large a receipt": {record: Record{State: StateCompleted, Claim: other}, ageMs: 9, unchangedMs: 9, want: DecisionUnknown},
 	} {
@@ -51,9 +51,9 @@
 		wantOK     bool
 	}{
 		"not executed": {Record{State: StateInFlight, Claim: own}, settlement{outcome: OutcomeNotExecuted}, StateUnclaimed, true},
-		"not executed after one that may have been": {Record{State: StateInFlight, Claim: own, MayHaveExecuted: true}, settlement{outcome: OutcomeNotExecuted}, StateIndeterminate, true},
-		"claim of another":                          {Record{State: StateInFlight, Claim: other}, settlement{outcome: OutcomeCompleted, hasReceipt: true}, StateInFlight, false},
-		"settled before":                            {Record{State: StateCompleted, Claim: own, HasReceipt: true, Receipt: []byte("r")}, settlement{outcome: OutcomeUnknown}, StateCompleted, true},
+		"not executed, earlier claim may have been": {Record{State: StateInFlight, Claim: own, MayHaveExecuted: true}, settlement{outcome: OutcomeNotExecuted}, StateIndeterminate, true},
+		"record of another claim":                   {Record{State: StateInFlight, Claim: other}, settlement{outcome: OutcomeCompleted, hasReceipt: true}, StateInFlight, false},
+		"already settled":                           {Record{State: StateCompleted, Claim: own, HasReceipt: true, Receipt: []byte("r")}, settlement{outcome: OutcomeUnknown}, StateCompleted, true},
 	} {
 		next, ok := c.settlement.apply(c.record, own)
 		if next.State != c.want || ok != c.wantOK {
--- a/internal/cluster/idempotency/replicaset_test.go
+++ b/internal/cluster/idempotency/replicaset_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// Replicas stand in different zones where there are enough, and one member less moves its own keys and no others.
+// Replicas of a key are in different zones if there are enough zones, and removing a member moves only its own keys.
 func TestReplicas(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var set ReplicaSet
@@ -23,12 +23,12 @@
 			zones[set.Zones[m]] = true
 		}
 		if len(replicas) != 3 || len(zones) != 3 {
-			t.Fatalf("%v stand in %v", replicas, zones)
+			t.Fatalf("%v are in the zones %v", replicas, zones)
 		}
-		gone := rapid.SampledFrom(set.Members).Draw(t, "gone")
-		smaller := ReplicaSet{Zones: set.Zones, Members: slices.DeleteFunc(slices.Clone(set.Members), func(m MemberID) bool { return m == gone })}
-		if !slices.Contains(replicas, gone) && !reflect.DeepEqual(smaller.replicas(key, 3), replicas) {
-			t.Fatalf("%v became %v without %d", replicas, smaller.replicas(key, 3), gone)
+		removed := rapid.SampledFrom(set.Members).Draw(t, "gone")
+		remaining := ReplicaSet{Zones: set.Zones, Members: slices.DeleteFunc(slices.Clone(set.Members), func(m MemberID) bool { return m == removed })}
+		if !slices.Contains(replicas, removed) && !reflect.DeepEqual(remaining.replicas(key, 3), replicas) {
+			t.Fatalf("%v became %v without %d", replicas, remaining.replicas(key, 3), removed)
 		}
 	})
 }
