--- a/internal/cluster/idempotency/acceptor.go
+++ b/internal/cluster/idempotency/acceptor.go
@@ -126,7 +126,7 @@
 	case MsgPrepare, MsgAccept:
 		groups := a.config.replicaGroups(m.Key)
 		if !groups.contains(a.config.Self) || !a.mayVote(groups) {
-			return // like a member that is down
+			return // ignored, as by a member that is down
 		}
 		if m.Type == MsgPrepare {
 			a.handlePrepare(now, m, groups)
@@ -137,16 +137,16 @@
 }
 
 // newReply returns an answer to a request.
-func (a *acceptor) newReply(request *Message, kind MessageType) *Message {
-	r := a.config.newMessage(kind, request.From)
+func (a *acceptor) newReply(request *Message, messageType MessageType) *Message {
+	r := a.config.newMessage(messageType, request.From)
 	r.Number, r.Key = request.Number, request.Key
 	return r
 }
 
 // newVote returns an answer to MsgPrepare or MsgAccept. It lists the known storage of the key's replicas, so that the proposer can ignore
 // votes from lost storage.
-func (a *acceptor) newVote(request *Message, kind MessageType, groups replicaGroups) *Message {
-	r := a.newReply(request, kind)
+func (a *acceptor) newVote(request *Message, messageType MessageType, groups replicaGroups) *Message {
+	r := a.newReply(request, messageType)
 	r.Ballot, r.KnownStorage = request.Ballot, a.knownStorageOf(groups)
 	return r
 }
--- a/internal/cluster/idempotency/catchup_test.go
+++ b/internal/cluster/idempotency/catchup_test.go
@@ -64,7 +64,7 @@
 			PromiseFloor: 700, KnownStorage: []MemberStorage{{2, 80}},
 		})
 	}
-	page(1, 40) // requested by earlier storage: the page may lack records on which earlier storage voted later
+	page(1, 40) // requested by the previous storage, which may have voted on more records since
 	page(2, testStorage)
 	if c.CaughtUp() || len(deliver(c, 6, newPrepare(1, 9000)).MessagesAfterSync) > 0 {
 		t.Fatal("it votes having caught up with one of two others")
--- a/internal/cluster/idempotency/config.go
+++ b/internal/cluster/idempotency/config.go
@@ -20,7 +20,7 @@
 	RetryIntervalMs       float64             // initial delay before an unanswered request is sent again
 	MaxRecords            int                 // stored records; at this limit promises for new keys are refused; 0: no limit
 	MaxReceiptBytes       int                 // larger receipts are not stored
-	RepairsPerSecond      float64             // limits the records that are caught up or repaired
+	RepairsPerSecond      float64             // limits the records that are copied during catch-up, and the repairs
 	AntiEntropyIntervalMs float64             // between the starts of two scans of the other members' records; 0: no scans
 	BallotCeilingStep     uint32              // rounds by which the ballot ceiling is raised at a time; 0: defaultBallotCeilingStep
 	Seed                  uint64              // of the retry jitter
@@ -74,8 +74,8 @@
 }
 
 // newMessage returns a message from this member.
-func (c *Config) newMessage(kind MessageType, to MemberID) *Message {
-	return &Message{Type: kind, From: c.Self, To: to, StorageIncarnation: c.StorageIncarnation, ReplicaSetHashes: c.replicaSetHashes}
+func (c *Config) newMessage(messageType MessageType, to MemberID) *Message {
+	return &Message{Type: messageType, From: c.Self, To: to, StorageIncarnation: c.StorageIncarnation, ReplicaSetHashes: c.replicaSetHashes}
 }
 
 // maxBackoffFactor limits the backoff between two requests, in multiples of RetryIntervalMs.
--- a/internal/cluster/idempotency/proposer.go
+++ b/internal/cluster/idempotency/proposer.go
@@ -148,11 +148,11 @@
 }
 
 func (pr *proposer) newRequest(now float64, p *proposal, to MemberID) *Message {
-	kind := MsgPrepare
+	messageType := MsgPrepare
 	if p.phase == accepting {
-		kind = MsgAccept
+		messageType = MsgAccept
 	}
-	request := pr.config.newMessage(kind, to)
+	request := pr.config.newMessage(messageType, to)
 	request.Number, request.Key, request.Ballot = p.number, p.key, p.ballot
 	if p.phase == accepting {
 		request.Record, request.AgeMs = p.proposed, p.ageMs+now-p.phaseStartedAt
--- a/internal/cluster/idempotency/status.go
+++ b/internal/cluster/idempotency/status.go
@@ -25,7 +25,7 @@
 	OpenProposals      int                `json:"asking"`
 	PendingRepairs     int                `json:"to_mend"`
 	CaughtUpWith       []MemberID         `json:"caught_up_with,omitempty"`
-	ConsistentMs       float64            `json:"same_for_ms"`                 // since a scan last needed repairs; -1: the last scan did, or none has ended
+	ConsistentMs       float64            `json:"same_for_ms"`                 // how long scans have needed no repair; -1: the last one did, or none has ended
 	UnresponsivePeers  []MemberID         `json:"not_compared_with,omitempty"` // members that did not answer in the last scan
 	Counts             Counts             `json:"counts"`
 	Members            []MemberStatus     `json:"members"`
