--- a/internal/cluster/idempotency/replica/replica.go
+++ b/internal/cluster/idempotency/replica/replica.go
@@ -33,7 +33,7 @@
 const (
 	// receivedQueue is how many datagrams wait for the member's goroutine. More are dropped.
 	receivedQueue = 4096
-	// ticksPerRetry is how often the core is ticked within its RetryMs.
+	// ticksPerRetry is how often the core is ticked within its RetryIntervalMs.
 	ticksPerRetry = 4
 	// minTickInterval is the shortest time between two ticks.
 	minTickInterval = time.Millisecond
@@ -182,7 +182,7 @@
 // run is the member's goroutine.
 func (r *Replica) run() {
 	defer r.shutDown()
-	retryInterval := clock.Duration(r.config.Core.RetryMs)
+	retryInterval := clock.Duration(r.config.Core.RetryIntervalMs)
 	ticker := time.NewTicker(max(minTickInterval, retryInterval/ticksPerRetry))
 	defer ticker.Stop()
 	for {
@@ -267,7 +267,7 @@
 		more = r.send(ready.Messages)
 		ready.Messages = nil
 		switch {
-		case ready.Empty():
+		case ready.NothingToSync():
 		case !r.stores() && !r.recovering():
 			r.core.Advance(ready) // it promises nothing
 		default:
--- a/internal/cluster/idempotency/simcluster/cluster_test.go
+++ b/internal/cluster/idempotency/simcluster/cluster_test.go
@@ -50,7 +50,7 @@
 func TestOneEffectThroughLostDisks(t *testing.T) {
 	lost := 0
 	for _, seed := range []uint64{1001, 1004, 1029} {
-		c := newCluster(3, seed, func(config *idempotency.Config) { config.BallotBlock = 1 })
+		c := newCluster(3, seed, func(config *idempotency.Config) { config.BallotCeilingStep = 1 })
 		c.links.Set(c.allNodes(), c.allNodes(), func(l *faultrelay.Link) {
 			*l = faultrelay.Link{LossRate: 0.1, JitterMs: 150, Duplicates: 1, DuplicateDelayMs: 300}
 		})
@@ -130,7 +130,7 @@
 	if t.Logf("%d records have three copies again after %.0f ms", records, c.now-start); !c.storeAlike() || records < 50 {
 		t.Errorf("%d records, after %.0f ms", records, c.now-start)
 	}
-	if repaired := c.nodes[2].core.Status(c.now).Counts.Repaired; repaired < records/2 {
+	if repaired := c.nodes[2].core.Status(c.now).Counts.RepairedRecords; repaired < records/2 {
 		t.Errorf("it repaired %d", repaired)
 	}
 	c.reportViolations(t)
@@ -142,7 +142,7 @@
 	for _, key := range first.Keys() {
 		record, _ := first.Record(key)
 		for _, n := range c.nodes[1:] {
-			if other, ok := n.core.Record(key); !ok || other.Accepted != record.Accepted {
+			if other, ok := n.core.Record(key); !ok || other.AcceptedBallot != record.AcceptedBallot {
 				return false
 			}
 		}
