--- a/internal/node/clients/closing_test.go
+++ b/internal/node/clients/closing_test.go
@@ -24,7 +24,7 @@
 	busy.send(command("KV.GET", "k", "1", testExtra) + "*1\r\n")
 	x := r.nextRequest()
 	r.server.Lifecycle.BeginStop()
-	r.server.Sweep()
+	r.server.DrainConns()
 	quiet.expectEnd()
 	x.Respond(exchange.Response{Value: []byte("v")})
 	busy.expect("$1\r\nv\r\n")
@@ -54,7 +54,7 @@
 		sweep := func(from, to time.Duration) {
 			for ; from < to; from += 50 * time.Millisecond {
 				time.Sleep(50 * time.Millisecond)
-				r.server.Sweep()
+				r.server.DrainConns()
 			}
 		}
 		kept, quiet, gone := r.dial(), r.dial(), r.dial()
@@ -143,7 +143,7 @@
 		wg.Add(len(cs))
 		go func() {
 			r.server.Lifecycle.BeginStop()
-			r.server.Sweep()
+			r.server.DrainConns()
 		}()
 		for i, c := range cs {
 			go func() {
@@ -183,9 +183,9 @@
 		time.Sleep(time.Millisecond)
 	}
 	r.server.Lifecycle.BeginStop()
-	r.server.Sweep()
+	r.server.DrainConns()
 	r.server.Lifecycle.FinishStop()
-	r.server.Sweep()
+	r.server.DrainConns()
 	n := c.readValuesThenRejections()
 	if !taken(fmt.Sprint(n-1)) || taken(fmt.Sprint(n)) {
 		t.Errorf("%d were answered, and the one behind was taken: %v", n, taken(fmt.Sprint(n)))
@@ -237,7 +237,7 @@
 		if near {
 			r.server.Lifecycle.FinishStop()
 		}
-		r.server.Sweep()
+		r.server.DrainConns()
 		c.send(text[20:])
 		if got, how := c.readReplies(); how != nil || len(got) != 1 || got[0] != "v1" {
 			t.Errorf("near the end %v: replies %q, %v", near, got, how)
@@ -285,7 +285,7 @@
 	}
 	r.server.Lifecycle.BeginStop()
 	r.server.Lifecycle.FinishStop()
-	r.server.Sweep()
+	r.server.DrainConns()
 	time.Sleep(20 * time.Millisecond) // the reader has seen the end of the stop
 	for _, x := range taken {
 		x.Respond(exchange.Response{Value: []byte("v")})
--- a/internal/node/clients/server.go
+++ b/internal/node/clients/server.go
@@ -271,13 +271,13 @@
 	}
 }
 
-// newConnGrace is for how long Sweep spares a connection on which nothing has arrived, in ms: its first command may be on
+// newConnGrace is for how long DrainConns spares a connection on which nothing has arrived, in ms: its first command may be on
 // its way.
 const newConnGrace = 250
 
-// Sweep has connections without requests in flight closed as the lifecycle says. New ones are accepted and served until
+// DrainConns has connections without requests in flight closed as the lifecycle says. New ones are accepted and served until
 // Close.
-func (s *Server) Sweep() {
+func (s *Server) DrainConns() {
 	for _, c := range s.toClose() {
 		c.requestDeparture()
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -249,7 +249,7 @@
 	n.handover.markServing()
 	n.life.SetSuccessor(true)
 	n.frontend.SetHandover(channel.PassClient)
-	n.frontend.Sweep()
+	n.frontend.DrainConns()
 	n.upstreams.CloseUnused()
 	n.log.Info("successor ready, handing over client connections")
 	_ = n.runOnLoop(func(float64) {}) // it wakes the loop, which sweeps the clients that are left; a busy one is awake
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -112,5 +112,5 @@
 		return
 	}
 	n.nextSweepAt = now + float64(sweepInterval/time.Millisecond)
-	go n.frontend.Sweep()
+	go n.frontend.DrainConns()
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -43,7 +43,7 @@
 	start := time.Now()
 	n.life.BeginStop()
 	n.inbox.post(stopDeadline{n.clock.Now() + float64(max(0, bound-holdUpAllowance)/time.Millisecond)})
-	n.frontend.Sweep()
+	n.frontend.DrainConns()
 	if _, phase := n.handover.other(); phase.successorAccepts() {
 		// New clients go to the successor already, and so do clients between two requests. Those that never pause are closed in time.
 		defer time.AfterFunc(bound/2, n.life.FinishStop).Stop()
@@ -52,7 +52,7 @@
 		n.life.FinishStop()
 	}
 	n.frontend.Close(time.Until(start.Add(bound - holdUpAllowance)))
-	n.frontend.Sweep()
+	n.frontend.DrainConns()
 	n.inbox.post(stopRequest{})
 	select {
 	case <-n.shutdown.drained:
