--- a/internal/node/clients/closing.go
+++ b/internal/node/clients/closing.go
@@ -13,18 +13,18 @@
 	"mintspring/internal/node/sockstate"
 )
 
-// longAgo is a deadline that has passed: a read in progress returns, and so does the next one, without having read.
-var longAgo = time.Unix(1, 0) //nolint:forbidigo // before any time of the wall clock
+// expiredDeadline is a deadline in the past: a blocked read or accept returns at once, and so does the next one.
+var expiredDeadline = time.Unix(1, 0) //nolint:forbidigo // a constant, no reading of the wall clock
 
-// lingerDivisor divides the write timeout into the time for which the reader lingers.
+// lingerDivisor divides Config.WriteTimeout into the time for which linger keeps reading after the last reply.
 const lingerDivisor = 4
 
-// close closes the connection and reports its requests without a response as abandoned. It reports false if the connection
-// was closed already.
+// close closes the connection and reports its requests without a response to the Handler. It returns false if the connection was closed
+// already.
 func (c *conn) close() bool { return c.closeIf(func(*sharedState) bool { return true }) }
 
-// closeIfQuiet closes the connection if it is between requests, and reports whether it did.
-func (c *conn) closeIfQuiet() bool { return c.closeIf((*sharedState).betweenRequests) }
+// closeIfBetweenRequests closes the connection if it is between requests, and reports whether it did.
+func (c *conn) closeIfBetweenRequests() bool { return c.closeIf((*sharedState).betweenRequests) }
 
 func (c *conn) closeIf(condition func(*sharedState) bool) bool {
 	c.mu.Lock()
@@ -34,17 +34,17 @@
 	}
 	c.addBuffered(-c.state.buffered)
 	if c.state.usage >= usageRequested {
-		c.server.requesters.Add(-1)
+		c.server.connsWithRequest.Add(-1)
 	}
 	unwritten, stream := c.state.close()
 	c.cond.Broadcast()
 	c.mu.Unlock()
 	c.closeNet()
 	if stream != nil {
-		stream.Close() // its server may be silent for long, and the writer blocked by that
+		stream.Close() // unblocks the writer, which may wait for a silent server
 	}
 	for _, r := range unwritten {
-		c.drop(r)
+		c.discardReply(r)
 	}
 	return true
 }
@@ -55,8 +55,9 @@
 	c.server.remove(c)
 }
 
-// drop releases what a reply holds that will not be written.
-func (c *conn) drop(r pendingReply) {
+// discardReply releases the memory, the body and the stream of a reply that will not be written. If its request has no response yet, the
+// Handler is told that the client has gone.
+func (c *conn) discardReply(r pendingReply) {
 	if r.reserved > 0 {
 		c.server.Memory.Release(r.reserved)
 	}
@@ -74,35 +75,38 @@
 	}
 }
 
-// requestDeparture has the reader end the connection as the lifecycle says, or hand it over to another process.
-func (c *conn) requestDeparture() {
+// requestDrain interrupts the reader, so that it closes the connection or hands it over to another process if the lifecycle asks for that
+// (tryDrain).
+func (c *conn) requestDrain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.state.phase == phaseOpen {
-		c.state.departing = true
-		c.setReadDeadline(longAgo)
+		c.state.drainRequested = true
+		c.setReadDeadline(expiredDeadline)
 	}
 }
 
-func (c *conn) takeDeparture() bool {
+// consumeDrainRequest reports whether the reader has been asked to drain the connection, and clears the request.
+func (c *conn) consumeDrainRequest() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state.takeDeparture()
+	return c.state.consumeDrainRequest()
 }
 
-// tryDepart ends the connection or hands it over if that may be, and reports whether it did. The reader calls it with no part of
-// a command read. Bytes that have arrived but are not read yet are served before. Closing takes two steps: the writer ends
-// sending after the last reply, and bytes that the client sends until it sees that end are read and dropped (linger).
+// tryDrain closes the connection or hands it over if the lifecycle asks for that and nothing is in flight, and reports whether it did.
+// The reader calls it when no part of a command has been read. Bytes that have arrived but are not read yet are served first. Closing
+// takes two steps: the writer shuts down the sending side after the last reply, and the reader drops the bytes that the client sends
+// until it sees that (linger).
 //
-// Near the end of a stop, requests that arrive behind those in flight are rejected: to drop them would lose them, and to leave
-// them unread would hide a disconnect.
-func (c *conn) tryDepart() bool {
-	closing := c.closingStage()
+// Near the end of a stop, requests that arrive behind those in flight are rejected: dropping them would lose them, and leaving them
+// unread would hide a disconnect.
+func (c *conn) tryDrain() bool {
+	mode := c.closeMode()
 	c.mu.Lock()
-	between, open := c.state.betweenRequests(), c.state.phase == phaseOpen
+	betweenRequests, open := c.state.betweenRequests(), c.state.phase == phaseOpen
 	c.mu.Unlock()
-	c.rejecting = c.rejecting || closing == lifecycle.StopReading && !between
-	if !open || !between || closing == lifecycle.KeepOpen {
+	c.rejecting = c.rejecting || mode == lifecycle.StopReading && !betweenRequests
+	if !open || !betweenRequests || mode == lifecycle.KeepOpen {
 		return false
 	}
 	if c.handOver() {
@@ -116,32 +120,32 @@
 	return true
 }
 
-// handOver passes the connection to another process, and reports false if there is none or something is in flight.
+// handOver passes the connection to another process. It reports false if there is no other process or something is in flight.
 func (c *conn) handOver() bool {
-	pass := c.server.handoverFunc()
+	passConn := c.server.handoverFunc()
 	c.mu.Lock()
-	if pass == nil || !c.state.betweenRequests() {
+	if passConn == nil || !c.state.betweenRequests() {
 		c.mu.Unlock()
 		return false
 	}
 	requested := c.state.usage >= usageRequested
 	if requested {
-		c.server.requesters.Add(-1)
+		c.server.connsWithRequest.Add(-1)
 	}
 	c.state.close()
 	c.cond.Broadcast()
 	c.mu.Unlock()
-	pass(c.net, requested) // if it fails, the connection is closed between requests, as without another process
+	passConn(c.net, requested) // on failure the connection is closed between requests, as it is without another process
 	c.closeNet()
 	return true
 }
 
-// linger reads and drops bytes until the last reply is written, and after it for a while and for so many bytes that a client
-// cannot have sent before it saw the end: closing over unread bytes would reset the connection, and the client would lose what
-// it has not read yet. Then it closes the connection.
+// linger reads and drops bytes until the last reply is written, then for WriteTimeout/lingerDivisor or until it has dropped
+// maxConnBuffered bytes, more than a client can have sent before it sees the end. Then it closes the connection. Closing over unread
+// bytes would reset the connection, and the client would lose replies that it has not read yet.
 func (c *conn) linger() {
 	timeout := clock.Duration(c.server.Config().WriteTimeout / lingerDivisor)
-	var deadline time.Time // once the last reply is written
+	var deadline time.Time // zero until the last reply is written
 	for dropped := int64(0); dropped < maxConnBuffered; {
 		finished, now := c.writerFinished(), time.Now()
 		if finished && deadline.IsZero() {
@@ -169,7 +173,7 @@
 	return c.state.writer == writerFinished || c.state.phase == phaseClosed
 }
 
-// setReadDeadline sets the read deadline; zero: none.
+// setReadDeadline sets the read deadline; the zero time removes it.
 func (c *conn) setReadDeadline(deadline time.Time) {
 	_ = c.net.SetReadDeadline(deadline) // fails only on a closed connection, and then reading fails too
 }
--- a/internal/node/clients/closing_test.go
+++ b/internal/node/clients/closing_test.go
@@ -261,11 +261,11 @@
 }
 
 // At shutdown such a connection is not closed as idle either: its request is served first.
-func TestUnreadRequestPreventsDeparture(t *testing.T) {
+func TestUnreadRequestPreventsDrain(t *testing.T) {
 	r := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
 	c, _ := unreadConn(r)
 	r.server.Lifecycle.FinishStop()
-	if c.tryDepart() || c.state.phase != phaseOpen {
+	if c.tryDrain() || c.state.phase != phaseOpen {
 		t.Error("it was closed over a request")
 	}
 }
@@ -308,15 +308,15 @@
 	t.Cleanup(func() { _ = near.Close() })
 	passed := 0
 	pass := func(net.Conn, bool) bool { passed++; return true }
-	if r.server.passAccepted(far) || passed > 0 {
+	if r.server.handOverAccepted(far) || passed > 0 {
 		t.Error("a connection is passed to nobody")
 	}
 	r.server.SetHandover(pass)
-	if r.server.passAccepted(far) || passed > 0 {
+	if r.server.handOverAccepted(far) || passed > 0 {
 		t.Error("a connection is passed while this process accepts")
 	}
 	r.server.Lifecycle.SetSuccessor(true)
-	if !r.server.passAccepted(far) || passed != 1 {
+	if !r.server.handOverAccepted(far) || passed != 1 {
 		t.Errorf("the connection was passed %d times", passed)
 	}
 	if _, err := far.Write([]byte{0}); !errors.Is(err, io.ErrClosedPipe) {
--- a/internal/node/clients/config.go
+++ b/internal/node/clients/config.go
@@ -5,31 +5,31 @@
 	"mintspring/internal/fleet"
 )
 
-// minWriteTimeout is the least time after which a client that reads nothing is closed, in ms.
+// minWriteTimeout is the minimum of Config.WriteTimeout, in ms.
 const minWriteTimeout = 1000
 
-// Config is what one generation of the settings says about requests: the names that clients use, and limits. It is not
-// changed once in use.
+// Config is the part of the settings that applies to requests: the names that clients use, and limits. It is immutable once in use.
 type Config struct {
 	Classes        map[string]*Class
 	Tenants        map[string]fleet.TenantID
-	ReturnMargin   float64 // ms of a client's time limit that are kept for the reply's way back
-	LongestTimeout float64 // ms, of all classes
-	WriteTimeout   float64 // ms after which a client that reads nothing is closed: the longest timeout, or minWriteTimeout
-	RetryAfter     float64 // ms sent to a client whose request is rejected before the node has seen it; 0: not sent
+	ReplyMargin    float64 // ms of a client's time limit that are reserved for sending the reply
+	LongestTimeout float64 // ms; the longest client timeout of all classes
+	WriteTimeout   float64 // ms after which a client that reads nothing is closed: LongestTimeout, but at least minWriteTimeout
+	RetryAfter     float64 // ms, sent with the rejection of a request that has not reached the Handler; 0: not sent
 }
 
-// Class is a request class as clients name it.
+// Class is a request class with its ID.
 type Class struct {
 	ID fleet.ClassID
 	fleet.Class
 }
 
-// NewConfig returns the configuration of a deployment. The function id returns the id of a class by its name.
+// NewConfig returns the configuration of a deployment. The function id looks up the ID of a class by its name; classes that it does not
+// know are left out.
 func NewConfig(d settings.Deployment, id func(name string) (fleet.ClassID, bool)) *Config {
 	c := &Config{
 		Classes: map[string]*Class{}, Tenants: map[string]fleet.TenantID{},
-		ReturnMargin: d.Limits.Quantum,
+		ReplyMargin: d.Limits.Quantum,
 	}
 	for i, name := range d.RequestClasses {
 		if classID, known := id(name); known {
@@ -47,8 +47,8 @@
 	return c
 }
 
-// Deadline returns when a request must have its response that arrived at a time from a client that waits for so many ms; +Inf:
-// the client does not say how long.
+// Deadline returns the time by which a request must have its response. The client waits clientLimit ms from arrivedAt on; +Inf means that
+// it states no limit.
 func (c *Config) Deadline(class *fleet.Class, arrivedAt, clientLimit float64) float64 {
-	return arrivedAt + max(1, min(clientLimit, class.ClientTimeout)-c.ReturnMargin)
+	return arrivedAt + max(1, min(clientLimit, class.ClientTimeout)-c.ReplyMargin)
 }
--- a/internal/node/clients/conn.go
+++ b/internal/node/clients/conn.go
@@ -10,33 +10,33 @@
 	"mintspring/internal/node/sockstate"
 )
 
-// Bounds for one client.
+// Limits for one connection.
 const (
-	maxPipelined    = 64                             // commands that may wait for their replies
-	maxReadAhead    = 32 << 10                       // bytes read beyond these commands, so that a disconnect is noticed
+	maxPipelined    = 64                             // commands that wait for their replies
+	maxReadAhead    = 32 << 10                       // bytes read beyond these commands to notice a disconnect
 	maxConnBuffered = 4 * exchange.MaxBufferedValue  // bytes of these commands and their replies
 	maxDiscard      = 16 * exchange.MaxBufferedValue // bytes of an oversized value that are read and dropped
-	overloadFactor  = 1.5                            // times Server.MaxBuffered: values of replies that have to wait are dropped
+	overloadFactor  = 1.5                            // multiple of Server.MaxBuffered beyond which values that have to wait are dropped
 )
 
-// requestOverhead is how many bytes a request takes besides its parts.
+// requestOverhead is the number of bytes that a request takes in addition to its arguments.
 const requestOverhead = 512
 
-// conn is one client's connection. One goroutine reads, also while requests are in flight, so that a disconnect is noticed;
-// one writes the replies in the order of the commands. Only the reader ends a connection for being idle, since it alone knows
-// that no part of a command has been read.
+// conn is one client's connection. The reader goroutine also reads while requests are in flight, so that it notices a disconnect; the
+// writer goroutine writes the replies in the order of the commands. Only the reader drains a connection, since it alone knows that no
+// part of a command has been read.
 type conn struct {
 	server     *Server
 	net        net.Conn
-	jitter     float64 // from [0,1), spreads the ends of connections that are closed together
+	jitter     float64 // from [0,1), spreads the closing times of connections that are drained together
 	acceptedAt float64
-	// waitingSince is when what is read may have come, where the connection waited to be accepted; 0: it did not, or all that came meanwhile has
-	// been read. Owned by the reader.
-	waitingSince float64
-	rejecting    bool // the node is about to end, and requests are rejected unforwarded; owned by the reader
+	// backloggedSince is when bytes may have begun to arrive on a connection that waited in the accept backlog. It is 0 if the connection
+	// did not wait, and once all that arrived meanwhile has been read. Owned by the reader.
+	backloggedSince float64
+	rejecting       bool // the process is about to end, and requests are rejected without being forwarded; owned by the reader
 
 	mu    sync.Mutex // guards state
-	cond  sync.Cond  // state has changed
+	cond  sync.Cond  // signals that state has changed
 	state sharedState
 }
 
@@ -54,16 +54,16 @@
 	return c
 }
 
-// submit queues the reply of a request and passes the request on, and reports whether it did. Memory that is reserved for the
-// value belongs to the reply once that is queued; nil: the value counts as buffered.
+// submit queues the reply of a request and hands the request to the Handler. It reports whether it did. The queued reply takes over the
+// memory reserved for the value; if reserved is nil, the value counts as buffered.
 func (c *conn) submit(request *exchange.Exchange, reserved *reservation) bool {
 	size := int64(requestOverhead)
 	if reserved == nil {
 		size += int64(len(request.Key) + len(request.ID) + len(request.Extra) + len(request.Value))
 	}
-	if c.rejecting || c.server.overMemory(size, 1) {
-		// Rejected before anything was sent: the node is about to end, or other requests hold all the memory that there is.
-		c.reply(c.server.rejection(), false)
+	if c.rejecting || c.server.exceedsMaxBuffered(size, 1) {
+		// Nothing has been sent for the request: the process is about to end, or other requests hold all the memory.
+		c.reply(c.server.rejectedReply(), false)
 		return false
 	}
 	if !c.server.claimID(request) {
@@ -71,14 +71,14 @@
 		return false
 	}
 	request.Client = c
-	use := c.recordRequest()
+	ordinal := c.recordRequest()
 	if !c.enqueue(pendingReply{request: request, size: size, reserved: reserved.bytes()}) {
 		c.server.releaseID(request)
 		return false
 	}
-	reserved.transfer() // also if the handler panics
+	reserved.transfer() // before the call of the Handler, which may panic
 	c.server.Handler.HandleRequest(request)
-	switch use {
+	switch ordinal {
 	case firstRequest:
 		c.server.onFirstRequest()
 	case secondRequest:
@@ -88,22 +88,22 @@
 	return true
 }
 
-func (c *conn) recordRequest() requestUse {
+func (c *conn) recordRequest() requestOrdinal {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.recordRequest()
 }
 
-// reply queues a reply of this node's own; with last the connection is closed after it.
+// reply queues a reply that does not come from a server. If last is set, the connection is closed after it.
 func (c *conn) reply(text string, last bool) { c.enqueue(pendingReply{text: text, last: last}) }
 
-// replyError queues an error reply to what cannot be accepted. The message may contain what the client sent.
+// replyError queues an error reply to a command that cannot be accepted. The message may contain client input.
 func (c *conn) replyError(message string, last bool) {
 	c.server.counters.malformed.Add(1)
 	c.reply(errorReply(message), last)
 }
 
-// enqueue appends a reply in the order of the commands. It reports false if no more are taken.
+// enqueue appends a reply to the queue, which is in the order of the commands. It reports false if the connection takes no more replies.
 func (c *conn) enqueue(r pendingReply) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +115,7 @@
 	return true
 }
 
-// addBuffered counts bytes buffered for the connection. Called with the mutex held.
+// addBuffered adds to the bytes buffered for the connection and for the server. Called with the mutex held.
 func (c *conn) addBuffered(n int64) {
 	if c.state.phase != phaseClosed {
 		c.state.buffered += n
@@ -123,20 +123,20 @@
 	}
 }
 
-// noMemoryMessage is the error reply in place of a value for which there is no memory until it can be written.
+// noMemoryMessage is the error reply that replaces a value if there is no memory to hold it until it can be written.
 const noMemoryMessage = "no memory for the value until it can be sent"
 
-// ResponseReady implements exchange.Client: it wakes the writer, since a request has its response. Where memory runs out, and other
-// large replies wait on the connection already, an error takes the place of the value: to close the connection would lose its requests.
+// ResponseReady implements exchange.Client: it wakes the writer. If memory runs out while other large replies wait on the connection, an
+// error replaces the value: closing the connection instead would lose its requests.
 func (c *conn) ResponseReady(request *exchange.Exchange) {
 	c.server.releaseID(request)
 	response := request.Response()
-	c.mu.Lock() // without it the writer could miss the response and begin to wait after the broadcast
+	c.mu.Lock() // without the lock the writer could miss the response and begin to wait after the broadcast
 	if request.Body != nil {
-		request.Body.CloseReader(net.ErrClosed) // nobody needs the rest of it
+		request.Body.CloseReader(net.ErrClosed) // the rest of the body is not needed
 	}
-	dropped := c.state.phase == phaseClosed // the client has gone before its response
-	if size := bufferedSize(response); c.state.buffered+size > exchange.MaxBufferedValue && c.server.overMemory(size, overloadFactor) {
+	dropped := c.state.phase == phaseClosed // the client has disconnected
+	if size := bufferedSize(response); c.state.buffered+size > exchange.MaxBufferedValue && c.server.exceedsMaxBuffered(size, overloadFactor) {
 		dropped = dropped || c.state.replaceReply(request, errorReply(noMemoryMessage))
 	}
 	if !dropped {
@@ -149,7 +149,7 @@
 	}
 }
 
-// bufferedSize returns how many bytes a response takes until it is written.
+// bufferedSize returns how many bytes a response takes in memory until it is written.
 func bufferedSize(response *exchange.Response) int64 {
 	if response.Stream != nil {
 		return exchange.StreamWindow
@@ -157,7 +157,7 @@
 	return int64(len(response.Value))
 }
 
-// classify returns what the connection is used for, and since when.
+// classify returns the state of the connection, and since when it has been in that state (0 for Active).
 func (c *conn) classify() (ConnState, float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -172,10 +172,10 @@
 	return Active, 0
 }
 
-// evict closes the connection if it still is in a state. One on which bytes have arrived that its reader has not seen yet
-// is in use.
+// evict closes the connection if it is still in the given state, and reports whether it did. A connection with unread bytes counts as in
+// use unless it is Incomplete.
 func (c *conn) evict(state ConnState) bool {
-	if now, _ := c.classify(); now != state {
+	if current, _ := c.classify(); current != state {
 		return false
 	}
 	if unread, _ := sockstate.Peek(c.net); unread && state != Incomplete {
@@ -184,11 +184,12 @@
 	if state == Incomplete {
 		return c.close()
 	}
-	return c.closeIfQuiet()
+	return c.closeIfBetweenRequests()
 }
 
-// quiet reports whether the connection is between requests, and since when it may be closed for that.
-func (c *conn) quiet() (quiet bool, since float64) {
+// drainableSince reports whether the connection is between requests, and from when on it may be drained: one on which nothing has arrived
+// is spared for newConnGrace.
+func (c *conn) drainableSince() (drainable bool, since float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	since = c.state.lastActive
@@ -198,12 +199,12 @@
 	return c.state.betweenRequests(), since
 }
 
-// closingSoon reports whether the connection is about to free its descriptor: it is being closed, or nothing is in flight on
-// it but a reply that is being written.
+// closingSoon reports whether the connection is about to free its descriptor: it is closed, or only a reply that is being written is in
+// flight.
 func (c *conn) closingSoon(now float64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state.phase == phaseClosed || c.state.finishing(now, maxCloseWaits*float64(closeWait/time.Millisecond))
+	return c.state.phase == phaseClosed || c.state.finishingReply(now, maxCloseWaits*float64(closeWait/time.Millisecond))
 }
 
 // hasPending reports whether a command that was read has not been replied to.
@@ -220,15 +221,15 @@
 	return c.state.hasUnanswered()
 }
 
-// atLimit reports whether no more commands are taken until one is replied to.
+// atLimit reports whether no more commands are processed until one is replied to.
 func (c *conn) atLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.state.atLimit()
 }
 
-// closingStage returns what the lifecycle says about the connection.
-func (c *conn) closingStage() lifecycle.CloseMode {
+// closeMode returns when the lifecycle wants the connection closed.
+func (c *conn) closeMode() lifecycle.CloseMode {
 	return c.server.Lifecycle.CloseMode(c.server.Clock.Now(), c.jitter)
 }
 
--- a/internal/node/clients/dispatch.go
+++ b/internal/node/clients/dispatch.go
@@ -9,16 +9,16 @@
 	"mintspring/internal/node/exchange"
 )
 
-// Bounds for what a client sent and a reply or a comparison repeats, in bytes.
+// Limits for client input that is compared or quoted in a reply, in bytes.
 const (
 	maxCommandName   = 16
 	maxQuotedCommand = 64
 	maxErrorMessage  = 200
 )
 
-// dispatch replies to a command, or passes its request on. With memory reserved for a large command (nil: none) the arguments
-// are the request's own, and the reply takes the reservation over.
-func (s *Server) dispatch(c *conn, args [][]byte, at float64, reserved *reservation) {
+// dispatch replies to a command, or hands its request to the Handler. For a large command, reserved is the memory reserved for it: the
+// request keeps args instead of copying them, and the reply takes over the reservation. For other commands it is nil.
+func (s *Server) dispatch(c *conn, args [][]byte, arrivedAt float64, reserved *reservation) {
 	if len(args) == 0 {
 		return
 	}
@@ -28,7 +28,7 @@
 	case "QUIT":
 		c.reply("+OK\r\n", true)
 	case "KV.GET", "KV.SET":
-		request, err := s.Config().parseRequest(args, at, reserved != nil)
+		request, err := s.Config().parseRequest(args, arrivedAt, reserved != nil)
 		if err != nil {
 			c.replyError(err.Error(), false)
 			return
@@ -52,12 +52,12 @@
 	}
 }
 
-// claimID registers a request under its id, and reports false if another one in flight has that. Cache servers tell
-// requests apart by their ids, and could give one the response of the other or take it for a duplicate.
+// claimID registers a request under its ID. It reports false if another request in flight has the same ID: cache servers tell requests
+// apart by their IDs, and could give one the response of the other or take it for a duplicate.
 func (s *Server) claimID(request *exchange.Exchange) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if _, taken := s.inFlight[string(request.ID)]; taken {
+	if _, inUse := s.inFlight[string(request.ID)]; inUse {
 		return false
 	}
 	if s.inFlight == nil {
@@ -67,7 +67,7 @@
 	return true
 }
 
-// releaseID frees the id of a request that has a response, or whose client has gone.
+// releaseID frees the ID of a request that has a response, or whose client has disconnected.
 func (s *Server) releaseID(request *exchange.Exchange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,13 +76,13 @@
 	}
 }
 
-// overMemory reports whether n more bytes would exceed the given multiple of MaxBuffered.
-func (s *Server) overMemory(n int64, multiple float64) bool {
+// exceedsMaxBuffered reports whether n more buffered bytes would exceed the given multiple of MaxBuffered.
+func (s *Server) exceedsMaxBuffered(n int64, multiple float64) bool {
 	return s.MaxBuffered > 0 && float64(s.buffered.Load()+n) > multiple*float64(s.MaxBuffered)
 }
 
-// rejection is the reply to a request that is rejected before the node has seen it.
-func (s *Server) rejection() string {
+// rejectedReply returns the reply to a request that is rejected before it reaches the Handler.
+func (s *Server) rejectedReply() string {
 	response := exchange.Response{Kind: exchange.Rejected, RetryAfter: s.Config().RetryAfter}
 	return string(appendReply(nil, &response))
 }
@@ -91,7 +91,7 @@
 	return string(redcon.AppendError(nil, "ERR "+sanitize(message)))
 }
 
-// sanitize makes a message that may contain what a client sent fit for an error line.
+// sanitize makes a message that may contain client input fit for an error line: it truncates the message and replaces control characters.
 func sanitize(message string) string {
 	return strings.Map(func(r rune) rune {
 		if r < ' ' || r == 0x7f {
--- a/internal/node/clients/eviction.go
+++ b/internal/node/clients/eviction.go
@@ -7,30 +7,29 @@
 	"mintspring/internal/node/fdlimit"
 )
 
-// ConnState is what a connection is used for, which decides whether it may be closed to free a descriptor.
+// ConnState is the state of a connection that decides whether it may be closed to free a descriptor.
 type ConnState uint8
 
 const (
-	// Idle has sent a request, and nothing is in flight.
+	// Idle connections have sent a request, and have nothing in flight.
 	Idle ConnState = iota
-	// Silent has never sent a request, nor begun to.
+	// Silent connections have sent no request and no part of one.
 	Silent
-	// Incomplete has never sent a request, and has begun to.
+	// Incomplete connections have sent only part of their first request.
 	Incomplete
-	// Active has a request in flight.
+	// Active connections have a request in flight.
 	Active
 )
 
-// A descriptor may be freed a moment after the last byte of a reply, or after a connection was closed. A new client waits
-// for that at most maxCloseWaits times closeWait before it is rejected.
+// A descriptor is freed a moment after the last byte of a reply, or after its connection is closed. A new client waits for that
+// at most maxCloseWaits times closeWait before it is rejected.
 const (
 	maxCloseWaits = 100
 	closeWait     = time.Millisecond
 )
 
-// acquireDescriptor counts a descriptor for a new connection, and closes another for it if necessary. Whether it is worth waiting
-// is found out before each further attempt: a connection that is about to free its descriptor may have done so by the time that the
-// attempt has failed, and is evicted by the next one then.
+// acquireDescriptor counts a descriptor for a new connection, and evicts another connection if necessary. It checks before each attempt
+// whether a connection is about to free its descriptor: if that connection finishes while the attempt fails, the next attempt evicts it.
 func (s *Server) acquireDescriptor() bool {
 	if s.Sockets.Acquire(fdlimit.Client) {
 		return true
@@ -61,11 +60,11 @@
 	return false
 }
 
-// EvictOldest closes the connection that has been in a state for longest, if for at least so many ms, and reports whether
-// there was one. The age of an incomplete connection counts from its accept: bytes that trickle in do not make it newer.
+// EvictOldest closes the connection that has been in a state for longest, if for at least minAge ms, and reports whether it closed one.
+// The age of an incomplete connection counts from its accept, so bytes that trickle in do not make it younger.
 func (s *Server) EvictOldest(state ConnState, minAge float64) bool {
-	// A connection that was chosen may be in use by the time that it is to be closed. Then another is tried: giving up here
-	// once rejected new clients beside connections that nobody used.
+	// The chosen connection may be in use again before it is closed. Then the next one is tried: giving up would reject new clients while
+	// unused connections are open.
 	var tried []*conn
 	for {
 		c := s.oldest(state, minAge, tried)
@@ -80,7 +79,7 @@
 	}
 }
 
-// oldest returns the connection that has been in a state for longest, apart from some; nil: there is none.
+// oldest returns the connection that has been in a state for longest, if for at least minAge ms; nil if there is none outside except.
 func (s *Server) oldest(state ConnState, minAge float64, except []*conn) (oldest *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -93,23 +92,23 @@
 	return oldest
 }
 
-// Where fewer connections than minReuseFraction send a second request, those that have been replied to are not worth
-// keeping. That takes minReuseSamples first requests to be believed; the counts are halved at twice maxReuseSamples.
+// If less than minReuseFraction of the connections send a second request, idle ones are not worth keeping. The fraction is used from
+// minReuseSamples first requests on; the counts are halved at 2*maxReuseSamples first requests.
 const (
 	minReuseFraction = 0.25
 	minReuseSamples  = 64
 	maxReuseSamples  = 256
-	answeredGrace    = 50.0 // ms since the reply after which such a connection may be closed
-	singleUseDivisor = 3    // of the usual number of clients, where connections are used once
+	answeredGrace    = 50.0 // ms from the reply until such a connection may be closed
+	singleUseDivisor = 3    // divides the target for open connections if clients use them once
 )
 
-// reuseStats are fading counts of connections that sent a first and a second request.
+// reuseStats counts the connections that have sent a first and a second request, giving less weight to older ones.
 type reuseStats struct {
 	first, second int
 }
 
-func (r *reuseStats) record(use requestUse) {
-	if use == secondRequest {
+func (r *reuseStats) record(ordinal requestOrdinal) {
+	if ordinal == secondRequest {
 		r.second++
 		return
 	}
@@ -124,9 +123,9 @@
 	return r.first >= minReuseSamples && float64(r.second) < minReuseFraction*float64(r.first)
 }
 
-// EvictAnswered closes the connection that has been idle longest, if for at least so many ms, or, where clients hardly ever
-// send a second request, as soon as it has been replied to. Some clients send one request on each connection and keep it
-// open, and would keep out others whose first request is on its way.
+// EvictAnswered closes the connection that has been idle longest, if for at least minAge ms, or for answeredGrace if clients hardly ever
+// send a second request. Clients that send one request on each connection and keep it open would otherwise keep out clients whose first
+// request is on its way.
 func (s *Server) EvictAnswered(minAge float64) bool {
 	if s.singleUse() {
 		minAge = answeredGrace
@@ -140,21 +139,21 @@
 	return s.reuse.singleUse()
 }
 
-func (s *Server) countRequest(use requestUse) {
+func (s *Server) countRequest(ordinal requestOrdinal) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reuse.record(use)
+	s.reuse.record(ordinal)
 }
 
-// onFirstRequest counts a connection that has sent its first request. Where so many clients keep connections open that others find
-// no place, the one idle longest is closed.
+// onFirstRequest counts a connection that has sent its first request. If more such connections are open than the target, it closes the
+// one that has been idle longest, so that new clients find a descriptor.
 func (s *Server) onFirstRequest() {
 	s.countRequest(firstRequest)
-	limit := int64(s.Sockets.ClientTarget())
+	target := int64(s.Sockets.ClientTarget())
 	if s.singleUse() {
-		limit /= singleUseDivisor
+		target /= singleUseDivisor
 	}
-	if s.requesters.Add(1) > limit {
+	if s.connsWithRequest.Add(1) > target {
 		s.EvictAnswered(0)
 	}
 }
--- a/internal/node/clients/harness_test.go
+++ b/internal/node/clients/harness_test.go
@@ -118,7 +118,7 @@
 }
 
 // writePieces sends a text in pieces.
-func (c *client) writePieces(piece int, text string) {
+func (c *client) sendChunks(piece int, text string) {
 	for i := 0; i < len(text); i += piece {
 		c.send(text[i:min(i+piece, len(text))])
 	}
--- a/internal/node/clients/reader.go
+++ b/internal/node/clients/reader.go
@@ -15,28 +15,28 @@
 	"mintspring/internal/node/sockstate"
 )
 
-// commandReader is the state of a connection's reading goroutine.
+// commandReader is the state of a connection's reader goroutine.
 type commandReader struct {
 	conn    *conn
 	socket  *socketReader
-	in      ringbuf.Ring
-	args    [][]byte // of the command before, for reuse
-	skip    int      // bytes of a refused command that are still to arrive
+	in      ringbuf.Ring // bytes that were read and not processed yet
+	args    [][]byte     // of the previous command, for reuse
+	skip    int          // bytes of a rejected command that are still to arrive
 	timeout time.Duration
-	// deadline is when the first command, or one that has begun, must have arrived, however its bytes trickle in. Zero: the
+	// deadline is when the first command, or the rest of a command that has begun, must have arrived, in whatever pieces. Zero: the
 	// client may be silent for any time.
 	deadline time.Time
 }
 
-// takeResult is what became of the bytes at the head of the ring.
-type takeResult uint8
+// processResult is the result of processing the bytes at the head of the ring buffer.
+type processResult uint8
 
 const (
-	takeStopped    takeResult = iota // no complete command, or the connection is ending
-	takeLimited                      // no command is taken until one is replied to
-	takeAccepted                     // a command was taken
-	takeSkipped                      // a command was refused, and its rest is skipped
-	takeConnClosed                   // the connection is closed
+	processStopped    processResult = iota // no complete command, or the connection is ending
+	processPaused                          // no command is processed until one is replied to
+	processAccepted                        // a command was processed; go on with the next
+	processSkipped                         // a command was rejected, and its rest is skipped
+	processConnClosed                      // the connection is closed
 )
 
 func newCommandReader(c *conn) *commandReader {
@@ -51,7 +51,7 @@
 	if !c.hasRequested() {
 		r.deadline = time.Now().Add(r.timeout)
 	}
-	for r.readOnce() {
+	for r.readAndProcess() {
 	}
 }
 
@@ -61,49 +61,48 @@
 	return c.state.usage >= usageRequested
 }
 
-// readOnce reads once, takes the commands that are complete, and reports whether to read on.
-func (r *commandReader) readOnce() bool {
+// readAndProcess reads once, processes the complete commands, and reports whether to read on.
+func (r *commandReader) readAndProcess() bool {
 	c := r.conn
 	switch err := r.fill(); {
 	case err == nil:
 	case !errors.Is(err, os.ErrDeadlineExceeded):
 		c.close()
 		return false
-	case c.takeDeparture():
-		// Nothing was read. If no part of a command was read before either, the connection can end as it is.
-		return r.in.Len() > 0 || r.skip > 0 || !c.tryDepart()
-	case !c.takeResume():
+	case c.consumeDrainRequest():
+		// Nothing was read. If no part of a command was read before either, the connection may be drained now.
+		return r.in.Len() > 0 || r.skip > 0 || !c.tryDrain()
+	case !c.tryResume():
 		c.commandTimedOut()
 		return false
 	}
-	at := c.server.Clock.Now()
-	taken, result := r.takeCommands(c.arrivalOfRead(at))
-	if result == takeConnClosed {
+	now := c.server.Clock.Now()
+	accepted, result := r.processCommands(c.arrivalTime(now))
+	if result == processConnClosed {
 		return false
 	}
-	return r.afterRead(at, taken, result == takeLimited)
+	return r.afterRead(now, accepted, result == processPaused)
 }
 
-// arrivalOfRead returns since when the time of requests counts that were read at a time. What waited for the accept counts from before that,
-// until all of it has been read.
-func (c *conn) arrivalOfRead(at float64) float64 {
-	if c.waitingSince == 0 {
-		return at
+// arrivalTime returns the arrival time of requests that were read at readAt. On a connection that waited in the accept backlog, requests
+// count as arrived when the wait began, until all bytes that arrived meanwhile have been read.
+func (c *conn) arrivalTime(readAt float64) float64 {
+	if c.backloggedSince == 0 {
+		return readAt
 	}
-	since := c.waitingSince
+	since := c.backloggedSince
 	if unread, _ := sockstate.Peek(c.net); !unread {
-		c.waitingSince = 0
+		c.backloggedSince = 0
 	}
 	return since
 }
 
-// fill reads once, or not at all where commands that were read before may be taken now. The rest of a refused command is
-// dropped.
+// fill reads once, or returns at once if commands that were read before may be processed now. The rest of a rejected command is dropped.
 func (r *commandReader) fill() error {
-	if r.conn.takeResume() {
+	if r.conn.tryResume() {
 		return nil
 	}
-	r.conn.awaitInput(r.deadline)
+	r.conn.setInputDeadline(r.deadline)
 	if r.skip == 0 {
 		_, err := r.in.ReadOnce(r.socket)
 		return err
@@ -113,104 +112,105 @@
 	return err
 }
 
-// takeCommands takes the complete commands in the ring. It reports whether it took any, and why it stopped.
-func (r *commandReader) takeCommands(at float64) (taken bool, result takeResult) {
+// processCommands processes the complete commands in the ring buffer. It reports whether it accepted any, and why it stopped.
+func (r *commandReader) processCommands(arrivedAt float64) (accepted bool, result processResult) {
 	for r.in.Len() > 0 {
-		switch result := r.takeCommand(at); result {
-		case takeAccepted:
-			taken = true
-		case takeSkipped:
+		switch result := r.processCommand(arrivedAt); result {
+		case processAccepted:
+			accepted = true
+		case processSkipped:
 		default:
-			return taken, result
+			return accepted, result
 		}
 	}
-	return taken, takeStopped
+	return accepted, processStopped
 }
 
-func (r *commandReader) takeCommand(at float64) takeResult {
+func (r *commandReader) processCommand(arrivedAt float64) processResult {
 	c := r.conn
 	if c.atLimit() {
-		return takeLimited
+		return processPaused
 	}
 	b := r.in.Peek()
 	size := oversizedLength(b)
 	switch {
 	case size < 0 || b[0] != '*':
 		c.replyError(malformedMessage, true)
-		return takeStopped
+		return processStopped
 	case size > 0 && c.rejecting:
-		return r.skipCommand(size, c.server.rejection())
+		return r.skipCommand(size, c.server.rejectedReply())
 	case size > 0 && c.server.Memory != nil && isLargeWrite(b, size):
 		var open bool
 		if r.skip, open = r.readLargeWrite(size); !open {
-			return takeConnClosed
+			return processConnClosed
 		}
-		return takeAccepted
+		return processAccepted
 	case size > 0:
-		return r.refuse(size)
+		return r.rejectOversized(size)
 	}
 	complete, args, _, rest, err := redcon.ReadNextCommand(b, r.args[:0])
 	if err != nil {
 		c.replyError(err.Error(), true)
-		return takeStopped
+		return processStopped
 	}
 	if !complete {
 		if len(b) == ringbuf.MaxSize {
 			c.replyError(tooLargeMessage, true)
 		}
-		return takeStopped
+		return processStopped
 	}
-	c.server.dispatch(c, args, at, nil)
+	c.server.dispatch(c, args, arrivedAt, nil)
 	r.args = args[:0]
 	r.in.Discard(len(b) - len(rest))
-	return takeAccepted
+	return processAccepted
 }
 
-// refuse replies to a command of a size that may not be taken, and skips it.
-func (r *commandReader) refuse(size int) takeResult {
+// rejectOversized replies with an error to a command that is too large, and skips it.
+func (r *commandReader) rejectOversized(size int) processResult {
 	r.conn.server.counters.malformed.Add(1)
 	return r.skipCommand(size, errorReply(tooLargeMessage))
 }
 
-// skipCommand replies to a command of a size and skips it. One that is far too large ends the connection.
-func (r *commandReader) skipCommand(size int, reply string) takeResult {
+// skipCommand replies to a command of the given size and skips its bytes. If more than maxDiscard bytes of it are still to arrive, the
+// connection ends instead.
+func (r *commandReader) skipCommand(size int, reply string) processResult {
 	n := min(size, r.in.Len())
 	r.skip = size - n
 	r.in.Discard(n)
 	tooMuch := r.skip > maxDiscard
 	r.conn.reply(reply, tooMuch)
 	if tooMuch {
-		return takeStopped
+		return processStopped
 	}
-	return takeSkipped
+	return processSkipped
 }
 
 // afterRead prepares the next read, and reports whether there is one.
-func (r *commandReader) afterRead(at float64, taken, limited bool) bool {
+func (r *commandReader) afterRead(now float64, accepted, paused bool) bool {
 	c := r.conn
-	closing := c.closingStage()
-	if closing == lifecycle.StopReading && taken {
+	mode := c.closeMode()
+	if mode == lifecycle.StopReading && accepted {
 		c.rejecting = true
 		if !c.hasUnanswered() {
-			r.finish(at)
+			r.rejectReadAhead(now)
 			return false
 		}
 	}
-	next := c.recordRead(&r.in, at, r.skip > 0, limited)
-	if next.ended {
+	progress := c.recordRead(&r.in, now, r.skip > 0, paused)
+	if progress.ended {
 		c.linger()
 		return false
 	}
 	r.in.ReleaseIfEmpty()
-	if closing >= lifecycle.CloseWhenIdle {
-		c.requestDeparture()
+	if mode >= lifecycle.CloseWhenIdle {
+		c.requestDrain()
 	}
 	switch {
-	case next.paused:
-		r.deadline = time.Time{} // the client has done its part
-	case next.midCommand && !taken && r.skip == 0 && (next.wasMidCommand || !next.requested):
-		// The deadline stays: bytes that trickle in do not make the command any newer.
-	case next.midCommand || !next.requested:
+	case progress.paused:
+		r.deadline = time.Time{} // the client has sent its commands
+	case progress.midCommand && !accepted && r.skip == 0 && (progress.wasMidCommand || !progress.requested):
+		// The deadline stays: bytes that trickle in do not extend it.
+	case progress.midCommand || !progress.requested:
 		r.deadline = time.Now().Add(r.timeout)
 	default:
 		r.deadline = time.Time{}
@@ -218,19 +218,19 @@
 	return true
 }
 
-// finish rejects the commands that were read ahead, reads no more, and ends the connection. If the client keeps sending, the ring
-// always holds the beginning of one more command: that counts as not read.
-func (r *commandReader) finish(at float64) {
-	for result := takeLimited; result == takeLimited; {
-		r.conn.awaitReplies()
-		_, result = r.takeCommands(at)
+// rejectReadAhead rejects the commands that were read ahead, and ends the connection. A client that keeps sending always leaves the
+// beginning of one more command in the ring buffer; that command counts as not read.
+func (r *commandReader) rejectReadAhead(arrivedAt float64) {
+	for result := processPaused; result == processPaused; {
+		r.conn.waitBelowLimit()
+		_, result = r.processCommands(arrivedAt)
 	}
 	r.conn.reply("", true)
 	r.conn.linger()
 }
 
-// awaitReplies waits until commands may be taken.
-func (c *conn) awaitReplies() {
+// waitBelowLimit waits until more commands may be processed.
+func (c *conn) waitBelowLimit() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for c.state.atLimit() {
@@ -245,15 +245,15 @@
 	requested                 bool
 }
 
-// recordRead records a read. A client that does not read its replies, or has many commands waiting, has no more of them
-// taken. Its connection is read further all the same, up to a bound: nothing else shows a disconnect, and until then its
-// requests are executed.
-func (c *conn) recordRead(in *ringbuf.Ring, at float64, skipping, limited bool) readProgress {
+// recordRead records a read. While a client does not read its replies, or has many commands waiting, no more of its commands are
+// processed. The connection is still read, up to maxReadAhead bytes: only a read shows a disconnect, and until then the requests of the
+// client are executed.
+func (c *conn) recordRead(in *ringbuf.Ring, now float64, skipping, paused bool) readProgress {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	wasMidCommand := c.state.recordRead(at, in.Len() > 0 || skipping, limited)
+	wasMidCommand := c.state.recordRead(now, in.Len() > 0 || skipping, paused)
 	for c.state.atLimit() && in.Len() >= maxReadAhead {
-		c.waitOrNoticeEnd()
+		c.waitOrCloseDisconnected()
 	}
 	return readProgress{
 		ended: c.state.phase != phaseOpen, paused: c.state.paused,
@@ -262,16 +262,16 @@
 	}
 }
 
-// endCheckInterval is the time between two looks at whether a client has gone on whose connection nothing is read for now. What its
-// requests need is not sent to servers later than 100 ms after its end.
-const endCheckInterval = 25 * time.Millisecond
+// disconnectCheckInterval is the interval between checks for a disconnect while a connection is not read. Nothing may be sent to servers
+// for a client more than 100 ms after it has disconnected.
+const disconnectCheckInterval = 25 * time.Millisecond
 
-// waitOrNoticeEnd waits until the state changes, or for a while, and closes the connection if the client has ended it behind bytes that are
-// not read. It is called with the mutex held.
-func (c *conn) waitOrNoticeEnd() {
-	wakeUp := time.AfterFunc(endCheckInterval, c.cond.Broadcast)
+// waitOrCloseDisconnected waits for a change of the state, but at most disconnectCheckInterval. If that has passed and the client has
+// disconnected, it closes the connection, although unread bytes precede the disconnect. Called with the mutex held.
+func (c *conn) waitOrCloseDisconnected() {
+	wakeTimer := time.AfterFunc(disconnectCheckInterval, c.cond.Broadcast)
 	c.cond.Wait()
-	if wakeUp.Stop() || c.state.phase == phaseClosed || !sockstate.EndedByPeer(c.net) {
+	if wakeTimer.Stop() || c.state.phase == phaseClosed || !sockstate.EndedByPeer(c.net) {
 		return
 	}
 	c.mu.Unlock()
@@ -279,24 +279,24 @@
 	c.mu.Lock()
 }
 
-func (c *conn) takeResume() bool {
+func (c *conn) tryResume() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.state.takeResume()
+	return c.state.tryResume()
 }
 
-// awaitInput sets the deadline of the next read, unless the reader has been asked to depart or to resume meanwhile.
-func (c *conn) awaitInput(deadline time.Time) {
+// setInputDeadline sets the deadline of the next read. The deadline is in the past if the reader has been asked to drain the connection
+// or may resume.
+func (c *conn) setInputDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.state.departing || c.state.canResume() {
-		deadline = longAgo
+	if c.state.drainRequested || c.state.canResume() {
+		deadline = expiredDeadline
 	}
 	c.setReadDeadline(deadline)
 }
 
-// commandTimedOut ends a connection on which a command has not arrived in time. Commands that were read before are replied to
-// first.
+// commandTimedOut ends a connection on which a command has not arrived in time. Commands that were read before are replied to first.
 func (c *conn) commandTimedOut() {
 	c.server.counters.timedOut.Add(1)
 	if !c.hasPending() {
--- a/internal/node/clients/request.go
+++ b/internal/node/clients/request.go
@@ -12,23 +12,23 @@
 	"mintspring/internal/node/exchange"
 )
 
-// Numbers of arguments, the command's name among them.
+// Numbers of arguments, including the command name.
 const (
 	getArgs = 4 // KV.GET KEY ID EXTRA
 	setArgs = 5 // KV.SET KEY ID EXTRA VALUE
 )
 
-// maxExtraNumber bounds the numbers in a request's extra list.
+// maxExtraNumber is the exclusive upper bound for numbers in the extra list of a request.
 const maxExtraNumber = 1e12
 
-// Errors are sent to the client as they are.
+// Errors whose text is sent to the client.
 var (
 	errNotPrintable     = errors.New("key, id and list of values must be of printable characters")
 	errNoClass          = errors.New("no class is named")
 	errNoIdempotencyKey = errors.New("a write of this class needs a mark against repeats")
 )
 
-// isPrintable reports whether a text can stand in a line or a header as it is.
+// isPrintable reports whether a text is not empty and can be part of a line or a header as it is.
 func isPrintable(b []byte) bool {
 	for _, c := range b {
 		if c < ' ' || c == 0x7f {
@@ -38,12 +38,12 @@
 	return len(b) > 0
 }
 
-// isWrite reports whether a command, KV.GET or KV.SET in any case, is the latter.
+// isWrite reports whether a command name, KV.GET or KV.SET in any case, is KV.SET.
 func isWrite(name []byte) bool { return len(name) == len("KV.SET") && (name[3]|0x20) == 's' }
 
-// parseRequest parses KV.GET KEY ID EXTRA or KV.SET KEY ID EXTRA VALUE. The arguments are copied unless they are owned. The
-// text of an error is for the client.
-func (c *Config) parseRequest(args [][]byte, at float64, owned bool) (*exchange.Exchange, error) {
+// parseRequest parses KV.GET KEY ID EXTRA or KV.SET KEY ID EXTRA VALUE. Unless owned is set, the arguments are copied. The text of an
+// error is sent to the client.
+func (c *Config) parseRequest(args [][]byte, arrivedAt float64, owned bool) (*exchange.Exchange, error) {
 	write := isWrite(args[0])
 	want := getArgs
 	if write {
@@ -61,7 +61,7 @@
 	}
 	request := &exchange.Exchange{
 		Command: copied.add(args[0]), Key: copied.add(args[1]), ID: copied.add(args[2]), Extra: copied.add(args[3]),
-		Write: write, Arrived: at,
+		Write: write, Arrived: arrivedAt,
 	}
 	if write {
 		request.Value = copied.add(args[4])
@@ -73,7 +73,7 @@
 	return request, nil
 }
 
-// argBuffer copies arguments into one allocation. The zero value returns them as they are.
+// argBuffer copies arguments into one allocation. The zero value returns them uncopied.
 type argBuffer struct {
 	buf []byte
 }
@@ -95,16 +95,16 @@
 	return a.buf[start:len(a.buf):len(a.buf)]
 }
 
-// extraList is what the extra list of a request says that is not stored in the request at once.
-type extraList struct {
+// parsedExtra holds the entries of an extra list that are checked once the whole list is parsed.
+type parsedExtra struct {
 	class          *Class
 	clientLimit    float64 // ms; +Inf: not given
 	idempotencyKey bool
 }
 
-// parseExtra parses the request's list of names and values. Unknown names are forwarded unread.
+// parseExtra parses the extra list of a request, NAME=VALUE entries separated by commas. Entries with unknown names are only forwarded.
 func (c *Config) parseExtra(request *exchange.Exchange) error {
-	list := extraList{clientLimit: math.Inf(1)}
+	extra := parsedExtra{clientLimit: math.Inf(1)}
 	for rest := request.Extra; len(rest) > 0; {
 		var entry []byte
 		entry, rest, _ = bytes.Cut(rest, []byte(","))
@@ -112,29 +112,29 @@
 		if !ok {
 			return fmt.Errorf("'%s' is not a name and a value", entry)
 		}
-		if err := c.parseEntry(request, &list, name, value); err != nil {
+		if err := c.parseEntry(request, &extra, name, value); err != nil {
 			return err
 		}
 	}
-	if list.class == nil {
+	if extra.class == nil {
 		return errNoClass
 	}
-	if list.class.Effect == fleet.Deduplicated && !list.idempotencyKey {
-		return errNoIdempotencyKey // without the key a server would run a repeated write again
+	if extra.class.Effect == fleet.Deduplicated && !extra.idempotencyKey {
+		return errNoIdempotencyKey // without the key a server would execute a repeated write again
 	}
-	request.Class = list.class.ID
-	request.Deadline = c.Deadline(&list.class.Class, request.Arrived, list.clientLimit)
+	request.Class = extra.class.ID
+	request.Deadline = c.Deadline(&extra.class.Class, request.Arrived, extra.clientLimit)
 	return nil
 }
 
-func (c *Config) parseEntry(request *exchange.Exchange, list *extraList, name, value []byte) error {
+func (c *Config) parseEntry(request *exchange.Exchange, extra *parsedExtra, name, value []byte) error {
 	switch string(name) {
 	case "c":
 		class, known := c.Classes[string(value)]
 		if !known {
 			return fmt.Errorf("class '%s' is not known", value)
 		}
-		list.class = class
+		extra.class = class
 	case "t":
 		request.Tenant = c.Tenants[string(value)]
 	case "d":
@@ -142,9 +142,9 @@
 		if !ok || limit == 0 {
 			return fmt.Errorf("d '%s' is not a time", value)
 		}
-		list.clientLimit = limit
+		extra.clientLimit = limit
 	case "k":
-		list.idempotencyKey = len(value) > 0
+		extra.idempotencyKey = len(value) > 0
 	case "h":
 		if microseconds, ok := parseNumber(value); ok {
 			request.Work = microseconds / 1000
@@ -160,10 +160,10 @@
 	return v, err == nil && v >= 0 && v < maxExtraNumber
 }
 
-// ringKeyLength is the length of a key that is a point of the ring in hexadecimal digits.
+// ringKeyLength is the length of a key that states its point on the ring in hexadecimal digits.
 const ringKeyLength = 16
 
-// RingPoint returns the point of a key on the ring: its 16 hexadecimal digits, or the hash of any other key.
+// RingPoint returns the point of a key on the ring: the number that a key of 16 hexadecimal digits states, or the hash of any other key.
 func RingPoint(key []byte) fleet.Key {
 	if point, err := strconv.ParseUint(string(key), 16, 64); err == nil && len(key) == ringKeyLength {
 		return fleet.Key(point)
--- a/internal/node/clients/reservation.go
+++ b/internal/node/clients/reservation.go
@@ -2,14 +2,14 @@
 
 import "mintspring/internal/node/memlimit"
 
-// reservation is memory reserved for a large command while it is read, until it is released or belongs to the reply. Only the
-// connection's reader uses it. A nil one is no memory.
+// reservation is memory reserved for a large command while it is read. It ends with its release, or when the reply takes the memory over.
+// Only the reader goroutine uses it. A nil reservation holds no memory.
 type reservation struct {
 	budget *memlimit.Budget
 	size   int64 // bytes; 0: released or transferred
 }
 
-// reserve takes so many bytes of a budget. It returns nil if they are not available.
+// reserve reserves size bytes of a budget. It returns nil if they are not available.
 func reserve(budget *memlimit.Budget, size int64) *reservation {
 	if !budget.TryAcquire(size) {
 		return nil
@@ -17,7 +17,7 @@
 	return &reservation{budget: budget, size: size}
 }
 
-// bytes returns how much is reserved.
+// bytes returns how many bytes are reserved.
 func (r *reservation) bytes() int64 {
 	if r == nil {
 		return 0
@@ -25,7 +25,7 @@
 	return r.size
 }
 
-// transfer leaves the memory to a new owner, which releases it.
+// transfer leaves the memory to a new owner, which has to release it.
 func (r *reservation) transfer() {
 	if r != nil {
 		r.size = 0
--- a/internal/node/clients/resp.go
+++ b/internal/node/clients/resp.go
@@ -9,33 +9,33 @@
 	"mintspring/internal/node/exchange"
 )
 
-// Messages of error replies to commands that are not read.
+// Messages of error replies to commands that are malformed or too large.
 const (
 	malformedMessage = "Protocol error: not a command of RESP"
 	tooLargeMessage  = "a part larger than any may be"
 )
 
-// commandEnd ends each part of a command.
-const commandEnd = "\r\n"
+// crlf ends each line and each argument of a command.
+const crlf = "\r\n"
 
 const (
-	maxCommandHead  = 4096    // bytes of a command that may precede a large value
-	maxCommandParts = 16      // parts of a command
-	maxPartLength   = 1 << 29 // bytes; a longer part is malformed
+	maxCommandHeader = 4096    // bytes of a command that may precede a large value
+	maxArgs          = 16      // arguments of a command
+	maxArgLength     = 1 << 29 // bytes; a longer argument is malformed
 )
 
-// largeWriteHead begins a command whose value may be large.
-var largeWriteHead = []byte("*5\r\n$6\r\nKV.SET")
+// largeWritePrefix is the beginning of a command whose value may be large.
+var largeWritePrefix = []byte("*5\r\n$6\r\nKV.SET")
 
-// isLargeWrite reports whether an oversized command of a length is a write whose value may be passed on.
+// isLargeWrite reports whether an oversized command of the given length is a write whose value may be accepted.
 func isLargeWrite(b []byte, length int) bool {
-	n := len(largeWriteHead)
-	return len(b) >= n && bytes.EqualFold(b[:n], largeWriteHead) && length <= exchange.MaxStreamedValue+maxCommandHead
+	n := len(largeWritePrefix)
+	return len(b) >= n && bytes.EqualFold(b[:n], largeWritePrefix) && length <= exchange.MaxStreamedValue+maxCommandHeader
 }
 
-// parseLargeWriteHead parses what precedes the value of a write: its arguments, where the value begins and how long it is. No
-// arguments: the large part is another one.
-func parseLargeWriteHead(b []byte) (args [][]byte, start, length int) {
+// parseLargeWriteHeader parses the bytes of a write that precede its value. It returns the arguments there, the offset of the value and
+// its length. It returns no arguments if another argument than the value is oversized.
+func parseLargeWriteHeader(b []byte) (args [][]byte, start, length int) {
 	at := bytes.IndexByte(b, '\n') + 1
 	for {
 		i := bytes.IndexByte(b[at:], '\n')
@@ -50,19 +50,19 @@
 		if len(args) == setArgs-1 {
 			return args, at, n
 		}
-		if n < 0 || len(b) < at+n+len(commandEnd) {
+		if n < 0 || len(b) < at+n+len(crlf) {
 			return nil, 0, 0
 		}
 		args = append(args, b[at:at+n:at+n])
-		at += n + len(commandEnd)
+		at += n + len(crlf)
 	}
 }
 
-// oversizedLength returns the length of a command of which a part is larger than may be buffered, if the parts before that
-// have arrived; 0: there is none so far, -1: it is no command.
+// oversizedLength returns the length of a command up to the end of its first argument that exceeds MaxBufferedValue. It returns 0 if no
+// such argument has begun to arrive, and -1 if the bytes are no command.
 func oversizedLength(b []byte) int {
 	count, at := parseLength(b, 0, '*')
-	if count < 0 || count > maxCommandParts {
+	if count < 0 || count > maxArgs {
 		return -1
 	}
 	for range count {
@@ -73,28 +73,28 @@
 		case start == 0:
 			return 0
 		case length > exchange.MaxBufferedValue:
-			return start + length + len(commandEnd)
+			return start + length + len(crlf)
 		}
-		at = start + length + len(commandEnd)
+		at = start + length + len(crlf)
 	}
 	return 0
 }
 
-// parseLength parses the line of a mark and a length at a position, and returns the length and where the next line begins. The
-// latter is 0 if the line is incomplete or has another mark; the length is -1 if it is malformed.
-func parseLength(b []byte, at int, mark byte) (length, next int) {
+// parseLength parses a line of a type byte and a length at an offset. It returns the length and the offset of the next line. The offset
+// is 0 if the line is incomplete or has another type; the length is -1 if it is malformed.
+func parseLength(b []byte, at int, typeByte byte) (length, next int) {
 	i := bytes.IndexByte(b[min(at, len(b)):], '\n')
-	if i < 2 || b[at] != mark {
+	if i < 2 || b[at] != typeByte {
 		return 0, 0
 	}
 	length, err := strconv.Atoi(string(b[at+1 : at+i-1]))
-	if err != nil || length < 0 || length > maxPartLength {
+	if err != nil || length < 0 || length > maxArgLength {
 		return -1, 0
 	}
 	return length, at + i + 1
 }
 
-// appendReply appends a response in RESP2.
+// appendReply appends a response encoded in RESP2.
 func appendReply(b []byte, response *exchange.Response) []byte {
 	switch response.Kind {
 	case exchange.Completed:
--- a/internal/node/clients/server.go
+++ b/internal/node/clients/server.go
@@ -1,5 +1,5 @@
-// Package clients serves the clients: it reads their commands in RESP2, hands requests on to the node, and writes the
-// responses in the order of the commands.
+// Package clients serves the clients: it reads their commands in RESP2, hands requests to the node, and writes the replies in the order
+// of the commands.
 package clients
 
 import (
@@ -20,16 +20,16 @@
 
 // Handler handles the requests of clients. Its methods are called from any goroutine and must not block.
 type Handler interface {
-	// HandleRequest takes over a request. Its response comes by Exchange.Respond.
+	// HandleRequest takes ownership of a request, and calls its Respond once it has the response.
 	HandleRequest(request *exchange.Exchange)
 	// ClientGone reports that the client of a request without a response has disconnected.
 	ClientGone(request *exchange.Exchange)
-	// BodyReceived reports that the body of a request has arrived completely, which was handed over without it.
+	// BodyReceived reports that the body of a request has arrived completely, if HandleRequest was called before that.
 	BodyReceived(request *exchange.Exchange, at float64)
 }
 
-// HandoverFunc passes a connection to another process and reports whether that took it. Requested says that the client has
-// sent a request. The caller closes the connection in either case.
+// HandoverFunc passes a connection to another process and reports whether that process took it. The argument requested says whether the
+// client has sent a request. The caller closes its copy of the connection in either case.
 type HandoverFunc = func(netConn net.Conn, requested bool) bool
 
 // Server accepts clients on one address. Its exported fields are set before Serve.
@@ -38,29 +38,30 @@
 	Lifecycle *lifecycle.State // what PING replies, and when connections are closed
 	Clock     *clock.Clock
 	Sockets   *fdlimit.Budget
-	// Memory is for large values that clients write; one that finds none is passed on as it arrives. Nil: they are refused.
+	// Memory is the budget for large values that clients write. A value that does not fit is forwarded as it arrives. Nil: large values
+	// are rejected.
 	Memory   *memlimit.Budget
-	OnPanic  func(any) // a panic in a connection's goroutine, which closes that connection only
+	OnPanic  func(any) // called after a panic in a connection's goroutine, which closes only that connection
 	LogError func(message string, err error)
-	Random   func() float64 // from [0,1), spreads the ends of connections; nil: always 0
+	Random   func() float64 // from [0,1), spreads the closing times of connections; nil: always 0
 
-	CommandTimeout float64 // ms in which the first command, or one that has begun, must arrive
+	CommandTimeout float64 // ms within which the first command, or the rest of one that has begun, must arrive
 	MaxBuffered    int64   // bytes of commands and replies buffered for all clients; 0: no limit
 
-	config     atomic.Pointer[Config]
-	buffered   atomic.Int64
-	requesters atomic.Int64 // connections on which a request has arrived
-	counters   counters
-
-	mu        sync.Mutex // guards the fields below
-	conns     map[*conn]struct{}
-	canAccept sync.Cond                     // accepting has resumed, or the server is closed
-	handover  HandoverFunc                  // nil: there is no process to hand connections to
-	closed    bool                          // nothing is accepted but the backlog
-	abandoned bool                          // nor that
-	inFlight  map[string]*exchange.Exchange // requests by the client's id
-	listener  net.Listener
-	reuse     reuseStats
+	config           atomic.Pointer[Config]
+	buffered         atomic.Int64
+	connsWithRequest atomic.Int64 // open connections on which a request has arrived
+	counters         counters
+
+	mu               sync.Mutex // guards the fields below
+	conns            map[*conn]struct{}
+	canAccept        sync.Cond                     // signals that accepting has resumed, or the server is closed
+	handover         HandoverFunc                  // nil: no process takes connections over
+	closed           bool                          // Close was called: only the backlog is still accepted
+	backlogAbandoned bool                          // the backlog is not accepted any more either
+	inFlight         map[string]*exchange.Exchange // requests by the client's id
+	listener         net.Listener
+	reuse            reuseStats
 
 	serveEnded <-chan struct{} // closed when Serve has returned; nil before it is called
 }
@@ -70,16 +71,16 @@
 	evicted                                  [Active]atomic.Int64
 }
 
-// Counts are events of a server.
+// Counts holds the numbers of events since the previous TakeCounts.
 type Counts struct {
-	Rejected  int64         // clients rejected for want of a descriptor
+	Rejected  int64         // connections rejected for lack of a descriptor
 	Malformed int64         // commands that could not be accepted
 	TimedOut  int64         // connections closed because a command did not arrive in time
-	Truncated int64         // large values that broke off
+	Truncated int64         // large values that were not written to their end
 	Evicted   [Active]int64 // connections of each state closed to free a descriptor
 }
 
-// TakeCounts returns the counts since the last call.
+// TakeCounts returns the counts since the previous call.
 func (s *Server) TakeCounts() Counts {
 	c := &s.counters
 	counts := Counts{
@@ -92,19 +93,19 @@
 	return counts
 }
 
-// SetConfig sets the configuration for requests that arrive from now on. It is called before Serve.
+// SetConfig sets the configuration for requests that arrive from now on. It must have been called before Serve.
 func (s *Server) SetConfig(config *Config) { s.config.Store(config) }
 
-// Config returns the present configuration.
+// Config returns the current configuration.
 func (s *Server) Config() *Config { return s.config.Load() }
 
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 5 * time.Millisecond
 
 const (
-	// backlogQuiet is for how long no connection has to come until Close takes the backlog for empty.
-	backlogQuiet = 20 * time.Millisecond
-	// maxListenerClose is how long Close waits for the listener.
+	// backlogIdleTimeout is the time without a new connection after which Close takes the backlog for empty.
+	backlogIdleTimeout = 20 * time.Millisecond
+	// maxListenerClose is how long Close waits for the listener to close.
 	maxListenerClose = 100 * time.Millisecond
 )
 
@@ -115,79 +116,80 @@
 	s.mu.Lock()
 	s.listener, s.serveEnded = listener, ended
 	s.mu.Unlock()
-	var backlog backlog
-	for s.waitAccept() {
+	var outage acceptOutage
+	for s.waitUntilAccepting() {
 		netConn, err := listener.Accept()
 		now := s.Clock.Now()
 		switch {
 		case errors.Is(err, net.ErrClosed):
 			return nil
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			// Another process accepts from now on, or the server is closed and its backlog is empty.
+			// SetHandover or Close set the deadline: another process accepts from now on, or the backlog is empty.
 			if s.isClosed() {
 				return nil
 			}
 		case err != nil:
-			if backlog.delayed(now) {
+			if outage.begin(now) {
 				s.LogError("cannot accept a client; retrying", err)
 			}
 			time.Sleep(acceptRetryDelay)
-		case s.passAccepted(netConn):
+		case s.handOverAccepted(netConn):
 		case !s.acquireDescriptor():
 			s.counters.rejected.Add(1)
 			_ = netConn.Close() // nothing was written
 		default:
-			s.serveConn(netConn, false, backlog.delayedSince)
-			backlog.settle(listener)
+			s.serveConn(netConn, false, outage.since)
+			outage.endIfDrained(listener)
 		}
 	}
 	return nil
 }
 
-// backlog tells whether connections may have waited for their accept. The zero value is one in which none has.
-type backlog struct {
-	delayedSince float64 // when accepts began to fail, in ms of the server's clock; 0: nothing waits since then
+// acceptOutage records since when accepts have failed, so that connections may have waited in the backlog. The zero value means that none
+// has.
+type acceptOutage struct {
+	since float64 // time of the first failure, in ms of the server's clock; 0: no outage
 }
 
-// delayed records that an accept failed. It reports whether this is the first one since nothing waited.
-func (b *backlog) delayed(now float64) (first bool) {
-	if b.delayedSince > 0 {
+// begin records that an accept failed. It reports whether this is the first failure of the outage.
+func (o *acceptOutage) begin(now float64) (first bool) {
+	if o.since > 0 {
 		return false
 	}
-	b.delayedSince = now
+	o.since = now
 	return true
 }
 
-// settle forgets the delay once no connection waits any more: those that are accepted next have come later.
-func (b *backlog) settle(listener net.Listener) {
-	if b.delayedSince > 0 && !sockstate.HasPending(listener) {
-		b.delayedSince = 0
+// endIfDrained ends the outage once the backlog is empty: connections that are accepted later have arrived after it.
+func (o *acceptOutage) endIfDrained(listener net.Listener) {
+	if o.since > 0 && !sockstate.HasPending(listener) {
+		o.since = 0
 	}
 }
 
-// passAccepted hands over a connection that was accepted as another process had begun to accept in this one's place: an accept that had
-// begun before that is not ended by it at once.
-func (s *Server) passAccepted(netConn net.Conn) bool {
-	pass := s.handoverFunc()
-	if pass == nil || s.Lifecycle.AcceptsConnections() || !pass(netConn, false) {
+// handOverAccepted hands over a connection that was accepted although another process accepts now: an Accept call that is under way when
+// accepting stops may still return a connection.
+func (s *Server) handOverAccepted(netConn net.Conn) bool {
+	passConn := s.handoverFunc()
+	if passConn == nil || s.Lifecycle.AcceptsConnections() || !passConn(netConn, false) {
 		return false
 	}
-	_ = netConn.Close() // the other process has a descriptor of its own
+	_ = netConn.Close() // the other process has its own descriptor
 	return true
 }
 
-// waitAccept waits while another process accepts, and reports false once nothing more is to be accepted here.
-func (s *Server) waitAccept() bool {
+// waitUntilAccepting waits while another process accepts. It reports false once this process accepts nothing more.
+func (s *Server) waitUntilAccepting() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.canAccept.L = &s.mu // broadcasts before this find nobody waiting
+	s.canAccept.L = &s.mu // an earlier broadcast has no waiter to wake
 	for !s.closed && !s.Lifecycle.AcceptsConnections() {
 		s.canAccept.Wait()
 	}
 	if s.closed {
-		s.setAcceptDeadline(time.Now().Add(backlogQuiet))
+		s.setAcceptDeadline(time.Now().Add(backlogIdleTimeout))
 	}
-	return s.Lifecycle.AcceptsConnections() && !s.abandoned
+	return s.Lifecycle.AcceptsConnections() && !s.backlogAbandoned
 }
 
 func (s *Server) isClosed() bool {
@@ -196,12 +198,13 @@
 	return s.closed
 }
 
-// serveConn serves a connection whose descriptor is counted, and which may have waited for that since a time; 0: it has not.
-func (s *Server) serveConn(netConn net.Conn, requested bool, waitingSince float64) {
+// serveConn serves a connection whose descriptor is counted. If the connection may have waited in the accept backlog, backloggedSince is
+// the time from which it may have; otherwise it is 0.
+func (s *Server) serveConn(netConn net.Conn, requested bool, backloggedSince float64) {
 	c := s.newConn(netConn, requested)
-	c.waitingSince = waitingSince
+	c.backloggedSince = backloggedSince
 	if requested {
-		s.requesters.Add(1)
+		s.connsWithRequest.Add(1)
 	}
 	s.mu.Lock()
 	if s.conns == nil {
@@ -227,21 +230,21 @@
 	return len(s.conns)
 }
 
-// Adopt serves a connection that another process of the node has handed over. A client that has sent a request there may be
+// Adopt serves a connection that another process of the node has handed over. If its client has sent a request to that process, it may be
 // silent here for any time.
 func (s *Server) Adopt(netConn net.Conn, requested bool) {
 	s.Sockets.AcquireLent()
 	s.serveConn(netConn, requested, 0)
 }
 
-// SetHandover has connections handed over from now on where they would be closed between requests, and stops accepting in
-// favor of another process. With nil it only ends that.
-func (s *Server) SetHandover(pass HandoverFunc) {
+// SetHandover makes the server hand connections over between requests instead of closing them, and stop accepting in favor of another
+// process. With nil, connections are closed again; ResumeAccept resumes accepting.
+func (s *Server) SetHandover(passConn HandoverFunc) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.handover = pass
-	if pass != nil {
-		s.setAcceptDeadline(longAgo) // Accept returns, without closing what the other process listens on too
+	s.handover = passConn
+	if passConn != nil {
+		s.setAcceptDeadline(expiredDeadline) // interrupts Accept without closing the socket, on which the other process listens too
 	}
 }
 
@@ -251,7 +254,7 @@
 	return s.handover
 }
 
-// ResumeAccept has connections accepted again, if the lifecycle says so.
+// ResumeAccept resumes accepting, if the lifecycle allows it.
 func (s *Server) ResumeAccept() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -259,62 +262,61 @@
 	s.canAccept.Broadcast()
 }
 
-// deadlineListener is a listener whose Accept can be ended without closing it.
+// deadlineListener is a listener whose Accept can be interrupted without closing it.
 type deadlineListener interface {
 	SetDeadline(deadline time.Time) error
 }
 
-// setAcceptDeadline is called with the mutex held.
+// setAcceptDeadline sets the deadline of Accept, if the listener has one. Called with the mutex held.
 func (s *Server) setAcceptDeadline(deadline time.Time) {
 	if l, ok := s.listener.(deadlineListener); ok {
 		_ = l.SetDeadline(deadline) // fails only on a closed listener, and then accepting ends anyway
 	}
 }
 
-// newConnGrace is for how long DrainConns spares a connection on which nothing has arrived, in ms: its first command may be on
-// its way.
+// newConnGrace is how long DrainConns spares a connection on which nothing has arrived, in ms: its first command may be on its way.
 const newConnGrace = 250
 
-// DrainConns has connections without requests in flight closed as the lifecycle says. New ones are accepted and served until
-// Close.
+// DrainConns drains the connections that the lifecycle wants closed now: their readers close them or hand them over. New connections are
+// accepted and served until Close.
 func (s *Server) DrainConns() {
-	for _, c := range s.toClose() {
-		c.requestDeparture()
+	for _, c := range s.connsToDrain() {
+		c.requestDrain()
 	}
 }
 
-func (s *Server) toClose() (conns []*conn) {
+func (s *Server) connsToDrain() (conns []*conn) {
 	now := s.Clock.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for c := range s.conns {
-		closing := s.Lifecycle.CloseMode(now, c.jitter)
-		if quiet, since := c.quiet(); closing == lifecycle.StopReading || closing == lifecycle.CloseWhenIdle && quiet && since <= now {
+		mode := s.Lifecycle.CloseMode(now, c.jitter)
+		if drainable, since := c.drainableSince(); mode == lifecycle.StopReading || mode == lifecycle.CloseWhenIdle && drainable && since <= now {
 			conns = append(conns, c)
 		}
 	}
 	return conns
 }
 
-// Close stops accepting, once the connections are accepted that were established before, for patience at most: a request on them counts as
-// taken, and a listener that is closed resets them. Connections are not closed.
-func (s *Server) Close(patience time.Duration) {
+// Close stops accepting. Before that it accepts the connections in the backlog, for at most timeout: their requests count as received,
+// and closing the listener resets connections in the backlog. Accepted connections stay open.
+func (s *Server) Close(timeout time.Duration) {
 	s.mu.Lock()
 	ended := s.serveEnded
-	_, drains := s.listener.(deadlineListener)
-	drains = drains && !s.closed
+	_, canDrainBacklog := s.listener.(deadlineListener)
+	canDrainBacklog = canDrainBacklog && !s.closed
 	s.closed = true
-	s.setAcceptDeadline(time.Now().Add(backlogQuiet))
+	s.setAcceptDeadline(time.Now().Add(backlogIdleTimeout))
 	s.canAccept.Broadcast()
 	s.mu.Unlock()
-	if drains {
+	if canDrainBacklog {
 		select {
 		case <-ended:
-		case <-time.After(patience):
+		case <-time.After(timeout):
 		}
 	}
 	s.mu.Lock()
-	s.abandoned = true
+	s.backlogAbandoned = true
 	listener := s.listener
 	s.mu.Unlock()
 	if listener != nil {
@@ -322,11 +324,11 @@
 	}
 }
 
-// closeWithin closes a listener, and waits so long for that: an accept that blocks holds it up, where the socket is shared with others that
-// have set it to block. The end of the process closes it in any case.
+// closeWithin closes a listener, and waits at most timeout for that: a blocked Accept delays the close if another process that shares the
+// socket has set it to blocking mode. The end of the process closes it in any case.
 func closeWithin(listener net.Listener, timeout time.Duration) {
 	closed := make(chan struct{})
-	go func() { // ends with the accept
+	go func() { // ends when the blocked Accept returns
 		defer close(closed)
 		_ = listener.Close() // it is not used any more
 	}()
--- a/internal/node/clients/socketreader.go
+++ b/internal/node/clients/socketreader.go
@@ -8,22 +8,21 @@
 	"syscall"
 )
 
-// socketReader reads from the client's connection, and marks that it has read in the same step, under the connection's mutex: whoever
-// closes connections that nobody uses, to free a descriptor, finds either the bytes unread or the connection in use. The reader alone
-// uses it.
+// socketReader reads from the client's connection, and sets readInProgress in the same critical section of the connection's mutex. An
+// eviction therefore finds either the bytes still unread or the connection in use. Only the reader goroutine uses it.
 type socketReader struct {
 	conn *conn
-	raw  syscall.RawConn                      // nil: the connection is no socket
-	read func(descriptor uintptr) (done bool) // readNow, bound once
+	raw  syscall.RawConn                      // nil: the connection is not a socket
+	read func(descriptor uintptr) (done bool) // the method value of tryRead, allocated once
 
-	buf []byte // of the read under way
+	buf []byte // buffer of the current Read; n and err are its result
 	n   int
 	err error
 }
 
 func newSocketReader(c *conn) *socketReader {
 	r := &socketReader{conn: c}
-	r.read = r.readNow
+	r.read = r.tryRead
 	if socket, ok := c.net.(syscall.Conn); ok {
 		if raw, err := socket.SyscallConn(); err == nil {
 			r.raw = raw
@@ -36,7 +35,7 @@
 func (r *socketReader) Read(b []byte) (int, error) {
 	if r.raw == nil {
 		n, err := r.conn.net.Read(b)
-		r.conn.markRead(n)
+		r.conn.markReadInProgress(n)
 		return n, err
 	}
 	r.buf, r.n, r.err = b, 0, nil
@@ -46,8 +45,8 @@
 	return r.n, r.err
 }
 
-// readNow reads what has arrived, and reports false if nothing has.
-func (r *socketReader) readNow(descriptor uintptr) (done bool) {
+// tryRead reads what has arrived without blocking, and reports false if nothing has.
+func (r *socketReader) tryRead(descriptor uintptr) (done bool) {
 	c := r.conn
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,17 +66,17 @@
 	case n == 0:
 		r.err = io.EOF
 	default:
-		r.n, c.state.reading = n, true
+		r.n, c.state.readInProgress = n, true
 	}
 	return true
 }
 
-// markRead marks that bytes were read.
-func (c *conn) markRead(n int) {
+// markReadInProgress records a read of n bytes that recordRead has not recorded yet.
+func (c *conn) markReadInProgress(n int) {
 	if n <= 0 {
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.state.reading = true
+	c.state.readInProgress = true
 }
--- a/internal/node/clients/state.go
+++ b/internal/node/clients/state.go
@@ -6,50 +6,50 @@
 	"mintspring/internal/node/exchange"
 )
 
-// phase is how far a connection has come. It only grows.
+// phase is the stage of a connection's life. It only increases.
 type phase uint8
 
 const (
-	phaseOpen   phase = iota // commands are read
-	phaseEnding              // the last reply is queued, and nothing more is taken
+	phaseOpen   phase = iota // commands are processed
+	phaseEnding              // the last reply is queued, and no more replies are
 	phaseClosed              // closed, or handed over to another process
 )
 
-// usage is what a connection has been used for. It only grows.
+// usage is what a connection has been used for. It only increases.
 type usage uint8
 
 const (
 	usageUnused    usage = iota // nothing has arrived
 	usageReceived               // bytes have arrived, but no request
-	usageRequested              // one request
-	usageReused                 // more than one request
+	usageRequested              // one request has arrived
+	usageReused                 // more than one request has arrived
 )
 
-// requestUse is the place of a request among those of its connection.
-type requestUse uint8
+// requestOrdinal is the position of a request among those of its connection.
+type requestOrdinal uint8
 
 const (
-	firstRequest requestUse = iota
+	firstRequest requestOrdinal = iota
 	secondRequest
 	laterRequest
 )
 
-// writerPhase is what the writing goroutine does.
+// writerPhase is the state of the writer goroutine.
 type writerPhase uint8
 
 const (
-	writerWaiting  writerPhase = iota // for the next reply
-	writerWriting                     // a reply
+	writerWaiting  writerPhase = iota // waits for the next reply
+	writerWriting                     // writes a reply
 	writerFinished                    // the last reply has been written
 )
 
-// pendingReply is the place of one command in the order of replies: a request, or a reply of this node's own.
+// pendingReply is the entry of one command in the queue of replies: a request, or a reply that does not come from a server.
 type pendingReply struct {
 	request  *exchange.Exchange
-	text     string // without a request
+	text     string // the reply, if request is nil
 	last     bool   // the connection is closed after it
-	size     int64  // bytes that count as buffered until it is written
-	reserved int64  // memory reserved for a large value until the reply is written
+	size     int64  // bytes that count as buffered until the reply is written
+	reserved int64  // bytes of memory reserved for a large value until the reply is written
 }
 
 // sharedState is the state of a connection that its goroutines and the server share. Its methods are called with the
@@ -60,10 +60,10 @@
 	lastActive float64 // when the client was last read from or written to
 
 	// The reader's progress.
-	reading    bool // bytes have been read, and recordRead has not said yet what they are
-	midCommand bool // part of a command has been read
-	paused     bool // no command is taken until one is replied to
-	departing  bool // the reader is to end the connection, or hand it over, once it is between commands
+	readInProgress bool // bytes have been read that recordRead has not recorded yet
+	midCommand     bool // part of a command has been read
+	paused         bool // no command is processed until one is replied to
+	drainRequested bool // the reader is asked to close the connection, or to hand it over, between commands
 
 	// The writer's progress.
 	writer       writerPhase
@@ -74,14 +74,14 @@
 	buffered int64 // bytes of commands and replies, which the server counts too
 }
 
-// betweenRequests reports whether nothing is in flight on an open connection.
+// betweenRequests reports whether the connection is open and nothing is in flight on it.
 func (s *sharedState) betweenRequests() bool {
-	return !s.hasPending() && !s.midCommand && !s.reading && s.phase != phaseClosed
+	return !s.hasPending() && !s.midCommand && !s.readInProgress && s.phase != phaseClosed
 }
 
-// incomplete reports whether nothing is in flight but a command that has begun to arrive.
+// incomplete reports whether the connection is open and nothing is in flight on it but part of a command.
 func (s *sharedState) incomplete() bool {
-	return !s.hasPending() && s.midCommand && !s.reading && s.phase != phaseClosed
+	return !s.hasPending() && s.midCommand && !s.readInProgress && s.phase != phaseClosed
 }
 
 // hasPending reports whether a command that was read has not been replied to.
@@ -94,22 +94,22 @@
 	})
 }
 
-// finishing reports whether nothing is in flight but a reply, other than a large value, whose writing began less than so many
-// ms ago.
-func (s *sharedState) finishing(now, within float64) bool {
-	return s.writer == writerWriting && s.stream == nil && len(s.replies) == 0 && now-s.writeStarted < within
+// finishingReply reports whether nothing is in flight but one reply, other than a large value, whose writing began less than maxAge ms
+// ago.
+func (s *sharedState) finishingReply(now, maxAge float64) bool {
+	return s.writer == writerWriting && s.stream == nil && len(s.replies) == 0 && now-s.writeStarted < maxAge
 }
 
-// atLimit reports whether no more commands are taken until one is replied to.
+// atLimit reports whether no more commands are processed until one is replied to.
 func (s *sharedState) atLimit() bool {
 	return (len(s.replies) >= maxPipelined || s.buffered > maxConnBuffered) && s.phase != phaseClosed
 }
 
-// recordRequest records that a request has arrived completely.
-func (s *sharedState) recordRequest() requestUse {
+// recordRequest records that a request has arrived completely, and returns its position.
+func (s *sharedState) recordRequest() requestOrdinal {
 	switch s.usage {
 	case usageUnused, usageReceived:
-		return firstRequest // enqueue records it
+		return firstRequest // enqueue updates usage
 	case usageRequested:
 		s.usage = usageReused
 		return secondRequest
@@ -118,7 +118,7 @@
 	}
 }
 
-// enqueue appends a reply, and reports false if no more are taken.
+// enqueue appends a reply. It reports false if the connection takes no more replies.
 func (s *sharedState) enqueue(r pendingReply) bool {
 	if s.phase != phaseOpen {
 		return false
@@ -133,8 +133,8 @@
 	return true
 }
 
-// replaceReply puts a text in place of a request's reply that waits behind others, and reports whether it did. One at the head is written at
-// once, and frees its memory by that.
+// replaceReply replaces the reply to a request by a text, and reports whether it did. It does so only behind other replies: the one at
+// the head is written at once, which frees its memory.
 func (s *sharedState) replaceReply(request *exchange.Exchange, text string) bool {
 	i := slices.IndexFunc(s.replies, func(r pendingReply) bool { return r.request == request })
 	if i < 1 {
@@ -144,7 +144,7 @@
 	return true
 }
 
-// dequeue removes the reply at the head if it can be written, and marks it as being written.
+// dequeue removes the reply at the head if it can be written, and records that its writing begins.
 func (s *sharedState) dequeue(now float64) (r pendingReply, response *exchange.Response, ok bool) {
 	if len(s.replies) == 0 {
 		return pendingReply{}, nil, false
@@ -160,7 +160,7 @@
 	return r, response, true
 }
 
-// recordWritten records that a reply has been written, or could not be.
+// recordWritten records that a reply has been written, or that writing it has failed.
 func (s *sharedState) recordWritten(now float64, last bool) {
 	s.lastActive, s.stream = now, nil
 	s.writer = writerWaiting
@@ -169,17 +169,17 @@
 	}
 }
 
-// recordRead records a read of the reader, and returns whether part of a command had been read before.
+// recordRead records a read, and returns whether part of a command had been read before it.
 func (s *sharedState) recordRead(now float64, midCommand, paused bool) (wasMidCommand bool) {
-	wasMidCommand, s.reading = s.midCommand, false
+	wasMidCommand, s.readInProgress = s.midCommand, false
 	s.midCommand, s.lastActive = midCommand, now
 	s.usage = max(s.usage, usageReceived)
 	s.paused = paused || s.atLimit()
 	return wasMidCommand
 }
 
-// takeResume ends a pause if commands are taken again, and reports whether it did.
-func (s *sharedState) takeResume() bool {
+// tryResume ends a pause if commands may be processed again, and reports whether it did.
+func (s *sharedState) tryResume() bool {
 	resumed := s.canResume()
 	s.paused = s.paused && !resumed
 	return resumed
@@ -187,15 +187,14 @@
 
 func (s *sharedState) canResume() bool { return s.paused && !s.atLimit() }
 
-// takeDeparture reports whether the reader has been asked to depart, once.
-func (s *sharedState) takeDeparture() bool {
-	departing := s.departing
-	s.departing = false
-	return departing
+// consumeDrainRequest reports whether the reader has been asked to drain the connection, and clears the request.
+func (s *sharedState) consumeDrainRequest() bool {
+	drainRequested := s.drainRequested
+	s.drainRequested = false
+	return drainRequested
 }
 
-// close marks the connection as closed. It returns the replies that were not written, and the large value that was being
-// written.
+// close marks the connection as closed. It returns the replies that were not written, and the large value that was being written.
 func (s *sharedState) close() (unwritten []pendingReply, stream exchange.Stream) {
 	unwritten, stream = s.replies, s.stream
 	s.phase, s.replies = phaseClosed, nil
--- a/internal/node/clients/state_test.go
+++ b/internal/node/clients/state_test.go
@@ -7,11 +7,11 @@
 )
 
 // nobody is a client that does not care for responses.
-type nobody struct{}
+type discardingClient struct{}
 
-func (nobody) ResponseReady(*exchange.Exchange) {}
+func (discardingClient) ResponseReady(*exchange.Exchange) {}
 
-func newRequest() *exchange.Exchange { return &exchange.Exchange{Client: nobody{}} }
+func newRequest() *exchange.Exchange { return &exchange.Exchange{Client: discardingClient{}} }
 
 // Replies are queued until the last one, and the phases only grow.
 func TestStatePhases(t *testing.T) {
@@ -42,7 +42,7 @@
 		t.Fatalf("after part of a command: %+v", s)
 	}
 	for i, want := range []struct {
-		use   requestUse
+		use   requestOrdinal
 		usage usage
 	}{{firstRequest, usageRequested}, {secondRequest, usageReused}, {laterRequest, usageReused}} {
 		if use := s.recordRequest(); use != want.use {
@@ -75,8 +75,8 @@
 		if !ok || string(response.Value) != want.value || s.writer != writerWriting || !s.hasPending() {
 			t.Fatalf("%s: %+v, %v, %+v", want.value, response, ok, s)
 		}
-		if last := len(s.replies) == 0; s.finishing(14, 5) != last || s.finishing(15, 5) {
-			t.Errorf("%s: finishing is %v with %d replies behind it", want.value, s.finishing(14, 5), len(s.replies))
+		if last := len(s.replies) == 0; s.finishingReply(14, 5) != last || s.finishingReply(15, 5) {
+			t.Errorf("%s: finishingReply is %v with %d replies behind it", want.value, s.finishingReply(14, 5), len(s.replies))
 		}
 		s.recordWritten(20, r.last)
 		if s.writer != want.after || s.lastActive != 20 {
@@ -92,18 +92,18 @@
 		s.enqueue(pendingReply{text: "a"})
 	}
 	s.recordRead(1, false, false)
-	if !s.paused || s.takeResume() || !s.paused {
+	if !s.paused || s.tryResume() || !s.paused {
 		t.Fatal("the reader does not pause at the limit")
 	}
 	s.dequeue(2)
-	if !s.canResume() || !s.takeResume() || s.paused || s.takeResume() {
+	if !s.canResume() || !s.tryResume() || s.paused || s.tryResume() {
 		t.Error("the reader does not resume once below the limit")
 	}
-	if s.takeDeparture() {
+	if s.consumeDrainRequest() {
 		t.Error("the reader departs without having been asked to")
 	}
-	s.departing = true
-	if !s.takeDeparture() || s.takeDeparture() {
+	s.drainRequested = true
+	if !s.consumeDrainRequest() || s.consumeDrainRequest() {
 		t.Error("the reader does not depart once")
 	}
 }
--- a/internal/node/clients/stream.go
+++ b/internal/node/clients/stream.go
@@ -13,44 +13,44 @@
 	"mintspring/internal/node/exchange"
 )
 
-// A client that takes nothing of a large value for maxStreamStall is closed. It may be slower than the longest statement
-// timeout: once the first bytes are sent, the value concerns only the client and the server (the operators' page of daily
+// The connection of a client that takes nothing of a large value for maxStreamStall is closed. The whole value may take longer than any
+// client timeout: once its first bytes are sent, only the client and the cache server are concerned (the operators' page of daily
 // operation, "Less room"). Progress is checked every stallCheckInterval.
 const (
 	maxStreamStall     = 10 * time.Second
 	stallCheckInterval = 500 * time.Millisecond
 )
 
-// writeStream writes a large value, each piece as it arrives. An error ends the connection, by which the client can tell
-// that the value broke off; if nothing has been written yet, the client gets an error reply instead.
+// writeStream writes a large value, each chunk as it arrives. An error ends the connection, which tells the client that the value is
+// incomplete. If nothing has been written yet, the client gets an error reply instead.
 func (c *conn) writeStream(value exchange.Stream) error {
 	defer value.Close()
-	head := append(strconv.AppendInt([]byte{'$'}, value.Size(), 10), commandEnd...)
+	header := append(strconv.AppendInt([]byte{'$'}, value.Size(), 10), crlf...)
 	for first := true; ; first = false {
-		piece, err := value.Next()
+		chunk, err := value.Next()
 		switch {
 		case errors.Is(err, io.EOF):
-			return c.writePiece([]byte(commandEnd))
+			return c.writeChunk([]byte(crlf))
 		case err != nil && first:
-			return c.writePiece([]byte("-ERR the value broke off\r\n"))
+			return c.writeChunk([]byte("-ERR the value broke off\r\n"))
 		case err != nil:
 			return err
 		case first:
-			if err := c.writePiece(head); err != nil {
+			if err := c.writeChunk(header); err != nil {
 				return err
 			}
 		}
-		if err := c.writePiece(piece); err != nil {
+		if err := c.writeChunk(chunk); err != nil {
 			return err
 		}
 	}
 }
 
-// writePiece writes one piece, as long as the client takes any of what was written. That a write blocks says little: the
-// kernel lets one continue only when a third of its buffer is free, which may take a slow client seconds. What has left that
-// buffer shows progress.
-func (c *conn) writePiece(b []byte) error {
-	progressAt, queued := time.Now(), unsentBytes(c.net)
+// writeChunk writes one chunk, for as long as the client takes bytes of it. A blocked write does not show that the client takes none: the
+// kernel lets a write continue only when a third of its buffer is free, which a slow client may need seconds for. A change of the number
+// of unacknowledged bytes shows progress.
+func (c *conn) writeChunk(b []byte) error {
+	lastProgress, unacknowledged := time.Now(), unacknowledgedBytes(c.net)
 	for len(b) > 0 {
 		c.setWriteDeadline(stallCheckInterval)
 		n, err := c.net.Write(b)
@@ -61,20 +61,20 @@
 		if !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		nowQueued := unsentBytes(c.net)
-		if n > 0 || nowQueued != queued {
-			progressAt = time.Now()
+		current := unacknowledgedBytes(c.net)
+		if n > 0 || current != unacknowledged {
+			lastProgress = time.Now()
 		}
-		queued = nowQueued
-		if time.Since(progressAt) > maxStreamStall {
+		unacknowledged = current
+		if time.Since(lastProgress) > maxStreamStall {
 			return err
 		}
 	}
 	return nil
 }
 
-// unsentBytes returns how many bytes written to a connection the peer has not acknowledged; -1 if that is unknown.
-func unsentBytes(netConn net.Conn) int {
+// unacknowledgedBytes returns how many bytes written to a connection the peer has not acknowledged; -1 if that is unknown.
+func unacknowledgedBytes(netConn net.Conn) int {
 	tcp, ok := netConn.(*net.TCPConn)
 	if !ok {
 		return -1
@@ -83,14 +83,14 @@
 	if err != nil {
 		return -1
 	}
-	unsent := -1
+	unacknowledged := -1
 	err = raw.Control(func(fd uintptr) {
 		if n, err := unix.IoctlGetInt(int(fd), unix.SIOCOUTQ); err == nil {
-			unsent = n
+			unacknowledged = n
 		}
 	})
 	if err != nil {
 		return -1
 	}
-	return unsent
+	return unacknowledged
 }
--- a/internal/node/clients/upload.go
+++ b/internal/node/clients/upload.go
@@ -12,21 +12,21 @@
 )
 
 const (
-	// maxUploadTime is how long a large value may take to arrive, however steadily: its memory is reserved for all that time. It is
-	// ten times what the operators' page gives a client for the head of a command.
+	// maxUploadTime is how long a large value may take to arrive, even if the client keeps sending: its memory is reserved for all that
+	// time. It is ten times the limit that the operators' page sets for the head of a command.
 	maxUploadTime = 20 * time.Second
-	// uploadOverhead is how many bytes a buffered command takes besides its bytes.
+	// uploadOverhead is the number of bytes that a buffered command takes in addition to its own length.
 	uploadOverhead = 512
 )
 
 var errTruncatedBody = errors.New("client did not send all of the value")
 
-// readLargeWrite reads a write with a large value into memory of its own, as fast as its client sends it, so that it can be
-// attempted more than once. Where there is no memory for it, it is passed on as it arrives. It returns how many bytes of the
-// command are still to be skipped, and whether the connection is open.
+// readLargeWrite reads a write with a large value completely before it is handed on, so that the write can be attempted more than once.
+// If there is no memory for it, its value is forwarded as it arrives. readLargeWrite returns how many bytes of the command are still to
+// be skipped, and whether the connection is open.
 func (r *commandReader) readLargeWrite(size int) (skip int, open bool) {
 	c := r.conn
-	c.beginCommand()
+	c.markMidCommand()
 	reserved := reserve(c.server.Memory, int64(size+uploadOverhead))
 	if reserved == nil {
 		return r.streamLargeWrite(size)
@@ -48,8 +48,8 @@
 	return 0, true
 }
 
-// beginCommand marks the connection as not between requests while a large command is read.
-func (c *conn) beginCommand() {
+// markMidCommand marks the connection as not between requests while a large command is read.
+func (c *conn) markMidCommand() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.state.midCommand = true
@@ -68,24 +68,25 @@
 	return nil
 }
 
-// readUpload reads once more of a large command. The client may take its time until the deadline, but has to keep sending.
+// readUpload does one more read of a large command. The client may send until the deadline, but must not pause for longer than
+// CommandTimeout.
 func (c *conn) readUpload(deadline time.Time, read func() (int, error)) (int, error) {
 	for {
-		next := time.Now().Add(clock.Duration(c.server.CommandTimeout))
-		if deadline.Before(next) {
-			next = deadline
+		readDeadline := time.Now().Add(clock.Duration(c.server.CommandTimeout))
+		if deadline.Before(readDeadline) {
+			readDeadline = deadline
 		}
-		c.setReadDeadline(next)
+		c.setReadDeadline(readDeadline)
 		n, err := read()
-		if n == 0 && err != nil && c.takeDeparture() && time.Now().Before(deadline) {
+		if n == 0 && err != nil && c.consumeDrainRequest() && time.Now().Before(deadline) {
 			continue // the connection cannot be handed over with part of a command read
 		}
 		return n, err
 	}
 }
 
-// uploadFailed ends a connection on which the rest of a large write does not come. Requests before it are answered first, if
-// the client is still there.
+// uploadFailed ends a connection on which the rest of a large write does not arrive. If the client is still connected, earlier requests
+// are answered first.
 func (c *conn) uploadFailed(err error) {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		c.commandTimedOut()
@@ -94,80 +95,80 @@
 	c.close()
 }
 
-// streamLargeWrite passes a write on at its head, and its value as it arrives and as its server reads it. The server runs it
-// when it has the last byte, and the client's time limit begins with that. The last byte is passed on only with the end of the
-// command behind it.
+// streamLargeWrite hands a write to the Handler when the bytes before its value have arrived, and forwards the value as it arrives and as
+// the server reads it. The server executes the write when it has the last byte, and the time limit of the client starts then. The last
+// byte is forwarded only after the end of the command has arrived.
 func (r *commandReader) streamLargeWrite(size int) (skip int, open bool) {
 	c := r.conn
-	args, head, length := parseLargeWriteHead(r.in.Peek())
+	args, valueStart, length := parseLargeWriteHeader(r.in.Peek())
 	if args == nil {
 		c.replyError(tooLargeMessage, false)
-		return r.discard(size), true
+		return r.discardCommand(size), true
 	}
 	request, err := c.server.Config().parseRequest(append(args, nil), c.server.Clock.Now(), false)
 	if err != nil {
 		c.replyError(err.Error(), false)
-		return r.discard(size), true
+		return r.discardCommand(size), true
 	}
 	request.Value, request.Body = nil, exchange.NewBody(int64(length))
 	request.Timeout = request.Deadline - request.Arrived
 	request.Deadline += float64(maxUploadTime / time.Millisecond)
 	if !c.submit(request, nil) {
-		return r.discard(size), true
+		return r.discardCommand(size), true
 	}
 	defer request.Body.CloseWriter(errTruncatedBody)
-	r.in.Discard(head)
-	return r.passBody(request, size-head, length)
+	r.in.Discard(valueStart)
+	return r.forwardBody(request, size-valueStart, length)
 }
 
-// passBody passes the body of a request on as it arrives. Size is what is left of the command, length of the body.
-func (r *commandReader) passBody(request *exchange.Exchange, size, length int) (skip int, open bool) {
+// forwardBody forwards the body of a request as it arrives. Of the command, remaining bytes are left, of the body bodyLength.
+func (r *commandReader) forwardBody(request *exchange.Exchange, remaining, bodyLength int) (skip int, open bool) {
 	c := r.conn
 	deadline := time.Now().Add(maxUploadTime)
-	for length > 0 {
-		n, err := r.passable(request, length)
+	for bodyLength > 0 {
+		n, err := r.forwardableBytes(request, bodyLength)
 		if err != nil {
 			c.replyError(malformedMessage, true)
 			return 0, true
 		}
 		if n > 0 {
 			if _, err := request.Body.Write(r.in.Peek()[:n]); err != nil {
-				return r.discard(size), true // it has its response, or cannot be attempted any more
+				return r.discardCommand(remaining), true // the request has its response, or cannot be attempted any more
 			}
 			r.in.Discard(n)
-			length, size = length-n, size-n
+			bodyLength, remaining = bodyLength-n, remaining-n
 			continue
 		}
 		r.in.Grow(exchange.StreamWindow)
 		if _, err := c.readUpload(deadline, func() (int, error) { return r.in.ReadOnce(c.net) }); err != nil {
-			request.Body.CloseWriter(errTruncatedBody) // its attempt, and so its reply, may wait for the rest
+			request.Body.CloseWriter(errTruncatedBody) // an attempt of the request may wait for the rest, and the reply for the attempt
 			c.uploadFailed(err)
 			return 0, false
 		}
 	}
-	r.in.Discard(len(commandEnd))
+	r.in.Discard(len(crlf))
 	return 0, true
 }
 
-// passable returns how many bytes in the ring may be passed on now, of a body of which length bytes are left. If all are there
-// with the end of the command, the body is complete.
-func (r *commandReader) passable(request *exchange.Exchange, length int) (int, error) {
+// forwardableBytes returns how many bytes in the ring buffer may be forwarded now, if bodyLength bytes of the body are left. If all of
+// them are there with the end of the command, it reports the body as received.
+func (r *commandReader) forwardableBytes(request *exchange.Exchange, bodyLength int) (int, error) {
 	b := r.in.Peek()
-	n := min(len(b), length)
+	n := min(len(b), bodyLength)
 	switch {
-	case n < length:
+	case n < bodyLength:
 		return n, nil
-	case len(b) < length+len(commandEnd):
+	case len(b) < bodyLength+len(crlf):
 		return n - 1, nil
-	case string(b[length:length+len(commandEnd)]) != commandEnd:
+	case string(b[bodyLength:bodyLength+len(crlf)]) != crlf:
 		return 0, errTruncatedBody
 	}
 	r.conn.server.Handler.BodyReceived(request, r.conn.server.Clock.Now())
 	return n, nil
 }
 
-// discard drops what has arrived of a command of a size, and returns how much is still to be skipped.
-func (r *commandReader) discard(size int) int {
+// discardCommand drops the bytes of a command of the given size that have arrived, and returns how many are still to be skipped.
+func (r *commandReader) discardCommand(size int) int {
 	n := min(size, r.in.Len())
 	r.in.Discard(n)
 	return size - n
--- a/internal/node/clients/upload_test.go
+++ b/internal/node/clients/upload_test.go
@@ -74,7 +74,7 @@
 	text := command("KV.SET", "k", "1", "c=put,d=400,k=m", value) + command("PING")
 	for _, piece := range []int{len(text), 50_000, 7_001} {
 		c := r.dial()
-		go c.writePieces(piece, text)
+		go c.sendChunks(piece, text)
 		x := r.nextRequest()
 		if string(x.Value) != value || !x.Write || !x.IsLarge() || string(x.Key) != "k" {
 			t.Fatalf("pieces of %d: %d bytes for %q", piece, len(x.Value), x.Key)
@@ -142,7 +142,7 @@
 	text := command("KV.SET", "k", "1", "c=put,d=400,k=m", value) + command("PING")
 	for _, piece := range []int{len(text), 50_000, 7_001} {
 		c := r.dial()
-		go c.writePieces(piece, text)
+		go c.sendChunks(piece, text)
 		x := r.nextRequest()
 		if x.Body == nil || x.Body.Size != int64(len(value)) || x.Timeout < 300 || x.Deadline-x.Arrived < 20_000 || x.Body.Consumed() {
 			t.Fatalf("pieces of %d: %+v", piece, x)
--- a/internal/node/clients/writer.go
+++ b/internal/node/clients/writer.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/node/ringbuf"
 )
 
-// replyOverhead is a bound, in bytes, for what a reply takes besides its value and message.
+// replyOverhead is an upper bound for the bytes that a reply takes in addition to its value and message.
 const replyOverhead = 64
 
 // writeLoop writes the replies in the order of the commands.
@@ -27,16 +27,16 @@
 			return
 		}
 		if tcp, ok := c.net.(*net.TCPConn); ok && reply.last {
-			_ = tcp.CloseWrite() // if the connection has failed, the reader sees that too
+			_ = tcp.CloseWrite() // the reader notices a failed connection by itself
 			return
-		} else if c.closingStage() != lifecycle.KeepOpen {
-			c.requestDeparture()
+		} else if c.closeMode() != lifecycle.KeepOpen {
+			c.requestDrain()
 		}
 		out.ReleaseIfEmpty()
 	}
 }
 
-// nextReply waits until the reply at the head of the queue can be written, and removes it. It reports false when the
+// nextReply waits until the reply at the head of the queue can be written, and removes it from the queue. It reports false when the
 // connection is closed.
 func (c *conn) nextReply() (r pendingReply, response *exchange.Response, ok bool) {
 	c.mu.Lock()
@@ -51,8 +51,8 @@
 	return pendingReply{}, nil, false
 }
 
-// sendReply writes a reply and releases what it held. If that fails, or panics, the connection is closed first: with part of a
-// reply written it must not pass for idle.
+// sendReply writes a reply and releases what it held. If writing fails or panics, the connection is closed before the release: after part
+// of a reply it must not count as idle.
 func (c *conn) sendReply(out *ringbuf.Ring, r pendingReply, response *exchange.Response) (err error) {
 	sent := false
 	defer func() {
@@ -66,7 +66,7 @@
 	return err
 }
 
-// writeReply writes a reply. A large value that breaks off after its first byte is an error.
+// writeReply writes a reply. It returns an error if a large value breaks off after its first byte.
 func (c *conn) writeReply(out *ringbuf.Ring, r pendingReply, response *exchange.Response) error {
 	size := len(r.text)
 	if response != nil {
@@ -95,7 +95,7 @@
 	return err
 }
 
-// recordWritten releases what a reply held, and resumes the reader if commands are taken again by that.
+// recordWritten releases what a reply held, and wakes the reader if more commands may be processed now.
 func (c *conn) recordWritten(r pendingReply, response *exchange.Response) {
 	if r.reserved > 0 {
 		c.server.Memory.Release(r.reserved)
@@ -108,12 +108,12 @@
 	}
 	c.state.recordWritten(c.server.Clock.Now(), r.last)
 	if c.state.canResume() {
-		c.setReadDeadline(longAgo)
+		c.setReadDeadline(expiredDeadline)
 	}
 	c.cond.Broadcast()
 }
 
-// setWriteDeadline bounds the next write.
+// setWriteDeadline sets the deadline of the next write.
 func (c *conn) setWriteDeadline(timeout time.Duration) {
 	_ = c.net.SetWriteDeadline(time.Now().Add(timeout)) // fails only on a closed connection, and then writing fails too
 }
