--- a/internal/node/clients/closing_test.go
+++ b/internal/node/clients/closing_test.go
@@ -17,85 +17,85 @@
 
 // At shutdown connections are closed between requests only, and new ones are served until the end.
 func TestShutdownCompletesRequests(t *testing.T) {
-	r := newHarness(t)
-	busy, quiet := r.dial(), r.dial()
-	quiet.send(command("PING"))
-	quiet.expect("+PONG\r\n")
+	h := newHarness(t)
+	busy, idle := h.dial(), h.dial()
+	idle.send(command("PING"))
+	idle.expect("+PONG\r\n")
 	busy.send(command("KV.GET", "k", "1", testExtra) + "*1\r\n")
-	x := r.nextRequest()
-	r.server.Lifecycle.BeginStop()
-	r.server.DrainConns()
-	quiet.expectEnd()
+	x := h.nextRequest()
+	h.server.Lifecycle.BeginStop()
+	h.server.DrainConns()
+	idle.expectEnd()
 	x.Respond(exchange.Response{Value: []byte("v")})
 	busy.expect("$1\r\nv\r\n")
-	busy.send("$4\r\nPING\r\n") // the command had begun before
+	busy.send("$4\r\nPING\r\n") // the rest of the command that had begun
 	busy.expect("+PONG\r\n")
 	busy.expectEnd()
-	late := r.dial()
-	late.send(command("KV.GET", "k", "2", testExtra))
-	r.nextRequest().Respond(exchange.Response{Value: []byte("w")})
-	late.expect("$1\r\nw\r\n")
-	late.expectEnd()
+	newClient := h.dial()
+	newClient.send(command("KV.GET", "k", "2", testExtra))
+	h.nextRequest().Respond(exchange.Response{Value: []byte("w")})
+	newClient.expect("$1\r\nw\r\n")
+	newClient.expectEnd()
 }
 
-// On standby new and open connections are served as long as the load balancer sends any, then closed after their replies, and
-// idle ones are closed before a request on them could outlast the time for draining.
+// On standby, new and open connections are served for as long as the load balancer may send any. Then they are closed after their
+// replies, and idle ones early enough that no request on them outlasts the drain.
 func TestStandbyAndBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		life := &lifecycle.State{}
-		life.MarkListed()
-		r := newPipeHarness(t, life)
+		state := &lifecycle.State{}
+		state.MarkListed()
+		h := newPipeHarness(t, state)
 		serve := func(c *client, id string) {
 			t.Helper()
 			c.send(command("KV.GET", "k", id, testExtra))
-			(<-r.taken).Respond(exchange.Response{Value: []byte("v")})
+			(<-h.requests).Respond(exchange.Response{Value: []byte("v")})
 			c.expect("$1\r\nv\r\n")
 		}
-		sweep := func(from, to time.Duration) {
+		drainRepeatedly := func(from, to time.Duration) {
 			for ; from < to; from += 50 * time.Millisecond {
 				time.Sleep(50 * time.Millisecond)
-				r.server.DrainConns()
+				h.server.DrainConns()
 			}
 		}
-		kept, quiet, gone := r.dial(), r.dial(), r.dial()
-		for i, c := range []*client{kept, quiet, gone} {
+		busy, resumed, unused := h.dial(), h.dial(), h.dial()
+		for i, c := range []*client{busy, resumed, unused} {
 			serve(c, fmt.Sprint("a", i))
 		}
-		life.EnterStandby(r.server.Clock.Now())
-		sweep(0, 200*time.Millisecond)
-		kept.send(command("PING"))
-		kept.expect("-LOADING the node is on standby\r\n")
-		newcomer := r.dial()
-		serve(newcomer, "b")
-		serve(kept, "c")
-		sweep(200*time.Millisecond, 500*time.Millisecond)
-		life.LeaveStandby()
-		serve(quiet, "d") // active again, the node keeps its connections
-		life.EnterStandby(r.server.Clock.Now())
-		sweep(0, 600*time.Millisecond)
-		serve(kept, "e")
-		kept.expectEnd()
-		sweep(600*time.Millisecond, 2*time.Second)
-		for _, c := range []*client{quiet, gone, newcomer} {
+		state.EnterStandby(h.server.Clock.Now())
+		drainRepeatedly(0, 200*time.Millisecond)
+		busy.send(command("PING"))
+		busy.expect("-LOADING the node is on standby\r\n")
+		newClient := h.dial()
+		serve(newClient, "b")
+		serve(busy, "c")
+		drainRepeatedly(200*time.Millisecond, 500*time.Millisecond)
+		state.LeaveStandby()
+		serve(resumed, "d") // after standby the node keeps its connections
+		state.EnterStandby(h.server.Clock.Now())
+		drainRepeatedly(0, 600*time.Millisecond)
+		serve(busy, "e")
+		busy.expectEnd()
+		drainRepeatedly(600*time.Millisecond, 2*time.Second)
+		for _, c := range []*client{resumed, unused, newClient} {
 			c.expectEnd()
 		}
 	})
 }
 
-// answerAll answers all requests until the test ends, and reports whether one with an id has arrived.
-func (r *harness) answerAll() (taken func(id string) bool) {
+// answerAll answers all requests until the test ends. It returns a function that reports whether a request with an ID has arrived.
+func (h *harness) answerAll() (arrived func(id string) bool) {
 	var mu sync.Mutex
-	ids, over := map[string]bool{}, make(chan struct{})
-	r.t.Cleanup(func() { close(over) })
+	ids, done := map[string]bool{}, make(chan struct{})
+	h.t.Cleanup(func() { close(done) })
 	go func() {
 		for {
 			select {
-			case x := <-r.taken:
+			case x := <-h.requests:
 				mu.Lock()
 				ids[string(x.ID)] = true
 				mu.Unlock()
 				x.Respond(exchange.Response{Value: []byte("v" + string(x.ID))})
-			case <-over:
+			case <-done:
 				return
 			}
 		}
@@ -107,10 +107,10 @@
 	}
 }
 
-// readReplies reads replies until the connection ends; a reset is an error.
+// readReplies reads replies until the connection ends. It returns an error unless that end is orderly, as after a reset.
 func (c *client) readReplies() (replies []string, err error) {
 	for {
-		line, err := c.r.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err == io.EOF && line == "" {
 			return replies, nil
 		}
@@ -118,7 +118,7 @@
 			return replies, fmt.Errorf("%q and %w", line, err)
 		}
 		if strings.HasPrefix(line, "$") {
-			line, err = c.r.ReadString('\n')
+			line, err = c.reader.ReadString('\n')
 			if err != nil {
 				return replies, err
 			}
@@ -127,49 +127,49 @@
 	}
 }
 
-// A request that arrives just as its connection is closed for being idle is either taken and answered, or not read: the client
-// sees the end of the connection and no reset, and all replies before it. Closing outside the reader, over unread bytes, reset
-// some connections.
+// A request that arrives just as its idle connection is closed is either handled and answered, or not read. The client reads all earlier
+// replies and then an orderly end, no reset. Closing the connection outside the reader goroutine, over unread bytes, would reset some
+// connections.
 func TestRequestsCrossingClose(t *testing.T) {
 	for range 150 {
-		r := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
-		taken := r.answerAll()
-		cs := []*client{r.dial(), r.dial(), r.dial(), r.dial()}
-		for i, c := range cs {
+		h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
+		arrived := h.answerAll()
+		clients := []*client{h.dial(), h.dial(), h.dial(), h.dial()}
+		for i, c := range clients {
 			c.send(command("KV.GET", "k", fmt.Sprint("first", i), "c=read,d=400"))
 			c.expect(fmt.Sprintf("$%d\r\nvfirst%d\r\n", len("vfirst")+1, i))
 		}
 		var wg sync.WaitGroup
-		wg.Add(len(cs))
+		wg.Add(len(clients))
 		go func() {
-			r.server.Lifecycle.BeginStop()
-			r.server.DrainConns()
+			h.server.Lifecycle.BeginStop()
+			h.server.DrainConns()
 		}()
-		for i, c := range cs {
+		for i, c := range clients {
 			go func() {
 				defer wg.Done()
 				id := fmt.Sprint("second", i)
 				c.send(command("KV.GET", "k", id, "c=read,d=400"))
-				got, how := c.readReplies()
-				if how != nil {
-					t.Errorf("the connection ended with %v", how)
+				replies, err := c.readReplies()
+				if err != nil {
+					t.Errorf("the connection ended with %v", err)
 				}
-				if answered := len(got) == 1 && got[0] == "v"+id; answered != taken(id) || len(got) > 1 {
-					t.Errorf("taken: %v, answers: %q", taken(id), got)
+				if answered := len(replies) == 1 && replies[0] == "v"+id; answered != arrived(id) || len(replies) > 1 {
+					t.Errorf("request arrived: %v, replies: %q", arrived(id), replies)
 				}
 			}()
 		}
 		wg.Wait()
-		r.server.Close(testCloseTime)
+		h.server.Close(testCloseTime)
 	}
 }
 
-// A client that always has commands in flight would be served for ever: near the end of a shutdown, what was read is answered, what
-// is read behind that is rejected and not begun, and the connection ends in order.
+// A client that always has commands in flight would be served forever. Near the end of a shutdown, commands that were read are answered,
+// later ones are rejected without being handled, and the connection ends in order.
 func TestPipelineEndsAtShutdown(t *testing.T) {
-	r := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
-	taken := r.answerAll()
-	c := r.dial()
+	h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
+	arrived := h.answerAll()
+	c := h.dial()
 	sent := make(chan int, 1)
 	go func() {
 		for i := 0; ; i++ {
@@ -179,26 +179,26 @@
 			}
 		}
 	}()
-	for !taken("50") {
+	for !arrived("50") {
 		time.Sleep(time.Millisecond)
 	}
-	r.server.Lifecycle.BeginStop()
-	r.server.DrainConns()
-	r.server.Lifecycle.FinishStop()
-	r.server.DrainConns()
-	n := c.readValuesThenRejections()
-	if !taken(fmt.Sprint(n-1)) || taken(fmt.Sprint(n)) {
-		t.Errorf("%d were answered, and the one behind was taken: %v", n, taken(fmt.Sprint(n)))
+	h.server.Lifecycle.BeginStop()
+	h.server.DrainConns()
+	h.server.Lifecycle.FinishStop()
+	h.server.DrainConns()
+	answered := c.readValuesThenRejections()
+	if !arrived(fmt.Sprint(answered-1)) || arrived(fmt.Sprint(answered)) {
+		t.Errorf("%d requests were answered, and the next one arrived: %v", answered, arrived(fmt.Sprint(answered)))
 	}
 	c.disconnect()
 	<-sent
 }
 
-// readValuesThenRejections reads until the connection ends: values, and behind them only rejections. It returns the number of values.
+// readValuesThenRejections reads until the connection ends, and returns the number of values. Only rejections may follow the values.
 func (c *client) readValuesThenRejections() (values int) {
 	c.t.Helper()
 	for rejected := false; ; {
-		line, err := c.r.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		switch {
 		case err != nil:
 			if err != io.EOF || line != "" {
@@ -211,115 +211,115 @@
 			c.skipLine()
 			values++
 		default:
-			c.t.Fatalf("answer %q behind %d values, rejected before: %v", line, values, rejected)
+			c.t.Fatalf("reply %q after %d values, rejected before: %v", line, values, rejected)
 		}
 	}
 }
 
-// At shutdown the rest of a command that has begun is awaited, the command replied to, and the connection closed after it.
+// At shutdown, the server waits for the rest of a command that has begun, replies to it, and then closes the connection.
 func TestPartialCommandAtShutdown(t *testing.T) {
-	for _, near := range []bool{false, true} {
-		r := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
-		r.answerAll()
-		c := r.dial()
+	for _, finishing := range []bool{false, true} {
+		h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
+		h.answerAll()
+		c := h.dial()
 		text := command("KV.GET", "k", "1", "c=read,d=400")
 		c.send(text[:20])
-		for begun := false; !begun; time.Sleep(time.Millisecond) {
-			r.server.mu.Lock()
-			for o := range r.server.conns {
-				o.mu.Lock()
-				begun = o.state.midCommand
-				o.mu.Unlock()
+		for midCommand := false; !midCommand; time.Sleep(time.Millisecond) {
+			h.server.mu.Lock()
+			for conn := range h.server.conns {
+				conn.mu.Lock()
+				midCommand = conn.state.midCommand
+				conn.mu.Unlock()
 			}
-			r.server.mu.Unlock()
+			h.server.mu.Unlock()
 		}
-		r.server.Lifecycle.BeginStop()
-		if near {
-			r.server.Lifecycle.FinishStop()
+		h.server.Lifecycle.BeginStop()
+		if finishing {
+			h.server.Lifecycle.FinishStop()
 		}
-		r.server.DrainConns()
+		h.server.DrainConns()
 		c.send(text[20:])
-		if got, how := c.readReplies(); how != nil || len(got) != 1 || got[0] != "v1" {
-			t.Errorf("near the end %v: replies %q, %v", near, got, how)
+		if replies, err := c.readReplies(); err != nil || len(replies) != 1 || replies[0] != "v1" {
+			t.Errorf("FinishStop called %v: replies %q, %v", finishing, replies, err)
 		}
 	}
 }
 
-// Commands before one that times out are replied to before the connection is closed for that.
+// If a command times out, the commands before it are replied to before the connection is closed.
 func TestRepliesBeforeCommandTimeout(t *testing.T) {
-	r := newHarness(t, func(s *Server) { s.CommandTimeout = 30 })
-	c := r.dial()
+	h := newHarness(t, func(s *Server) { s.CommandTimeout = 30 })
+	c := h.dial()
 	c.send(command("KV.GET", "k", "1", "c=read,d=400") + "*4\r\n$6\r\nKV")
-	x := r.nextRequest()
-	for r.server.counters.timedOut.Load() == 0 {
+	x := h.nextRequest()
+	for h.server.counters.timedOut.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	x.Respond(exchange.Response{Value: []byte("v")})
-	if got, how := c.readReplies(); how != nil || len(got) != 2 || got[0] != "v" || !strings.HasPrefix(got[1], "-ERR") {
-		t.Errorf("replies %q, %v", got, how)
+	if replies, err := c.readReplies(); err != nil || len(replies) != 2 || replies[0] != "v" || !strings.HasPrefix(replies[1], "-ERR") {
+		t.Errorf("replies %q, %v", replies, err)
 	}
 }
 
-// At shutdown such a connection is not closed as idle either: its request is served first.
+// A connection with an unread request is not closed as idle at shutdown: the request is served first.
 func TestUnreadRequestPreventsDrain(t *testing.T) {
-	r := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
-	c, _ := unreadConn(r)
-	r.server.Lifecycle.FinishStop()
+	h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
+	c, _ := unreadConn(h)
+	h.server.Lifecycle.FinishStop()
 	if c.tryDrain() || c.state.phase != phaseOpen {
-		t.Error("it was closed over a request")
+		t.Error("a connection with an unread request was closed")
 	}
 }
 
-// At the end of a stop every command that was read has its answer, also those beyond the number that a client may have in flight: they
-// were read ahead, so that its disconnect would be noticed.
+// At the end of a stop, every command that was read is answered, including those beyond maxPipelined, which are read ahead only to notice
+// a disconnect.
 func TestCommandsReadAheadAreAnsweredAtStop(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	const commands = 4 * maxPipelined
-	c := r.dial()
+	c := h.dial()
 	for i := range commands {
 		c.send(command("KV.GET", "k", fmt.Sprint(i), testExtra))
 	}
-	var taken []*exchange.Exchange
+	var inFlight []*exchange.Exchange
 	for range maxPipelined {
-		taken = append(taken, r.nextRequest())
+		inFlight = append(inFlight, h.nextRequest())
 	}
-	r.server.Lifecycle.BeginStop()
-	r.server.Lifecycle.FinishStop()
-	r.server.DrainConns()
-	time.Sleep(20 * time.Millisecond) // the reader has seen the end of the stop
-	for _, x := range taken {
+	h.server.Lifecycle.BeginStop()
+	h.server.Lifecycle.FinishStop()
+	h.server.DrainConns()
+	time.Sleep(20 * time.Millisecond) // until the reader has noticed FinishStop
+	for _, x := range inFlight {
 		x.Respond(exchange.Response{Value: []byte("v")})
 	}
 	go func() {
-		for x := range r.taken {
+		for x := range h.requests {
 			x.Respond(exchange.Response{Value: []byte("w")})
 		}
 	}()
-	if got, err := c.readReplies(); err != nil || len(got) != commands {
-		t.Errorf("%d of %d commands have a reply, %v", len(got), commands, err)
+	if replies, err := c.readReplies(); err != nil || len(replies) != commands {
+		t.Errorf("%d of %d commands have a reply, %v", len(replies), commands, err)
 	}
 }
 
-// A connection that an accept returns which had begun before another process took over goes to that process. It was once rejected, for the
-// descriptors were that process's by then.
+// An Accept call that began before another process took over may still return a connection, which is handed to that process. This process
+// would reject it, because the other one holds the descriptors by then.
 func TestLateAcceptIsHandedOver(t *testing.T) {
-	r := newHarness(t)
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = near.Close() })
-	passed := 0
-	pass := func(net.Conn, bool) bool { passed++; return true }
-	if r.server.handOverAccepted(far) || passed > 0 {
-		t.Error("a connection is passed to nobody")
+	h := newHarness(t)
+	clientEnd, serverEnd := net.Pipe()
+	t.Cleanup(func() { _ = clientEnd.Close() })
+	passes := 0
+	passConn := func(net.Conn, bool) bool { passes++; return true }
+	if h.server.handOverAccepted(serverEnd) || passes > 0 {
+		t.Error("handed over without a HandoverFunc")
 	}
-	r.server.SetHandover(pass)
-	if r.server.handOverAccepted(far) || passed > 0 {
-		t.Error("a connection is passed while this process accepts")
+	h.server.SetHandover(passConn)
+	if h.server.handOverAccepted(serverEnd) || passes > 0 {
+		t.Error("handed over while this process accepts")
 	}
-	r.server.Lifecycle.SetSuccessor(true)
-	if !r.server.handOverAccepted(far) || passed != 1 {
-		t.Errorf("the connection was passed %d times", passed)
+	h.server.Lifecycle.SetSuccessor(true)
+	if !h.server.handOverAccepted(serverEnd) || passes != 1 {
+		t.Errorf("the connection was handed over %d times", passes)
 	}
-	if _, err := far.Write([]byte{0}); !errors.Is(err, io.ErrClosedPipe) {
-		t.Errorf("it is still open here: %v", err)
+	if _, err := serverEnd.Write([]byte{0}); !errors.Is(err, io.ErrClosedPipe) {
+		t.Errorf("the connection is still open in this process: %v", err)
 	}
 }
--- a/internal/node/clients/conn.go
+++ b/internal/node/clients/conn.go
@@ -30,8 +30,8 @@
 	net        net.Conn
 	jitter     float64 // from [0,1), spreads the closing times of connections that are drained together
 	acceptedAt float64
-	// backloggedSince is when bytes may have begun to arrive on a connection that waited in the accept backlog. It is 0 if the connection
-	// did not wait, and once all that arrived meanwhile has been read. Owned by the reader.
+	// backloggedSince is the earliest time at which bytes may have arrived on a connection that waited in the accept backlog. It is 0 if
+	// the connection did not wait, and once all bytes that arrived during the wait have been read. Owned by the reader.
 	backloggedSince float64
 	rejecting       bool // the process is about to end, and requests are rejected without being forwarded; owned by the reader
 
--- a/internal/node/clients/dispatch.go
+++ b/internal/node/clients/dispatch.go
@@ -17,7 +17,7 @@
 )
 
 // dispatch replies to a command, or hands its request to the Handler. For a large command, reserved is the memory reserved for it: the
-// request keeps args instead of copying them, and the reply takes over the reservation. For other commands it is nil.
+// request keeps args instead of copying them, and the reply takes over the reservation. For other commands, reserved is nil.
 func (s *Server) dispatch(c *conn, args [][]byte, arrivedAt float64, reserved *reservation) {
 	if len(args) == 0 {
 		return
--- a/internal/node/clients/eviction_test.go
+++ b/internal/node/clients/eviction_test.go
@@ -18,102 +18,102 @@
 	"mintspring/internal/testbed/loopbacktest"
 )
 
-// Where descriptors run out, connections without a request are evicted first, then the one idle longest.
+// If descriptors run out, connections without a request are evicted first, then the one that has been idle longest.
 func TestEvictionOrder(t *testing.T) {
-	r := newHarness(t, func(s *Server) { // ten may be open
+	h := newHarness(t, func(s *Server) { // ten may be open
 		s.Sockets = fdlimit.New(30, 0)
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Idle, 400) })
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Silent, 0) })
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Idle, 0) })
 	})
-	quiet, busy := r.dial(), r.dial()
-	quiet.send(command("KV.GET", "k", "0", testExtra))
-	r.nextRequest().Respond(exchange.Response{Value: []byte("v")})
-	quiet.expect("$1\r\nv\r\n")
+	idle, busy := h.dial(), h.dial()
+	idle.send(command("KV.GET", "k", "0", testExtra))
+	h.nextRequest().Respond(exchange.Response{Value: []byte("v")})
+	idle.expect("$1\r\nv\r\n")
 	busy.send(command("KV.GET", "k", "1", testExtra))
-	x := r.nextRequest()
+	x := h.nextRequest()
 	for range 20 {
-		mute := r.dial()
-		mute.send(command("PING"))
-		mute.expect("+PONG\r\n")
+		silent := h.dial()
+		silent.send(command("PING"))
+		silent.expect("+PONG\r\n")
 	}
-	quiet.send(command("PING"))
-	quiet.expect("+PONG\r\n")
+	idle.send(command("PING"))
+	idle.expect("+PONG\r\n")
 	for k := range 9 {
-		c := r.dial()
+		c := h.dial()
 		c.send(command("KV.GET", "k", fmt.Sprint(k+2), testExtra))
-		r.nextRequest()
+		h.nextRequest()
 	}
-	quiet.expectEnd()
+	idle.expectEnd()
 	x.Respond(exchange.Response{Value: []byte("v")})
 	busy.expect("$1\r\nv\r\n")
 }
 
-// Where idle connections hold all descriptors for clients, they are evicted, and not a new connection whose request is on
-// its way: new ones once evicted each other, and nobody was served.
+// If idle connections hold all descriptors for clients, they are evicted, and not new connections whose first request is on its way.
+// Otherwise new connections evict each other, and no client is served.
 func TestNewConnectionsDoNotEvictEachOther(t *testing.T) {
-	r := newHarness(t, func(s *Server) { // three may be open
+	h := newHarness(t, func(s *Server) { // three may be open
 		s.Sockets = fdlimit.New(10, 0)
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Idle, 100) })
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Silent, 0) })
 	})
 	for k := range 3 {
-		c := r.dial()
+		c := h.dial()
 		c.send(command("KV.GET", "k", fmt.Sprint(k), testExtra))
-		r.nextRequest().Respond(exchange.Response{Value: []byte("v")})
+		h.nextRequest().Respond(exchange.Response{Value: []byte("v")})
 		c.expect("$1\r\nv\r\n")
 	}
 	time.Sleep(120 * time.Millisecond)
-	first := r.dial()
+	first := h.dial()
 	for range 2 {
-		r.dial()
+		h.dial()
 	}
 	time.Sleep(20 * time.Millisecond)
 	first.send(command("KV.GET", "k", "9", testExtra))
-	r.nextRequest().Respond(exchange.Response{Value: []byte("w")})
+	h.nextRequest().Respond(exchange.Response{Value: []byte("w")})
 	first.expect("$1\r\nw\r\n")
 }
 
-// Clients may send one request on each connection and keep it: those idle longest are evicted before they use up the
-// descriptors for clients. One with a request in flight is not.
+// Clients may send one request on each connection and keep it open. The connections idle longest are evicted before they use up the
+// descriptors for clients, but none with a request in flight.
 func TestSingleUseConnectionsAreEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		life := &lifecycle.State{}
-		life.MarkListed()
-		r := newPipeHarness(t, life)
-		r.server.Sockets = fdlimit.New(120, 0)
-		waits := r.dial()
-		waits.send(command("KV.GET", "k", "w", testExtra))
-		x := <-r.taken
-		var all []*client
+		state := &lifecycle.State{}
+		state.MarkListed()
+		h := newPipeHarness(t, state)
+		h.server.Sockets = fdlimit.New(120, 0)
+		waiting := h.dial()
+		waiting.send(command("KV.GET", "k", "w", testExtra))
+		x := <-h.requests
+		var answered []*client
 		for k := range 40 {
-			c := r.dial()
+			c := h.dial()
 			c.send(command("KV.GET", "k", fmt.Sprint(k), testExtra))
-			(<-r.taken).Respond(exchange.Response{Value: []byte("v")})
+			(<-h.requests).Respond(exchange.Response{Value: []byte("v")})
 			c.expect("$1\r\nv\r\n")
 			time.Sleep(time.Millisecond) // until the server has recorded the reply: a connection is idle from then on
-			all = append(all, c)
+			answered = append(answered, c)
 		}
-		evicted := 1 + len(all) - r.server.Sockets.ClientTarget()
-		if n := r.server.OpenConns(); n != 1+len(all)-evicted {
-			t.Errorf("%d connections are open, want %d", n, 1+len(all)-evicted)
+		evicted := 1 + len(answered) - h.server.Sockets.ClientTarget()
+		if n := h.server.OpenConns(); n != 1+len(answered)-evicted {
+			t.Errorf("%d connections are open, want %d", n, 1+len(answered)-evicted)
 		}
-		for _, c := range all[:evicted] {
+		for _, c := range answered[:evicted] {
 			c.expectEnd()
 		}
-		for _, c := range all[evicted:] {
+		for _, c := range answered[evicted:] {
 			c.send(command("PING"))
 			c.expect("+PONG\r\n")
 		}
 		x.Respond(exchange.Response{Value: []byte("w")})
-		waits.expect("$1\r\nw\r\n")
+		waiting.expect("$1\r\nw\r\n")
 	})
 }
 
-// Where clients send one request on each connection and keep it, answered connections are evicted, and none whose request is on
-// its way; where they send more, silent ones are. Thousands of incomplete ones keep no client out.
+// If clients send one request on each connection and keep it open, answered connections are evicted, and none whose request is on its
+// way. If they send more, silent connections are evicted. Thousands of incomplete connections keep no client out.
 func TestEvictionByUsage(t *testing.T) {
-	r := newHarness(t, func(s *Server) { // 40 may be open
+	h := newHarness(t, func(s *Server) { // 40 may be open
 		s.Sockets = fdlimit.New(90, 0)
 		s.CommandTimeout = 60_000
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictAnswered(60_000) })
@@ -123,22 +123,22 @@
 	request := func(c *client, id string) {
 		t.Helper()
 		c.send(command("KV.GET", "k", id, testExtra))
-		r.nextRequest().Respond(exchange.Response{Value: []byte("v")})
+		h.nextRequest().Respond(exchange.Response{Value: []byte("v")})
 		c.expect("$1\r\nv\r\n")
 	}
-	for i := range minReuseSamples { // one request each
-		request(r.dial(), fmt.Sprint("a", i))
+	for i := range minReuseSamples { // one request on each connection
+		request(h.dial(), fmt.Sprint("a", i))
 		time.Sleep(time.Millisecond)
 	}
 	time.Sleep(60 * time.Millisecond)
-	first := r.dial() // silent, with its request on its way
+	first := h.dial() // silent until its request arrives
 	time.Sleep(5 * time.Millisecond)
 	for i := range 10 {
-		request(r.dial(), fmt.Sprint("b", i))
+		request(h.dial(), fmt.Sprint("b", i))
 	}
 	request(first, "first")
 	for i := range 2000 {
-		c, err := net.Dial("tcp", r.addr)
+		c, err := net.Dial("tcp", h.addr)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -146,101 +146,101 @@
 		_, _ = io.WriteString(c, "*4\r\n$6\r\nKV.GET\r\n") // it may have been evicted already
 		if i%100 == 0 {
 			time.Sleep(5 * time.Millisecond)
-			request(r.dial(), fmt.Sprint("c", i))
+			request(h.dial(), fmt.Sprint("c", i))
 		}
 	}
-	if n := r.server.OpenConns(); n > 45 {
+	if n := h.server.OpenConns(); n > 45 {
 		t.Errorf("%d connections are open", n)
 	}
 }
 
-// unreadConn returns a connection on which an unread byte has arrived, without its goroutines, and its other end.
-func unreadConn(r *harness) (c *conn, theirs net.Conn) {
-	ln := loopbacktest.Listen(r.t)
-	defer ln.Close() //nolint:errcheck // the listener is not used any more
+// unreadConn returns a server's connection, without its goroutines, on which an unread byte has arrived, and the client's end of it.
+func unreadConn(h *harness) (c *conn, clientEnd net.Conn) {
+	listener := loopbacktest.Listen(h.t)
+	defer listener.Close() //nolint:errcheck // the listener is not used any more
 	var err error
-	if theirs, err = net.Dial("tcp", ln.Addr().String()); err != nil {
-		r.t.Fatal(err)
+	if clientEnd, err = net.Dial("tcp", listener.Addr().String()); err != nil {
+		h.t.Fatal(err)
 	}
-	ours, err := ln.Accept()
+	serverEnd, err := listener.Accept()
 	if err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { _, _ = theirs.Close(), ours.Close() })
-	r.server.Sockets.Acquire(fdlimit.Client)
-	c = &conn{server: r.server, net: ours, state: sharedState{usage: usageRequested}}
+	h.t.Cleanup(func() { _, _ = clientEnd.Close(), serverEnd.Close() })
+	h.server.Sockets.Acquire(fdlimit.Client)
+	c = &conn{server: h.server, net: serverEnd, state: sharedState{usage: usageRequested}}
 	c.cond.L = &c.mu
-	_, _ = io.WriteString(theirs, "*")
-	for more := false; !more; more, _ = sockstate.Peek(ours) {
+	_, _ = io.WriteString(clientEnd, "*")
+	for unread := false; !unread; unread, _ = sockstate.Peek(serverEnd) {
 		time.Sleep(time.Millisecond)
 	}
-	return c, theirs
+	return c, clientEnd
 }
 
 // A connection on which an unread request has arrived is not evicted.
 func TestUnreadRequestPreventsEviction(t *testing.T) {
-	c, theirs := unreadConn(newHarness(t))
+	c, clientEnd := unreadConn(newHarness(t))
 	if c.evict(Idle) {
-		t.Error("it was closed over a request")
+		t.Error("a connection with an unread request was closed")
 	}
 	readByte(c)
 	if !c.evict(Idle) {
-		t.Error("it was not closed without a request")
+		t.Error("a connection without a request was not closed")
 	}
-	if _, err := bufio.NewReader(theirs).ReadByte(); !errors.Is(err, io.EOF) {
+	if _, err := bufio.NewReader(clientEnd).ReadByte(); !errors.Is(err, io.EOF) {
 		t.Errorf("the connection ended with %v", err)
 	}
 }
 
-// Where the connection idle longest cannot be evicted, the next one is.
+// If the connection that has been idle longest cannot be evicted, the next one is.
 func TestNextOldestIsEvicted(t *testing.T) {
-	r := newHarness(t)
-	first, _ := unreadConn(r)
-	second, _ := unreadConn(r)
+	h := newHarness(t)
+	first, _ := unreadConn(h)
+	second, _ := unreadConn(h)
 	readByte(second)
 	second.state.lastActive = 1
-	r.server.conns = map[*conn]struct{}{first: {}, second: {}}
-	if !r.server.EvictOldest(Idle, 0) || first.state.phase == phaseClosed || second.state.phase != phaseClosed {
-		t.Errorf("closed the one with a request: %v, the one without: %v", first.state.phase == phaseClosed, second.state.phase == phaseClosed)
+	h.server.conns = map[*conn]struct{}{first: {}, second: {}}
+	if !h.server.EvictOldest(Idle, 0) || first.state.phase == phaseClosed || second.state.phase != phaseClosed {
+		t.Errorf("closed the connection with a request: %v, the one without: %v", first.state.phase == phaseClosed, second.state.phase == phaseClosed)
 	}
-	if r.server.EvictOldest(Idle, 0) {
-		t.Error("the one with a request was closed")
+	if h.server.EvictOldest(Idle, 0) {
+		t.Error("the connection with a request was closed")
 	}
 }
 
-// A new connection waits a moment for one whose last reply is just being written.
+// A new connection waits a moment for another one whose last reply is being written.
 func TestNewConnectionWaitsForWriter(t *testing.T) {
-	var looked atomic.Int64
-	r := newHarness(t, func(s *Server) { // one may be open
+	var attempts atomic.Int64
+	h := newHarness(t, func(s *Server) { // one may be open
 		s.Sockets = fdlimit.New(4, 0)
-		s.Sockets.AddEvictor(fdlimit.Client, func() bool { defer looked.Add(1); return s.EvictOldest(Idle, 0) })
+		s.Sockets.AddEvictor(fdlimit.Client, func() bool { defer attempts.Add(1); return s.EvictOldest(Idle, 0) })
 	})
-	c, _ := unreadConn(r)
+	c, _ := unreadConn(h)
 	readByte(c)
-	c.state.writer, c.state.writeStarted = writerWriting, r.server.Clock.Now()
-	r.server.mu.Lock()
-	r.server.conns = map[*conn]struct{}{c: {}}
-	r.server.mu.Unlock()
-	got := make(chan bool)
-	go func() { got <- r.server.acquireDescriptor() }()
-	for looked.Load() == 0 {
+	c.state.writer, c.state.writeStarted = writerWriting, h.server.Clock.Now()
+	h.server.mu.Lock()
+	h.server.conns = map[*conn]struct{}{c: {}}
+	h.server.mu.Unlock()
+	acquired := make(chan bool)
+	go func() { acquired <- h.server.acquireDescriptor() }()
+	for attempts.Load() == 0 {
 		time.Sleep(100 * time.Microsecond)
 	}
 	c.mu.Lock()
 	c.state.writer = writerWaiting
 	c.mu.Unlock()
-	if !<-got || c.state.phase != phaseClosed {
+	if !<-acquired || c.state.phase != phaseClosed {
 		t.Error("the new connection was rejected")
 	}
-	if r.server.acquireDescriptor() {
+	if h.server.acquireDescriptor() {
 		t.Error("more were accepted than allowed")
 	}
 }
 
-// A new connection is accepted if the last reply of another one has been written just after that could not be evicted.
+// A new connection is accepted if another one finishes writing its last reply just after the attempt to evict it has failed.
 func TestWriterFinishesAfterFailedEviction(t *testing.T) {
 	var busy *conn
-	r := newHarness(t, func(s *Server) { // one may be open
+	h := newHarness(t, func(s *Server) { // one may be open
 		s.Sockets = fdlimit.New(4, 0)
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool {
 			evicted := s.EvictOldest(Idle, 0)
@@ -250,11 +250,11 @@
 			return evicted
 		})
 	})
-	busy, _ = unreadConn(r)
+	busy, _ = unreadConn(h)
 	readByte(busy)
-	busy.state.writer, busy.state.writeStarted = writerWriting, r.server.Clock.Now()
-	r.server.conns = map[*conn]struct{}{busy: {}}
-	if !r.server.acquireDescriptor() || busy.state.phase != phaseClosed {
+	busy.state.writer, busy.state.writeStarted = writerWriting, h.server.Clock.Now()
+	h.server.conns = map[*conn]struct{}{busy: {}}
+	if !h.server.acquireDescriptor() || busy.state.phase != phaseClosed {
 		t.Error("the new connection was rejected")
 	}
 }
@@ -262,8 +262,8 @@
 // readByte reads the byte that has arrived on an unreadConn.
 func readByte(c *conn) { _, _ = io.ReadFull(c.net, make([]byte, 1)) }
 
-// A connection whose reader has taken bytes, and has not yet said what they are, is in use: to close it then would lose a request that was
-// read. It may be closed once the reader has said that nothing is in flight.
+// A connection whose reader has read bytes, but has not recorded the read yet, is in use: closing it would lose a request that was read.
+// It may be closed once the recorded read shows that nothing is in flight.
 func TestBytesJustReadPreventEviction(t *testing.T) {
 	for _, state := range []ConnState{Idle, Silent, Incomplete} {
 		c, _ := unreadConn(newHarness(t))
@@ -275,12 +275,12 @@
 			t.Fatalf("%d bytes were read, %v", reader.in.Len(), err)
 		}
 		if c.evict(state) || c.state.phase == phaseClosed {
-			t.Errorf("state %d: it was closed over bytes that were read", state)
+			t.Errorf("state %d: the connection was closed, although bytes had just been read", state)
 		}
 		reader.in.Discard(1)
 		c.recordRead(&reader.in, 1, false, false)
 		if state == Idle && !c.evict(Idle) {
-			t.Error("it was not closed between requests")
+			t.Error("the connection was not closed between requests")
 		}
 	}
 }
--- a/internal/node/clients/harness_test.go
+++ b/internal/node/clients/harness_test.go
@@ -19,49 +19,51 @@
 	"mintspring/internal/testbed/loopbacktest"
 )
 
-// fakeHandler stands in for the node: it passes what it is called with to the test.
+// fakeHandler takes the place of the node, and passes the arguments of its calls on to the test.
 type fakeHandler struct {
-	taken, gone, complete chan *exchange.Exchange // requests, those of clients that are gone, and those whose body is complete
+	requests     chan *exchange.Exchange
+	disconnected chan *exchange.Exchange // requests whose client has disconnected
+	bodies       chan *exchange.Exchange // requests whose body has arrived completely
 }
 
-func (d *fakeHandler) HandleRequest(x *exchange.Exchange)           { d.taken <- x }
-func (d *fakeHandler) ClientGone(x *exchange.Exchange)              { d.gone <- x }
-func (d *fakeHandler) BodyReceived(x *exchange.Exchange, _ float64) { d.complete <- x }
+func (f *fakeHandler) HandleRequest(x *exchange.Exchange)           { f.requests <- x }
+func (f *fakeHandler) ClientGone(x *exchange.Exchange)              { f.disconnected <- x }
+func (f *fakeHandler) BodyReceived(x *exchange.Exchange, _ float64) { f.bodies <- x }
 
-// harness is a server on a loopback address, or on a pipeListener.
+// harness is a server under test, on a loopback address or a pipeListener.
 type harness struct {
 	*fakeHandler
 	t      *testing.T
 	server *Server
 	addr   string
 
-	listener *pipeListener // in place of addr
+	listener *pipeListener // used instead of addr, unless nil
 }
 
-// testCloseTime is how long a server of a test accepts what is in its backlog at its end.
+// testCloseTime is how long a server under test accepts connections of its backlog when it is closed.
 const testCloseTime = 100 * time.Millisecond
 
-func newHarness(t *testing.T, with ...func(*Server)) *harness {
+func newHarness(t *testing.T, options ...func(*Server)) *harness {
 	t.Helper()
-	ln := loopbacktest.Listen(t)
-	d := &fakeHandler{
-		taken: make(chan *exchange.Exchange, 1000), gone: make(chan *exchange.Exchange, 1000),
-		complete: make(chan *exchange.Exchange, 1000),
+	listener := loopbacktest.Listen(t)
+	handler := &fakeHandler{
+		requests: make(chan *exchange.Exchange, 1000), disconnected: make(chan *exchange.Exchange, 1000),
+		bodies: make(chan *exchange.Exchange, 1000),
 	}
-	life := &lifecycle.State{}
-	life.MarkListed()
+	state := &lifecycle.State{}
+	state.MarkListed()
 	s := &Server{
-		Handler: d, Lifecycle: life, Clock: clock.New(), Sockets: fdlimit.New(1000, 0), CommandTimeout: 1000,
+		Handler: handler, Lifecycle: state, Clock: clock.New(), Sockets: fdlimit.New(1000, 0), CommandTimeout: 1000,
 		OnPanic: func(p any) { t.Errorf("panic: %v", p) }, LogError: func(string, error) {},
 	}
 	s.SetConfig(testConfig())
 	s.Config().RetryAfter = 70
-	for _, f := range with {
-		f(s)
+	for _, option := range options {
+		option(s)
 	}
-	go func() { _ = s.Serve(ln) }() // it returns when the test ends
+	go func() { _ = s.Serve(listener) }() // it returns when the test ends
 	t.Cleanup(func() { s.Close(testCloseTime) })
-	return &harness{fakeHandler: d, t: t, server: s, addr: ln.Addr().String()}
+	return &harness{fakeHandler: handler, t: t, server: s, addr: listener.Addr().String()}
 }
 
 func testConfig() *Config {
@@ -86,99 +88,99 @@
 // client is a client's connection to the server under test.
 type client struct {
 	net.Conn
-	r *bufio.Reader
-	t *testing.T
+	reader *bufio.Reader
+	t      *testing.T
 }
 
-func (r *harness) dial() *client {
-	r.t.Helper()
+func (h *harness) dial() *client {
+	h.t.Helper()
 	var c net.Conn
 	var err error
-	if r.listener != nil {
-		var theirs net.Conn
-		c, theirs = net.Pipe()
-		r.listener.accepted <- theirs
-	} else if c, err = net.Dial("tcp", r.addr); err != nil {
-		r.t.Fatal(err)
+	if h.listener != nil {
+		var serverEnd net.Conn
+		c, serverEnd = net.Pipe()
+		h.listener.toAccept <- serverEnd
+	} else if c, err = net.Dial("tcp", h.addr); err != nil {
+		h.t.Fatal(err)
 	}
-	r.t.Cleanup(func() { _ = c.Close() })
+	h.t.Cleanup(func() { _ = c.Close() })
 	if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
-		r.t.Fatal(err)
+		h.t.Fatal(err)
 	}
-	return &client{c, bufio.NewReader(c), r.t}
+	return &client{c, bufio.NewReader(c), h.t}
 }
 
-// command encodes a command.
-func command(words ...string) string {
-	s := fmt.Sprintf("*%d\r\n", len(words))
-	for _, w := range words {
-		s += fmt.Sprintf("$%d\r\n%s\r\n", len(w), w)
+// command encodes a command in RESP2.
+func command(args ...string) string {
+	s := fmt.Sprintf("*%d\r\n", len(args))
+	for _, arg := range args {
+		s += fmt.Sprintf("$%d\r\n%s\r\n", len(arg), arg)
 	}
 	return s
 }
 
-// writePieces sends a text in pieces.
-func (c *client) sendChunks(piece int, text string) {
-	for i := 0; i < len(text); i += piece {
-		c.send(text[i:min(i+piece, len(text))])
+// sendChunks sends a text in chunks of the given size.
+func (c *client) sendChunks(size int, text string) {
+	for i := 0; i < len(text); i += size {
+		c.send(text[i:min(i+size, len(text))])
 	}
 }
 
-// expect reads a reply.
-func (c *client) expect(reply string) {
+// expect reads a reply, which must be the given one.
+func (c *client) expect(want string) {
 	c.t.Helper()
-	b := make([]byte, len(reply))
-	if n, err := io.ReadFull(c.r, b); string(b) != reply {
-		c.t.Fatalf("reply %q (%v), want %q", b[:n], err, reply)
+	b := make([]byte, len(want))
+	if n, err := io.ReadFull(c.reader, b); string(b) != want {
+		c.t.Fatalf("reply %q (%v), want %q", b[:n], err, want)
 	}
 }
 
-// expectEnd reads the end of the connection.
+// expectEnd fails unless the server has ended the connection without sending more.
 func (c *client) expectEnd() {
 	c.t.Helper()
-	if b, err := c.r.ReadByte(); err == nil {
+	if b, err := c.reader.ReadByte(); err == nil {
 		c.t.Fatalf("byte %q where the connection should end", b)
 	}
 }
 
-func (r *harness) nextRequest() *exchange.Exchange {
-	r.t.Helper()
+func (h *harness) nextRequest() *exchange.Exchange {
+	h.t.Helper()
 	select {
-	case x := <-r.taken:
+	case x := <-h.requests:
 		return x
 	case <-time.After(5 * time.Second):
-		r.t.Fatal("no request arrived")
+		h.t.Fatal("no request arrived")
 		return nil
 	}
 }
 
 const testExtra = "c=read,t=zeta,d=480,h=2500,size=70,odd=1"
 
-// newPipeHarness returns a harness for synctest, on connections without sockets.
-func newPipeHarness(t *testing.T, life *lifecycle.State) *harness {
+// newPipeHarness returns a harness for synctest, which needs connections without sockets.
+func newPipeHarness(t *testing.T, state *lifecycle.State) *harness {
 	t.Helper()
-	ln := &pipeListener{accepted: make(chan net.Conn), closed: make(chan struct{})}
-	d := &fakeHandler{taken: make(chan *exchange.Exchange, 1000), gone: make(chan *exchange.Exchange, 1000)}
+	listener := &pipeListener{toAccept: make(chan net.Conn), closed: make(chan struct{})}
+	handler := &fakeHandler{requests: make(chan *exchange.Exchange, 1000), disconnected: make(chan *exchange.Exchange, 1000)}
 	s := &Server{
-		Handler: d, Lifecycle: life, Clock: clock.New(), Sockets: fdlimit.New(1000, 0), CommandTimeout: 1000,
+		Handler: handler, Lifecycle: state, Clock: clock.New(), Sockets: fdlimit.New(1000, 0), CommandTimeout: 1000,
 		OnPanic: func(p any) { t.Errorf("panic: %v", p) }, LogError: func(string, error) {},
 	}
 	s.SetConfig(testConfig())
-	go func() { _ = s.Serve(ln) }() // it returns when the test ends
-	t.Cleanup(func() { _ = ln.Close() })
-	return &harness{fakeHandler: d, t: t, server: s, listener: ln}
+	go func() { _ = s.Serve(listener) }() // it returns when the test ends
+	t.Cleanup(func() { _ = listener.Close() })
+	return &harness{fakeHandler: handler, t: t, server: s, listener: listener}
 }
 
-// pipeListener accepts the ends of pipes.
+// pipeListener accepts ends of pipes.
 type pipeListener struct {
-	accepted chan net.Conn
+	toAccept chan net.Conn
 	closed   chan struct{}
 	once     sync.Once
 }
 
 func (l *pipeListener) Accept() (net.Conn, error) {
 	select {
-	case c := <-l.accepted:
+	case c := <-l.toAccept:
 		return c, nil
 	case <-l.closed:
 		return nil, net.ErrClosed
@@ -188,11 +190,11 @@
 func (l *pipeListener) Close() error   { l.once.Do(func() { close(l.closed) }); return nil }
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// send writes to the server. The replies show whether it arrived.
+// send writes to the server. Errors are ignored: the replies show whether the text arrived.
 func (c *client) send(text string) { _, _ = io.WriteString(c, text) }
 
 // disconnect closes the client's side.
 func (c *client) disconnect() { _ = c.Close() }
 
-// skipLine reads a line that does not matter.
-func (c *client) skipLine() { _, _ = c.r.ReadString('\n') }
+// skipLine reads a line and ignores it.
+func (c *client) skipLine() { _, _ = c.reader.ReadString('\n') }
--- a/internal/node/clients/limits_test.go
+++ b/internal/node/clients/limits_test.go
@@ -15,53 +15,53 @@
 	"mintspring/internal/testbed/loopbacktest"
 )
 
-// A value that is too large is refused while it arrives, and the next command is read after it.
+// A value that is too large is rejected while it arrives, and the next command is read after it.
 func TestOversizedValueIsRefused(t *testing.T) {
-	r := newHarness(t)
-	c := r.dial()
+	h := newHarness(t)
+	c := h.dial()
 	c.send(command("KV.SET", "k", "i", "c=put,d=5,k=1", strings.Repeat("v", 1<<20)) + command("PING"))
 	c.expect("-ERR a part larger than any may be\r\n+PONG\r\n")
 	c.send(command("KV.SET", "k", "i", "c=put,d=5,k=1", strings.Repeat("v", exchange.MaxBufferedValue)))
-	if x := r.nextRequest(); len(x.Value) != exchange.MaxBufferedValue {
+	if x := h.nextRequest(); len(x.Value) != exchange.MaxBufferedValue {
 		t.Errorf("%d bytes of the largest value", len(x.Value))
 	}
-	// The command ends with its refused value: the connection once counted as in the middle of it.
-	other := r.dial()
+	// The command ends with the rejected value. The connection must not count as in the middle of a command after it.
+	other := h.dial()
 	other.send(command("KV.SET", "k", "i", "c=put,d=5,k=1", strings.Repeat("v", 1<<20)))
 	other.expect("-ERR a part larger than any may be\r\n")
-	for deadline := time.Now().Add(5 * time.Second); !r.server.EvictOldest(Silent, 0); time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); !h.server.EvictOldest(Silent, 0); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
 			t.Fatal("no connection is silent")
 		}
 	}
 }
 
-// A client that disconnects with requests in flight is reported once for each without an answer.
+// If a client disconnects with requests in flight, each one without a response is reported once.
 func TestDisconnectIsNoticed(t *testing.T) {
-	r := newHarness(t)
-	c := r.dial()
+	h := newHarness(t)
+	c := h.dial()
 	c.send(command("KV.GET", "k", "1", testExtra) + command("KV.GET", "k", "2", testExtra))
-	a, b := r.nextRequest(), r.nextRequest()
-	b.Respond(exchange.Response{Value: []byte("v")})
+	first, second := h.nextRequest(), h.nextRequest()
+	second.Respond(exchange.Response{Value: []byte("v")})
 	c.disconnect()
 	select {
-	case x := <-r.gone:
-		if x != a {
-			t.Error("an answered request was reported")
+	case x := <-h.disconnected:
+		if x != first {
+			t.Error("a request with a response was reported")
 		}
 	case <-time.After(5 * time.Second):
 		t.Fatal("the disconnect was not noticed")
 	}
-	a.Respond(exchange.Response{Value: []byte("v")}) // goes nowhere
-	if len(r.gone) > 0 {
+	first.Respond(exchange.Response{Value: []byte("v")}) // there is no client to send it to
+	if len(h.disconnected) > 0 {
 		t.Error("reported twice")
 	}
 }
 
-// A client that does not read its replies is closed, and its requests in flight are bounded.
+// The connection of a client that does not read its replies is closed, and the number of its requests in flight is bounded.
 func TestClientThatDoesNotRead(t *testing.T) {
-	r := newHarness(t, func(s *Server) { s.Config().WriteTimeout = 100 })
-	c := r.dial()
+	h := newHarness(t, func(s *Server) { s.Config().WriteTimeout = 100 })
+	c := h.dial()
 	go func() {
 		for i := range 4000 {
 			if _, err := io.WriteString(c, command("KV.GET", "k", fmt.Sprint(i), testExtra)); err != nil {
@@ -72,41 +72,41 @@
 	value := make([]byte, exchange.MaxBufferedValue)
 	for n := 0; ; n++ {
 		select {
-		case x := <-r.taken:
+		case x := <-h.requests:
 			x.Respond(exchange.Response{Value: value})
 		case <-time.After(500 * time.Millisecond):
-			if n >= 4000 || r.server.OpenConns() > 0 {
-				t.Errorf("%d requests taken, %d clients open", n, r.server.OpenConns())
+			if n >= 4000 || h.server.OpenConns() > 0 {
+				t.Errorf("%d requests handled, %d connections open", n, h.server.OpenConns())
 			}
 			return
 		}
 	}
 }
 
-// Pending replies count as buffered too: where memory runs out, the value of another one is replaced by an error. Each request that was read
-// has its answer all the same, in order, and all memory is given back. The client used to be closed over its requests.
+// Pending replies count as buffered bytes. If memory runs out, an error replaces the value of a waiting reply. Each request that was read
+// still has its reply, in order, and all memory is released. Closing the connection instead would lose its requests.
 func TestPendingRepliesAreBounded(t *testing.T) {
 	const maxBuffered, requests = 200_000, 20
-	r := newHarness(t, func(s *Server) { s.MaxBuffered, s.Config().WriteTimeout = maxBuffered, 60_000 })
-	c := r.dial()
+	h := newHarness(t, func(s *Server) { s.MaxBuffered, s.Config().WriteTimeout = maxBuffered, 60_000 })
+	c := h.dial()
 	for i := range requests {
 		c.send(command("KV.GET", "k", fmt.Sprint(i), testExtra))
 	}
-	var all []*exchange.Exchange
+	var exchanges []*exchange.Exchange
 	for range requests {
-		all = append(all, r.nextRequest())
+		exchanges = append(exchanges, h.nextRequest())
 	}
-	for _, x := range all[1:] {
+	for _, x := range exchanges[1:] {
 		x.Respond(exchange.Response{Value: make([]byte, exchange.MaxBufferedValue)})
-		if n := r.server.buffered.Load(); n > overloadFactor*maxBuffered+2*exchange.MaxBufferedValue {
+		if n := h.server.buffered.Load(); n > overloadFactor*maxBuffered+2*exchange.MaxBufferedValue {
 			t.Fatalf("%d bytes are buffered", n)
 		}
 	}
-	all[0].Respond(exchange.Response{Value: []byte("head")})
+	exchanges[0].Respond(exchange.Response{Value: []byte("head")})
 	c.expect("$4\r\nhead\r\n")
 	values := 0
 	for range requests - 1 {
-		line, err := c.r.ReadString('\n')
+		line, err := c.reader.ReadString('\n')
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -120,67 +120,68 @@
 	if values == 0 || values == requests-1 {
 		t.Errorf("%d of %d values", values, requests-1)
 	}
-	for deadline := time.Now().Add(5 * time.Second); r.server.buffered.Load() != 0; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(5 * time.Second); h.server.buffered.Load() != 0; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d bytes are buffered for nobody", r.server.buffered.Load())
+			t.Fatalf("%d bytes are still buffered", h.server.buffered.Load())
 		}
 	}
 }
 
-// Beyond the bytes that may be buffered a request is rejected before it is passed on.
+// A request that would exceed MaxBuffered is rejected before it is handed to the Handler.
 func TestBufferedBytesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		life := &lifecycle.State{}
-		life.MarkListed()
-		r := newPipeHarness(t, life)
-		r.server.MaxBuffered, r.server.Config().RetryAfter = 1500, 70
-		c := r.dial()
+		state := &lifecycle.State{}
+		state.MarkListed()
+		h := newPipeHarness(t, state)
+		h.server.MaxBuffered, h.server.Config().RetryAfter = 1500, 70
+		c := h.dial()
 		c.send(command("KV.GET", "k", "1", testExtra) + command("KV.GET", "k", "2", testExtra) + command("KV.GET", "k", "3", testExtra))
 		synctest.Wait() // all three have been read: the replies to the first two free their memory
-		if n := len(r.taken); n != 2 {
-			t.Fatalf("%d requests were passed on", n)
+		if n := len(h.requests); n != 2 {
+			t.Fatalf("%d requests were handled", n)
 		}
-		(<-r.taken).Respond(exchange.Response{Value: []byte("a")})
-		(<-r.taken).Respond(exchange.Response{Value: []byte("b")})
+		(<-h.requests).Respond(exchange.Response{Value: []byte("a")})
+		(<-h.requests).Respond(exchange.Response{Value: []byte("b")})
 		c.expect("$1\r\na\r\n$1\r\nb\r\n-BUSY 70\r\n")
 		c.send(command("KV.GET", "k", "4", testExtra))
 		synctest.Wait()
-		if n := len(r.taken); n != 1 {
-			t.Errorf("%d requests were passed on once there was memory", n)
+		if n := len(h.requests); n != 1 {
+			t.Errorf("%d requests were handled once there was memory", n)
 		}
 	})
 }
 
-// A client that sends nothing, or only part of a command, is closed. One that has sent a request may be idle for long.
+// The connection of a client that sends nothing, or only part of a command, is closed. A client that has sent a request may be idle for
+// long.
 func TestSilentConnectionsTimeOut(t *testing.T) {
-	r := newHarness(t, func(s *Server) { s.CommandTimeout = 150 })
-	requested, silent, pinged, half, trickle := r.dial(), r.dial(), r.dial(), r.dial(), r.dial()
+	h := newHarness(t, func(s *Server) { s.CommandTimeout = 150 })
+	requested, silent, pinged, partial, trickling := h.dial(), h.dial(), h.dial(), h.dial(), h.dial()
 	requested.send(command("KV.GET", "k", "1", testExtra))
-	x := r.nextRequest()
+	x := h.nextRequest()
 	pinged.send(command("PING"))
 	pinged.expect("+PONG\r\n")
 	text := command("KV.GET", "k", "2", testExtra)
-	half.send(text[:len(text)/2])
+	partial.send(text[:len(text)/2])
 	go func() {
 		for _, b := range []byte(text) {
-			trickle.send(string([]byte{b}))
+			trickling.send(string([]byte{b}))
 			time.Sleep(20 * time.Millisecond)
 		}
 	}()
-	for _, c := range []*client{silent, pinged, half, trickle} {
+	for _, c := range []*client{silent, pinged, partial, trickling} {
 		c.expectEnd()
 	}
 	x.Respond(exchange.Response{Value: []byte("v")})
 	requested.expect("$1\r\nv\r\n")
 	requested.send(command("KV.GET", "k", "3", testExtra))
-	r.nextRequest().Respond(exchange.Response{Value: []byte("w")})
+	h.nextRequest().Respond(exchange.Response{Value: []byte("w")})
 	requested.expect("$1\r\nw\r\n")
 }
 
-// Of a value that is far too large only its head is read: reading 60 MB took a quarter of a second.
+// Of a value that is far too large only the bytes before it are read: reading 60 MB took a quarter of a second.
 func TestHugeValueIsNotRead(t *testing.T) {
-	r := newHarness(t)
-	c := r.dial()
+	h := newHarness(t)
+	c := h.dial()
 	c.send("*5\r\n$6\r\nKV.SET\r\n$1\r\nk\r\n$1\r\n1\r\n$6\r\nc=read\r\n$60000000\r\n")
 	sent, err := 0, error(nil)
 	for piece := make([]byte, 1<<20); err == nil && sent < 60_000_000; sent += len(piece) {
@@ -191,25 +192,25 @@
 	}
 }
 
-// A command that takes two seconds to arrive is served, in whatever pieces; one that never ends is closed within the command
-// timeout, however it trickles in.
+// A command that takes two seconds to arrive is served, in whatever pieces it arrives. A connection on which a command never ends is
+// closed within the command timeout, even if bytes keep arriving.
 func TestSlowCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		life := &lifecycle.State{}
-		life.MarkListed()
-		r := newPipeHarness(t, life)
-		r.server.CommandTimeout = 2500
+		state := &lifecycle.State{}
+		state.MarkListed()
+		h := newPipeHarness(t, state)
+		h.server.CommandTimeout = 2500
 		text := command("KV.GET", "k", "1", testExtra)
-		slow := r.dial()
+		slow := h.dial()
 		for i := range text {
 			slow.send(string([]byte{text[i]}))
 			time.Sleep(2 * time.Second / time.Duration(len(text)))
 		}
-		(<-r.taken).Respond(exchange.Response{Value: []byte("v")})
+		(<-h.requests).Respond(exchange.Response{Value: []byte("v")})
 		slow.expect("$1\r\nv\r\n")
-		never, start := r.dial(), time.Now()
+		incomplete, start := h.dial(), time.Now()
 		for i := 0; ; i++ {
-			if _, err := never.Write([]byte{text[min(i, len(text)/2)]}); err != nil {
+			if _, err := incomplete.Write([]byte{text[min(i, len(text)/2)]}); err != nil {
 				break
 			}
 			time.Sleep(100 * time.Millisecond)
@@ -220,64 +221,65 @@
 	})
 }
 
-// A client that sends many commands and disconnects is noticed though no more are taken: its requests would run for nobody.
+// The disconnect of a client that has sent many commands is noticed although no more are processed: the requests in flight would be
+// executed for nobody.
 func TestPipelinedDisconnectIsNoticed(t *testing.T) {
-	r := newHarness(t)
-	c := r.dial()
+	h := newHarness(t)
+	c := h.dial()
 	text := ""
 	for i := range 3 * maxPipelined {
 		text += command("KV.GET", "k", fmt.Sprint(i), "c=read,d=400")
 	}
 	c.send(text)
 	for range maxPipelined {
-		r.nextRequest()
+		h.nextRequest()
 	}
 	c.disconnect()
 	for range maxPipelined {
 		select {
-		case <-r.gone:
+		case <-h.disconnected:
 		case <-time.After(5 * time.Second):
 			t.Fatal("the disconnect was not noticed")
 		}
 	}
-	if n := len(r.taken); n > 0 {
-		t.Errorf("%d more were taken", n)
+	if n := len(h.requests); n > 0 {
+		t.Errorf("%d more were handled", n)
 	}
 }
 
-// The disconnect of a client that has sent more than is read ahead, and no more than the system holds for the node, is noticed in time too:
-// nothing may be sent for it 0.1 s later.
+// The disconnect of a client that has sent more than is read ahead is noticed in time, if the rest fits into the receive buffer of the
+// kernel: nothing may be sent for the client 100 ms later.
 func TestDisconnectBeyondReadAheadIsNoticed(t *testing.T) {
-	r := newHarness(t)
-	c := r.dial()
+	h := newHarness(t)
+	c := h.dial()
 	text := ""
 	for i := range 6 * maxPipelined {
 		text += command("KV.GET", "k", fmt.Sprint(i), "c=read,d=400,pad="+strings.Repeat("x", 100))
 	}
 	c.send(text)
 	for range maxPipelined {
-		r.nextRequest()
+		h.nextRequest()
 	}
-	time.Sleep(50 * time.Millisecond) // the reader has read ahead what it may
+	time.Sleep(50 * time.Millisecond) // until the reader has read ahead as much as it may
 	c.disconnect()
-	left := time.Now()
+	disconnectedAt := time.Now()
 	for range maxPipelined {
 		select {
-		case <-r.gone:
+		case <-h.disconnected:
 		case <-time.After(5 * time.Second):
 			t.Fatal("the disconnect was not noticed")
 		}
 	}
-	if took := time.Since(left); took > 100*time.Millisecond {
-		t.Errorf("it was noticed after %v", took)
+	if took := time.Since(disconnectedAt); took > 100*time.Millisecond {
+		t.Errorf("the disconnect was noticed after %v", took)
 	}
 }
 
-// A client that sends more commands than are taken at once, or read ahead, gets all replies in order.
+// A client that sends more commands than are processed at once or read ahead gets all replies in order.
 func TestPipelineBeyondReadAhead(t *testing.T) {
-	r := newHarness(t)
+	h := newHarness(t)
 	const n = 20 * maxPipelined
-	c := r.dial()
+	c := h.dial()
 	go func() {
 		text := ""
 		for i := range n {
@@ -286,14 +288,14 @@
 		c.send(text)
 	}()
 	for i := 0; i < n; i += maxPipelined {
-		var xs []*exchange.Exchange
+		var exchanges []*exchange.Exchange
 		for range maxPipelined {
-			xs = append(xs, r.nextRequest())
+			exchanges = append(exchanges, h.nextRequest())
 		}
-		if len(r.taken) > 0 {
-			t.Errorf("%d are taken while %d wait", len(r.taken), maxPipelined)
+		if len(h.requests) > 0 {
+			t.Errorf("%d more requests are handled while %d wait", len(h.requests), maxPipelined)
 		}
-		for _, x := range xs {
+		for _, x := range exchanges {
 			x.Respond(exchange.Response{Value: x.ID})
 		}
 		for k := range maxPipelined {
@@ -303,40 +305,40 @@
 	}
 }
 
-// failingListener fails accepts until a time, as where the system has no descriptor. Connections wait in the backlog meanwhile.
+// failingListener fails accepts until a given time, as if the system had no descriptor. Connections wait in the backlog meanwhile.
 type failingListener struct {
 	*net.TCPListener
-	until  time.Time
-	holdUp time.Duration // of the process, as the fault ends
+	failUntil time.Time
+	stall     time.Duration // pause of the process when the failures end
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if time.Now().Before(l.until) {
+	if time.Now().Before(l.failUntil) {
 		return nil, syscall.ENFILE
 	}
-	time.Sleep(l.holdUp)
-	l.holdUp = 0
+	time.Sleep(l.stall)
+	l.stall = 0
 	return l.TCPListener.Accept()
 }
 
-// A request that waited for its connection to be accepted has the time that its client has left, and not all of it anew; also where the
-// process is held up just then, for as long as the operators' pages allow for.
+// A request that waited for its connection to be accepted has only the time that its client has left, not all of its time limit, even if
+// the process stalls just then for as long as the operators' pages allow for.
 func TestDeadlineOfRequestThatWaitedForAccept(t *testing.T) {
-	for _, holdUp := range []time.Duration{0, 150 * time.Millisecond} {
-		t.Run(holdUp.String(), func(t *testing.T) { checkDeadlineAfterOutage(t, holdUp) })
+	for _, stall := range []time.Duration{0, 150 * time.Millisecond} {
+		t.Run(stall.String(), func(t *testing.T) { checkDeadlineAfterOutage(t, stall) })
 	}
 }
 
-func checkDeadlineAfterOutage(t *testing.T, holdUp time.Duration) {
+func checkDeadlineAfterOutage(t *testing.T, stall time.Duration) {
 	const outage = 200 * time.Millisecond
-	r := newHarness(t)
-	ln := loopbacktest.Listen(t)
-	r.addr = ln.Addr().String()
-	failing := &failingListener{ln.(*net.TCPListener), time.Now().Add(outage), holdUp}
-	go func() { _ = r.server.Serve(failing) }() // it returns when the test ends
+	h := newHarness(t)
+	listener := loopbacktest.Listen(t)
+	h.addr = listener.Addr().String()
+	failing := &failingListener{listener.(*net.TCPListener), time.Now().Add(outage), stall}
+	go func() { _ = h.server.Serve(failing) }() // it returns when the test ends
 	time.Sleep(outage / 4)
-	c := r.dial()
-	sentAt := r.server.Clock.Now()
+	c := h.dial()
+	sentAt := h.server.Clock.Now()
 	var commands strings.Builder // more than are read at once
 	const requests = 5
 	for i := range requests {
@@ -344,17 +346,17 @@
 	}
 	c.send(commands.String())
 	for i := range requests {
-		x := r.nextRequest()
+		x := h.nextRequest()
 		if late := x.Deadline - (sentAt + 480); late > 20 {
 			t.Errorf("the deadline of request %d is %.0f ms after its client's", i, late)
 		}
 		x.Respond(exchange.Response{Value: []byte("v")})
 		c.expect("$1\r\nv\r\n")
 	}
-	for i, c := range []*client{c, r.dial()} { // nothing waits for an accept any more
+	for i, c := range []*client{c, h.dial()} { // nothing waits in the backlog any more
 		c.send(command("KV.GET", "k", fmt.Sprint("again", i), "c=read,d=480"))
-		if left := r.nextRequest().Deadline - r.server.Clock.Now(); left < 400 {
-			t.Errorf("request %d after that has %.0f ms left", i, left)
+		if left := h.nextRequest().Deadline - h.server.Clock.Now(); left < 400 {
+			t.Errorf("request %d after the outage has %.0f ms left", i, left)
 		}
 	}
 }
--- a/internal/node/clients/request.go
+++ b/internal/node/clients/request.go
@@ -14,8 +14,8 @@
 
 // Numbers of arguments, including the command name.
 const (
-	getArgs = 4 // KV.GET KEY ID EXTRA
-	setArgs = 5 // KV.SET KEY ID EXTRA VALUE
+	getArgCount = 4 // KV.GET KEY ID EXTRA
+	setArgCount = 5 // KV.SET KEY ID EXTRA VALUE
 )
 
 // maxExtraNumber is the exclusive upper bound for numbers in the extra list of a request.
@@ -45,9 +45,9 @@
 // error is sent to the client.
 func (c *Config) parseRequest(args [][]byte, arrivedAt float64, owned bool) (*exchange.Exchange, error) {
 	write := isWrite(args[0])
-	want := getArgs
+	want := getArgCount
 	if write {
-		want = setArgs
+		want = setArgCount
 	}
 	if len(args) != want {
 		return nil, errors.New("wrong number of arguments for '" + string(args[0]) + "'")
--- a/internal/node/clients/resp.go
+++ b/internal/node/clients/resp.go
@@ -36,37 +36,37 @@
 // parseLargeWriteHeader parses the bytes of a write that precede its value. It returns the arguments there, the offset of the value and
 // its length. It returns no arguments if another argument than the value is oversized.
 func parseLargeWriteHeader(b []byte) (args [][]byte, start, length int) {
-	at := bytes.IndexByte(b, '\n') + 1
+	offset := bytes.IndexByte(b, '\n') + 1
 	for {
-		i := bytes.IndexByte(b[at:], '\n')
+		i := bytes.IndexByte(b[offset:], '\n')
 		if i < 2 {
 			return nil, 0, 0
 		}
-		n, err := strconv.Atoi(string(b[at+1 : at+i-1]))
+		n, err := strconv.Atoi(string(b[offset+1 : offset+i-1]))
 		if err != nil {
 			return nil, 0, 0
 		}
-		at += i + 1
-		if len(args) == setArgs-1 {
-			return args, at, n
+		offset += i + 1
+		if len(args) == setArgCount-1 {
+			return args, offset, n
 		}
-		if n < 0 || len(b) < at+n+len(crlf) {
+		if n < 0 || len(b) < offset+n+len(crlf) {
 			return nil, 0, 0
 		}
-		args = append(args, b[at:at+n:at+n])
-		at += n + len(crlf)
+		args = append(args, b[offset:offset+n:offset+n])
+		offset += n + len(crlf)
 	}
 }
 
 // oversizedLength returns the length of a command up to the end of its first argument that exceeds MaxBufferedValue. It returns 0 if no
 // such argument has begun to arrive, and -1 if the bytes are no command.
 func oversizedLength(b []byte) int {
-	count, at := parseLength(b, 0, '*')
+	count, offset := parseLength(b, 0, '*')
 	if count < 0 || count > maxArgs {
 		return -1
 	}
 	for range count {
-		length, start := parseLength(b, at, '$')
+		length, start := parseLength(b, offset, '$')
 		switch {
 		case length < 0:
 			return -1
@@ -75,23 +75,23 @@
 		case length > exchange.MaxBufferedValue:
 			return start + length + len(crlf)
 		}
-		at = start + length + len(crlf)
+		offset = start + length + len(crlf)
 	}
 	return 0
 }
 
 // parseLength parses a line of a type byte and a length at an offset. It returns the length and the offset of the next line. The offset
 // is 0 if the line is incomplete or has another type; the length is -1 if it is malformed.
-func parseLength(b []byte, at int, typeByte byte) (length, next int) {
-	i := bytes.IndexByte(b[min(at, len(b)):], '\n')
-	if i < 2 || b[at] != typeByte {
+func parseLength(b []byte, offset int, typeByte byte) (length, next int) {
+	i := bytes.IndexByte(b[min(offset, len(b)):], '\n')
+	if i < 2 || b[offset] != typeByte {
 		return 0, 0
 	}
-	length, err := strconv.Atoi(string(b[at+1 : at+i-1]))
+	length, err := strconv.Atoi(string(b[offset+1 : offset+i-1]))
 	if err != nil || length < 0 || length > maxArgLength {
 		return -1, 0
 	}
-	return length, at + i + 1
+	return length, offset + i + 1
 }
 
 // appendReply appends a response encoded in RESP2.
--- a/internal/node/clients/server.go
+++ b/internal/node/clients/server.go
@@ -24,7 +24,8 @@
 	HandleRequest(request *exchange.Exchange)
 	// ClientGone reports that the client of a request without a response has disconnected.
 	ClientGone(request *exchange.Exchange)
-	// BodyReceived reports that the body of a request has arrived completely, if HandleRequest was called before that.
+	// BodyReceived reports that the body of a request has arrived completely. It is called only for requests whose body was still
+	// arriving when HandleRequest was called.
 	BodyReceived(request *exchange.Exchange, at float64)
 }
 
@@ -199,7 +200,7 @@
 }
 
 // serveConn serves a connection whose descriptor is counted. If the connection may have waited in the accept backlog, backloggedSince is
-// the time from which it may have; otherwise it is 0.
+// the earliest time at which bytes may have arrived on it; otherwise it is 0.
 func (s *Server) serveConn(netConn net.Conn, requested bool, backloggedSince float64) {
 	c := s.newConn(netConn, requested)
 	c.backloggedSince = backloggedSince
@@ -299,7 +300,7 @@
 }
 
 // Close stops accepting. Before that it accepts the connections in the backlog, for at most timeout: their requests count as received,
-// and closing the listener resets connections in the backlog. Accepted connections stay open.
+// and closing the listener resets connections that are still in the backlog. Accepted connections stay open.
 func (s *Server) Close(timeout time.Duration) {
 	s.mu.Lock()
 	ended := s.serveEnded
--- a/internal/node/clients/state_test.go
+++ b/internal/node/clients/state_test.go
@@ -6,18 +6,18 @@
 	"mintspring/internal/node/exchange"
 )
 
-// nobody is a client that does not care for responses.
+// discardingClient ignores responses.
 type discardingClient struct{}
 
 func (discardingClient) ResponseReady(*exchange.Exchange) {}
 
 func newRequest() *exchange.Exchange { return &exchange.Exchange{Client: discardingClient{}} }
 
-// Replies are queued until the last one, and the phases only grow.
+// Replies are queued until the last one, and the phase only increases.
 func TestStatePhases(t *testing.T) {
 	var s sharedState
 	if !s.enqueue(pendingReply{text: "a"}) || s.phase != phaseOpen {
-		t.Fatal("an open connection takes no reply")
+		t.Fatal("an open connection accepted no reply")
 	}
 	if !s.enqueue(pendingReply{text: "b", last: true}) || s.phase != phaseEnding {
 		t.Fatal("the last reply does not end the connection")
@@ -30,11 +30,11 @@
 		t.Errorf("%d replies unwritten, %+v", len(unwritten), s)
 	}
 	if s.enqueue(pendingReply{text: "d"}) {
-		t.Error("a closed connection took a reply")
+		t.Error("a closed connection accepted a reply")
 	}
 }
 
-// What a connection has been used for only grows, whatever arrives in between.
+// The usage of a connection only increases, whatever arrives.
 func TestStateUsage(t *testing.T) {
 	var s sharedState
 	s.recordRead(1, true, false)
@@ -56,7 +56,7 @@
 	}
 }
 
-// A reply is written when those before it are and its request has a response.
+// A reply is written once the replies before it are written and its request has a response.
 func TestStateWriter(t *testing.T) {
 	var s sharedState
 	first, second := newRequest(), newRequest()
@@ -85,7 +85,7 @@
 	}
 }
 
-// The reader pauses at the limit, resumes once below it, and departs once for each request to.
+// The reader pauses at the limit, resumes once below it, and drains the connection once for each request to drain it.
 func TestStateReader(t *testing.T) {
 	var s sharedState
 	for range maxPipelined {
@@ -100,10 +100,10 @@
 		t.Error("the reader does not resume once below the limit")
 	}
 	if s.consumeDrainRequest() {
-		t.Error("the reader departs without having been asked to")
+		t.Error("a drain was requested without a call")
 	}
 	s.drainRequested = true
 	if !s.consumeDrainRequest() || s.consumeDrainRequest() {
-		t.Error("the reader does not depart once")
+		t.Error("a drain request was not reported exactly once")
 	}
 }
--- a/internal/node/clients/upload.go
+++ b/internal/node/clients/upload.go
@@ -121,7 +121,8 @@
 	return r.forwardBody(request, size-valueStart, length)
 }
 
-// forwardBody forwards the body of a request as it arrives. Of the command, remaining bytes are left, of the body bodyLength.
+// forwardBody forwards the body of a request as it arrives. remaining is the number of bytes left of the command, bodyLength that of the
+// body.
 func (r *commandReader) forwardBody(request *exchange.Exchange, remaining, bodyLength int) (skip int, open bool) {
 	c := r.conn
 	deadline := time.Now().Add(maxUploadTime)
