--- a/internal/node/clients/closing_test.go
+++ b/internal/node/clients/closing_test.go
@@ -107,7 +107,8 @@
 	}
 }
 
-// readReplies reads replies until the connection ends. It returns an error unless that end is orderly, as after a reset.
+// readReplies reads replies until the connection ends. It returns an error if the connection does not end in order, for instance by a
+// reset.
 func (c *client) readReplies() (replies []string, err error) {
 	for {
 		line, err := c.reader.ReadString('\n')
--- a/internal/node/clients/limits_test.go
+++ b/internal/node/clients/limits_test.go
@@ -178,7 +178,7 @@
 	requested.expect("$1\r\nw\r\n")
 }
 
-// Of a value that is far too large only the bytes before it are read: reading 60 MB took a quarter of a second.
+// A value that is far too large is not read to its end: reading 60 MB took a quarter of a second.
 func TestHugeValueIsNotRead(t *testing.T) {
 	h := newHarness(t)
 	c := h.dial()
@@ -221,8 +221,8 @@
 	})
 }
 
-// The disconnect of a client that has sent many commands is noticed although no more are processed: the requests in flight would be
-// executed for nobody.
+// The disconnect of a client that has sent many commands is noticed although no more are processed. Otherwise its requests in flight are
+// executed although no client waits for them.
 func TestPipelinedDisconnectIsNoticed(t *testing.T) {
 	h := newHarness(t)
 	c := h.dial()
