--- a/internal/node/clients/state_test.go
+++ b/internal/node/clients/state_test.go
@@ -6,18 +6,18 @@
 	"mintspring/internal/node/exchange"
 )
 
-// nobody is a client that does not care for responses.
-type nobody struct{}
+// discardingClient ignores responses.
+type discardingClient struct{}
 
-func (nobody) ResponseReady(*exchange.Exchange) {}
+func (discardingClient) ResponseReady(*exchange.Exchange) {}
 
-func newRequest() *exchange.Exchange { return &exchange.Exchange{Client: nobody{}} }
+func newRequest() *exchange.Exchange { return &exchange.Exchange{Client: discardingClient{}} }
 
-// Replies are queued until the last one, and the phases only grow.
+// Replies are queued until the last one, and the phase only increases.
 func TestStatePhases(t *testing.T) {
 	var s sharedState
 	if !s.enqueue(pendingReply{text: "a"}) || s.phase != phaseOpen {
-		t.Fatal("an open connection takes no reply")
+		t.Fatal("an open connection accepted no reply")
 	}
 	if !s.enqueue(pendingReply{text: "b", last: true}) || s.phase != phaseEnding {
 		t.Fatal("the last reply does not end the connection")
@@ -30,11 +30,11 @@
 		t.Errorf("%d replies unwritten, %+v", len(unwritten), s)
 	}
 	if s.enqueue(pendingReply{text: "d"}) {
-		t.Error("a closed connection took a reply")
+		t.Error("a closed connection accepted a reply")
 	}
 }
 
-// What a connection has been used for only grows, whatever arrives in between.
+// The usage of a connection only increases, whatever arrives.
 func TestStateUsage(t *testing.T) {
 	var s sharedState
 	s.recordRead(1, true, false)
@@ -42,7 +42,7 @@
 		t.Fatalf("after part of a command: %+v", s)
 	}
 	for i, want := range []struct {
-		use   requestUse
+		use   requestOrdinal
 		usage usage
 	}{{firstRequest, usageRequested}, {secondRequest, usageReused}, {laterRequest, usageReused}} {
 		if use := s.recordRequest(); use != want.use {
@@ -56,7 +56,7 @@
 	}
 }
 
-// A reply is written when those before it are and its request has a response.
+// A reply is written once the replies before it are written and its request has a response.
 func TestStateWriter(t *testing.T) {
 	var s sharedState
 	first, second := newRequest(), newRequest()
@@ -75,8 +75,8 @@
 		if !ok || string(response.Value) != want.value || s.writer != writerWriting || !s.hasPending() {
 			t.Fatalf("%s: %+v, %v, %+v", want.value, response, ok, s)
 		}
-		if last := len(s.replies) == 0; s.finishing(14, 5) != last || s.finishing(15, 5) {
-			t.Errorf("%s: finishing is %v with %d replies behind it", want.value, s.finishing(14, 5), len(s.replies))
+		if last := len(s.replies) == 0; s.finishingReply(14, 5) != last || s.finishingReply(15, 5) {
+			t.Errorf("%s: finishingReply is %v with %d replies behind it", want.value, s.finishingReply(14, 5), len(s.replies))
 		}
 		s.recordWritten(20, r.last)
 		if s.writer != want.after || s.lastActive != 20 {
@@ -85,25 +85,25 @@
 	}
 }
 
-// The reader pauses at the limit, resumes once below it, and departs once for each request to.
+// The reader pauses at the limit, resumes once below it, and drains the connection once for each request to drain it.
 func TestStateReader(t *testing.T) {
 	var s sharedState
 	for range maxPipelined {
 		s.enqueue(pendingReply{text: "a"})
 	}
 	s.recordRead(1, false, false)
-	if !s.paused || s.takeResume() || !s.paused {
+	if !s.paused || s.tryResume() || !s.paused {
 		t.Fatal("the reader does not pause at the limit")
 	}
 	s.dequeue(2)
-	if !s.canResume() || !s.takeResume() || s.paused || s.takeResume() {
+	if !s.canResume() || !s.tryResume() || s.paused || s.tryResume() {
 		t.Error("the reader does not resume once below the limit")
 	}
-	if s.takeDeparture() {
-		t.Error("the reader departs without having been asked to")
+	if s.consumeDrainRequest() {
+		t.Error("a drain was requested without a call")
 	}
-	s.departing = true
-	if !s.takeDeparture() || s.takeDeparture() {
-		t.Error("the reader does not depart once")
+	s.drainRequested = true
+	if !s.consumeDrainRequest() || s.consumeDrainRequest() {
+		t.Error("a drain request was not reported exactly once")
 	}
 }
