--- a/cmd/mintspring/idempotency.go
+++ b/cmd/mintspring/idempotency.go
@@ -43,7 +43,7 @@
 	for _, state := range recordStates {
 		p.Printf(", %d %s", s.ByState[state.key], state.name)
 	}
-	p.Printf("\n  in %s: %d syncs for %d entries, at most %d in one\n", s.Dir, s.Syncs, s.Entries, s.Largest)
+	p.Printf("\n  in %s: %d syncs for %d entries, at most %d in one\n", s.DataDir, s.Syncs, s.SyncedEntries, s.LargestSync)
 	c := &s.Counts
 	p.Printf("  claims: %d granted, %d delayed, %d replayed, %d with unknown outcome, %d without a quorum; %d settled, %d of them without one\n",
 		c.Claims[idempotency.DecisionGranted], c.Claims[idempotency.DecisionWait], c.Claims[idempotency.DecisionReplay],
--- a/internal/cluster/idempotency/replica/golden_test.go
+++ b/internal/cluster/idempotency/replica/golden_test.go
@@ -36,7 +36,7 @@
 			PendingRepairs: 8, CaughtUpWith: []idempotency.MemberID{0, 2}, ConsistentMs: 1500.5, NotCompared: []idempotency.MemberID{2}, Members: []idempotency.MemberStatus{{Member: 0, StorageIncarnation: 9}, {Member: 2, StorageIncarnation: 10}},
 			Counts: idempotency.Counts{Claims: [5]int{1, 2, 3, 4, 5}, Settlements: 6, FailedSettlements: 7, BallotRetries: 8, Repaired: 9, Corrupt: 10, ForeignReplicaSets: 11, Messages: 12},
 		},
-		Group: "sales", Dir: "/data/book", Syncs: 13, Entries: 14, Largest: 15,
+		Group: "sales", DataDir: "/data/book", Syncs: 13, SyncedEntries: 14, LargestSync: 15,
 	}
 	want := goldentest.Read(t, "shown.json")
 	got, err := json.MarshalIndent(status, "", "  ")
--- a/internal/cluster/idempotency/replica/replica.go
+++ b/internal/cluster/idempotency/replica/replica.go
@@ -136,19 +136,19 @@
 // Status is what a member shows to operators.
 type Status struct {
 	idempotency.Status
-	Group   string `json:"book"`
-	Dir     string `json:"dir,omitempty"`
-	Syncs   int    `json:"syncs"`
-	Entries int    `json:"entries"` // that were synced
-	Largest int    `json:"largest"` // most entries in one sync
+	Group         string `json:"book"`
+	DataDir       string `json:"dir,omitempty"`
+	Syncs         int    `json:"syncs"`
+	SyncedEntries int    `json:"entries"` // that were synced
+	LargestSync   int    `json:"largest"` // most entries in one sync
 }
 
 // Status returns what the member holds and has done.
 func (r *Replica) Status() (Status, error) {
 	return query(r, func() Status {
-		s := Status{Status: r.core.Status(r.clock.Now()), Group: r.config.Group, Dir: r.config.DataDir}
+		s := Status{Status: r.core.Status(r.clock.Now()), Group: r.config.Group, DataDir: r.config.DataDir}
 		if r.disk != nil {
-			s.Syncs, s.Entries, s.Largest = r.disk.syncs, r.disk.entries, r.disk.largestSync
+			s.Syncs, s.SyncedEntries, s.LargestSync = r.disk.syncs, r.disk.entries, r.disk.largestSync
 		}
 		return s
 	})
--- a/internal/cluster/idempotency/replica/replica_test.go
+++ b/internal/cluster/idempotency/replica/replica_test.go
@@ -248,7 +248,7 @@
 			runOperations(b, c, workers)
 			b.StopTimer()
 			if s, err := c.replicas[0].Status(); err == nil && s.Syncs > 0 {
-				b.ReportMetric(float64(s.Entries)/float64(s.Syncs), "entries/sync")
+				b.ReportMetric(float64(s.SyncedEntries)/float64(s.Syncs), "entries/sync")
 			}
 		})
 	}
