--- a/internal/cluster/idempotency/replica/cluster_test.go
+++ b/internal/cluster/idempotency/replica/cluster_test.go
@@ -19,35 +19,36 @@
 const (
 	testGroup   = "test"
 	testMembers = 3
-	// patience is for how long these tests wait for what has to come.
-	patience = 5 * time.Second
-	// patienceMs is the same in the unit of deadlines.
-	patienceMs = 5000
+	// awaitTimeout is how long these tests wait for an expected state.
+	awaitTimeout = 5 * time.Second
+	// proposalTimeoutMs is the timeout of claims and settlements.
+	proposalTimeoutMs = 5000
 )
 
-// testCluster is a few members on sockets and disks of this machine.
+// testCluster is a group of members that use sockets and disks of this machine.
 type testCluster struct {
 	t        testing.TB
 	dir      string
 	addrs    []string
 	replicas []*Replica
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards lastNumber and waiters
 	lastNumber uint64
-	waiting    map[resultID]chan idempotency.Result
+	waiters    map[resultID]chan idempotency.Result
 }
 
-// resultID is what a result is of.
+// resultID identifies the claim or settlement that a result belongs to.
 type resultID struct {
 	member     int
 	number     uint64
 	settlement bool
 }
 
-// newTestCluster reserves addresses and creates data directories for all members. They are stopped at the end of the test.
+// newTestCluster reserves addresses and creates data directories for all members, without starting them. Members that the test starts are stopped at its
+// end.
 func newTestCluster(t testing.TB) *testCluster {
 	t.Helper()
-	c := &testCluster{t: t, dir: t.TempDir(), replicas: make([]*Replica, testMembers), waiting: map[resultID]chan idempotency.Result{}}
+	c := &testCluster{t: t, dir: t.TempDir(), replicas: make([]*Replica, testMembers), waiters: map[resultID]chan idempotency.Result{}}
 	for i := range testMembers {
 		port, err := reservedport.ReserveUDP()
 		if err != nil {
@@ -73,12 +74,12 @@
 	return c
 }
 
-// incarnation is that of a process that started at a time in ms.
+// incarnation returns the incarnation of a process that started at startMs.
 func incarnation(startMs int) cluster.Incarnation { return cluster.NewIncarnation(float64(startMs), 0) }
 
 func (c *testCluster) dataDir(member int) string { return filepath.Join(c.dir, fmt.Sprint(member)) }
 
-// start starts a member, whose process started at a time in ms by its own clock.
+// start starts a member whose process started at startMs by its own clock. change, which may be nil, modifies the member's configuration.
 func (c *testCluster) start(member, startMs int, change func(*Config)) {
 	c.t.Helper()
 	var set idempotency.ReplicaSet
@@ -112,19 +113,19 @@
 func (c *testCluster) deliver(member int, result idempotency.Result) {
 	id := resultID{member, result.Number, result.Settlement}
 	c.mu.Lock()
-	to := c.waiting[id]
-	delete(c.waiting, id)
+	waiter := c.waiters[id]
+	delete(c.waiters, id)
 	c.mu.Unlock()
-	if to != nil {
-		to <- result
+	if waiter != nil {
+		waiter <- result
 	}
 }
 
-// expect returns the channel that a result will come to.
+// expect returns a channel that will receive the result with this ID.
 func (c *testCluster) expect(id resultID) chan idempotency.Result {
 	result := make(chan idempotency.Result, 1)
 	c.mu.Lock()
-	c.waiting[id] = result
+	c.waiters[id] = result
 	c.mu.Unlock()
 	return result
 }
@@ -136,15 +137,15 @@
 	return c.lastNumber
 }
 
-// claimAndSettle has a member claim a key and, if that is granted, settle it with a receipt. It returns the result of the claim.
+// claimAndSettle claims a key through a member and, if the claim is granted, settles it with a receipt. It returns the result of the claim.
 func (c *testCluster) claimAndSettle(member int, key string) idempotency.Result {
 	c.t.Helper()
 	r, number := c.replicas[member], c.nextNumber()
 	claimed, settled := c.expect(resultID{member, number, false}), c.expect(resultID{member, number, true})
-	r.Claim(number, idempotency.NewKey("w", []byte("k"), []byte(key)), idempotency.ClaimOptions{TimeoutMs: 500}, r.clock.Now()+patienceMs)
+	r.Claim(number, idempotency.NewKey("w", []byte("k"), []byte(key)), idempotency.ClaimOptions{TimeoutMs: 500}, r.clock.Now()+proposalTimeoutMs)
 	claim := <-claimed
 	if claim.Decision == idempotency.DecisionGranted {
-		r.Settle(number, idempotency.OutcomeCompleted, []byte("receipt "+key), r.clock.Now()+patienceMs)
+		r.Settle(number, idempotency.OutcomeCompleted, []byte("receipt "+key), r.clock.Now()+proposalTimeoutMs)
 		if settlement := <-settled; settlement.Decision != idempotency.DecisionGranted {
 			c.t.Errorf("settlement of %s: %v", key, settlement.Decision)
 		}
@@ -152,17 +153,17 @@
 	return claim
 }
 
-// await waits until a member's status is as wanted.
-func (c *testCluster) await(member int, what string, wanted func(Status) bool) Status {
+// await waits until a member's status satisfies a condition, and fails the test after awaitTimeout.
+func (c *testCluster) await(member int, condition string, satisfied func(Status) bool) Status {
 	c.t.Helper()
 	var status Status
-	for deadline := time.Now().Add(patience); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		var err error
-		if status, err = c.replicas[member].Status(); err == nil && wanted(status) {
+		if status, err = c.replicas[member].Status(); err == nil && satisfied(status) {
 			return status
 		}
 	}
-	c.t.Fatalf("member %d: %s is not there: %+v", member, what, status)
+	c.t.Fatalf("member %d: timeout while waiting for %s: %+v", member, condition, status)
 	return status
 }
 
--- a/internal/cluster/idempotency/replica/disk.go
+++ b/internal/cluster/idempotency/replica/disk.go
@@ -9,52 +9,53 @@
 	"mintspring/internal/cluster/idempotency/storage"
 )
 
-// verificationsPerRetention is how many times the closed segments are read again, at most, while a record is retained.
+// verificationsPerRetention is the maximum number of verifications of the closed segments within the retention of a record.
 const verificationsPerRetention = 8
 
-// diskJobKind is what the disk has to do.
+// diskJobKind is the kind of a diskJob.
 type diskJobKind uint8
 
 const (
 	appendJob  diskJobKind = iota // append and sync entries
-	verifyJob                     // read the closed segments again
-	rewriteJob                    // write all records into another segment
-	recoverJob                    // the same after a write has failed
+	verifyJob                     // read the closed segments and check them
+	rewriteJob                    // write all records into a new segment
+	recoverJob                    // write all records into a new segment after a write error
 )
 
 // diskJob is one job for the disk's goroutine.
 type diskJob struct {
 	kind            diskJobKind
 	entries, header [][]byte
-	covers          idempotency.Ready // of recoverJob: the last batch before its entries were collected
+	coveredBatch    idempotency.Ready // only of recoverJob: the last batch whose changes entries includes
 }
 
-// diskResult is what became of a job.
+// diskResult is the result of a diskJob.
 type diskResult struct {
 	job            diskJob
 	err            error
-	corruptSegment string // of verifyJob: the path of a segment that does not hold what was written
+	corruptSegment string // only of verifyJob: the path of the first corrupt segment; "": none
 }
 
-// disk runs jobs on the data directory on a goroutine of its own, one at a time. All fields but the channels belong to the member's goroutine, and the
-// store to whichever has the job.
+// disk runs jobs on the data directory, one at a time, on its own goroutine. Only the member's goroutine accesses the fields other than the channels,
+// except that the disk's goroutine uses store while a job runs.
 type disk struct {
 	store   *storage.Store
 	jobs    chan diskJob
 	results chan diskResult
 
-	busy           bool // there is a job
-	failed         bool // a write has failed, and nothing is stored until a recovery has succeeded
-	recovery       retryTimer
-	verifyAt       float64 // when the next verifyJob is due; 0: not set yet
-	corruptSegment string  // a rewriteJob is due
+	busy           bool // a job is running
+	failed         bool // a write has failed; nothing is stored until a recovery succeeds
+	recoveryRetry  retryTimer
+	verifyAt       float64 // when the next verifyJob is due; 0: not scheduled yet
+	corruptSegment string  // the segment that makes a rewriteJob necessary; "": none
 
-	syncs       int // appendJobs
-	entries     int // that these had
-	largestSync int
+	syncs       int // number of appendJobs
+	entries     int // entries in all appendJobs
+	largestSync int // most entries in one appendJob
 }
 
-// openDisk opens the data directory, if there is one, and returns what it holds. One that cannot be used is logged.
+// openDisk opens the data directory, if one is configured, and returns its contents. If it cannot be opened, openDisk logs the error and returns an
+// empty state.
 func (r *Replica) openDisk() *idempotency.StoredState {
 	stored := idempotency.NewStoredState()
 	if r.config.DataDir == "" {
@@ -84,7 +85,7 @@
 	return storage.Open(c.DataDir, owner, c.Core.Incarnation, limits, stored)
 }
 
-// CheckDataDir opens the data directory and closes it again.
+// CheckDataDir opens and closes the data directory, and returns the error if it cannot be opened.
 func (c *Config) CheckDataDir() error {
 	store, err := c.openStore(idempotency.NewStoredState())
 	if err == nil {
@@ -93,17 +94,17 @@
 	return err
 }
 
-// DataDirError returns why the data directory could not be opened at the start; nil: it was, or there is none.
+// DataDirError returns the error with which opening the data directory failed at the start, nil if it was opened or none is configured.
 func (r *Replica) DataDirError() error { return r.dataDirErr }
 
-// stores reports whether the member stores records.
+// stores reports whether the member can store records.
 func (r *Replica) stores() bool { return r.disk != nil && !r.disk.failed }
 
-// recovering reports whether all records are being written anew after a failure. What has to be stored meanwhile waits for that.
+// recovering reports whether a recoverJob is running. Batches that arrive meanwhile are queued until it ends.
 func (r *Replica) recovering() bool { return r.disk != nil && r.disk.failed && r.disk.busy }
 
-// loop runs jobs until there will be no more.
-func (d *disk) loop() {
+// runJobs runs jobs until the jobs channel is closed.
+func (d *disk) runJobs() {
 	for job := range d.jobs {
 		result := diskResult{job: job}
 		switch job.kind {
@@ -120,8 +121,8 @@
 	}
 }
 
-// resultsOf returns the channel of results, nil without a disk.
-func (d *disk) resultsOf() <-chan diskResult {
+// resultChannel returns the channel of job results, nil if there is no disk.
+func (d *disk) resultChannel() <-chan diskResult {
 	if d == nil {
 		return nil
 	}
@@ -133,7 +134,7 @@
 	d.jobs <- job
 }
 
-// close waits for the job under way, ends the goroutine and closes the data directory.
+// close waits for the running job, ends the disk's goroutine and closes the data directory.
 func (d *disk) close() {
 	if d.busy {
 		<-d.results
@@ -142,14 +143,15 @@
 	d.store.Close()
 }
 
-// startSync hands all batches that wait to the disk, if it is idle. Batches without entries wait for those before them alone, which are synced then.
+// startSync hands all queued batches to the disk if it is idle. If no queued batch has entries, their messages are sent at once, because all earlier
+// batches are synced already.
 func (r *Replica) startSync() {
-	for r.stores() && !r.disk.busy && len(r.unsynced) > 0 {
+	for r.stores() && !r.disk.busy && len(r.queuedBatches) > 0 {
 		job := diskJob{kind: appendJob}
-		for _, ready := range r.unsynced {
+		for _, ready := range r.queuedBatches {
 			job.entries = append(job.entries, ready.Entries...)
 		}
-		r.syncing, r.unsynced = r.unsynced, nil
+		r.syncingBatches, r.queuedBatches = r.queuedBatches, nil
 		if len(job.entries) > 0 {
 			job.header = r.core.FileHeader()
 			r.disk.countSync(len(job.entries))
@@ -167,7 +169,8 @@
 	d.largestSync = max(d.largestSync, entries)
 }
 
-// startVerification has closed segments read again now and then, and all records written again from memory where one is corrupt.
+// startVerification periodically starts a verification of the closed segments. If the last one found a corrupt segment, it starts a rewrite of all
+// records from memory instead.
 func (r *Replica) startVerification() {
 	if !r.stores() || r.disk.busy {
 		return
@@ -186,26 +189,26 @@
 	}
 }
 
-// startRecovery has all records written anew, now and then, after a write has failed.
+// startRecovery starts a rewrite of all records after a write has failed, and retries it with backoff.
 func (r *Replica) startRecovery() {
-	if r.disk == nil || !r.disk.failed || r.disk.busy || r.clock.Now() < r.disk.recovery.dueAt {
+	if r.disk == nil || !r.disk.failed || r.disk.busy || r.clock.Now() < r.disk.recoveryRetry.dueAt {
 		return
 	}
-	// What was to be stored since the failure is in memory. This batch has the number up to which all is covered.
-	covers := r.core.Ready()
-	r.send(covers.Messages)
-	r.disk.start(diskJob{kind: recoverJob, entries: r.core.RecordEntries(), header: r.core.FileHeader(), covers: covers})
+	// The records in memory include every change since the failure, so that the recovery covers all batches up to this one.
+	batch := r.core.Ready()
+	r.send(batch.Messages)
+	r.disk.start(diskJob{kind: recoverJob, entries: r.core.RecordEntries(), header: r.core.FileHeader(), coveredBatch: batch})
 }
 
 func (r *Replica) handleRecovered(result diskResult) {
 	if result.err != nil {
-		r.disk.recovery.failed(r.clock.Now())
-		r.unsynced = nil // the next attempt covers it
-		r.log.WithError(result.err).Debug("data directory still fails")
+		r.disk.recoveryRetry.recordFailure(r.clock.Now())
+		r.queuedBatches = nil // the next attempt covers them
+		r.log.WithError(result.err).Debug("recovery of the data directory failed, will retry")
 		return
 	}
-	r.disk.failed, r.disk.recovery = false, retryTimer{}
-	r.core.RestoreStorage(result.job.covers)
+	r.disk.failed, r.disk.recoveryRetry = false, retryTimer{}
+	r.core.RestoreStorage(result.job.coveredBatch)
 	r.log.WithField("records", len(result.job.entries)).Info("data directory works again, storing idempotency records")
 }
 
@@ -226,16 +229,16 @@
 	}
 }
 
-// handleSynced sends what waited for the batches that are synced now. After an error the member stores and promises nothing until its data
-// directory works again (startRecovery). What waited for the sync that failed is never sent.
+// handleSynced sends the messages that depend on the batches that are now synced. After a sync error these messages are never sent, and the member
+// stores and promises nothing until startRecovery succeeds.
 func (r *Replica) handleSynced(err error) {
-	synced := r.syncing
-	r.syncing = nil
+	synced := r.syncingBatches
+	r.syncingBatches = nil
 	if err != nil {
 		r.log.WithError(err).Error("data directory failed, storing no idempotency records until it works")
 		r.core.FailStorage()
-		r.disk.failed, r.unsynced = true, nil
-		r.disk.recovery.failed(r.clock.Now())
+		r.disk.failed, r.queuedBatches = true, nil
+		r.disk.recoveryRetry.recordFailure(r.clock.Now())
 		return
 	}
 	for _, ready := range synced {
--- a/internal/cluster/idempotency/replica/golden_test.go
+++ b/internal/cluster/idempotency/replica/golden_test.go
@@ -10,24 +10,23 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// The datagrams by which a member gets its first state from another do not change between versions, and neither does what a member shows of itself on
-// the admin port: testdata/golden holds what an earlier version wrote.
+// Snapshot datagrams, and the status of a member on the admin port, must not change between versions: testdata/golden has those of an earlier version.
 func TestGoldenBytes(t *testing.T) {
-	part := snapshotPart{index: 1, count: 3, bytes: []byte("the second of three")}
+	part := snapshotPart{index: 1, count: 3, data: []byte("the second of three")}
 	for name, d := range map[string]snapshotDatagram{
 		"ask":  {snapshotRequestMagic, 1<<48 | 9, []byte{}},
 		"part": {snapshotPartMagic, 1<<48 | 9, part.encode()},
 	} {
 		want := goldentest.Read(t, name+".bin")
 		if got := d.encode(); !bytes.Equal(got, want) {
-			t.Errorf("%s is written as %x, want %x", name, got, want)
+			t.Errorf("%s is encoded as %x, want %x", name, got, want)
 		}
 		if got, ok := decodeSnapshotDatagram(want); !ok || !reflect.DeepEqual(got, d) {
-			t.Errorf("%s is read as %+v, %v; want %+v", name, got, ok, d)
+			t.Errorf("%s is decoded as %+v, %v; want %+v", name, got, ok, d)
 		}
 	}
 	if got, ok := decodeSnapshotPart(part.encode()); !ok || !reflect.DeepEqual(got, part) {
-		t.Errorf("a part is read as %+v, %v; want %+v", got, ok, part)
+		t.Errorf("a part is decoded as %+v, %v; want %+v", got, ok, part)
 	}
 
 	status := Status{
@@ -41,10 +40,10 @@
 	want := goldentest.Read(t, "shown.json")
 	got, err := json.MarshalIndent(status, "", "  ")
 	if err != nil || !bytes.Equal(got, want) {
-		t.Errorf("a member shows\n%s, %v; want\n%s", got, err, want)
+		t.Errorf("the status is encoded as\n%s, %v; want\n%s", got, err, want)
 	}
-	var back Status
-	if err := json.Unmarshal(want, &back); err != nil || !reflect.DeepEqual(back, status) {
-		t.Errorf("it is read as %+v, %v; want %+v", back, err, status)
+	var decoded Status
+	if err := json.Unmarshal(want, &decoded); err != nil || !reflect.DeepEqual(decoded, status) {
+		t.Errorf("the status is decoded as %+v, %v; want %+v", decoded, err, status)
 	}
 }
--- a/internal/cluster/idempotency/replica/replica.go
+++ b/internal/cluster/idempotency/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica runs a member with idempotency records on its UDP socket and its data directory. One goroutine owns the member's core; another one
-// writes and syncs what the core wants stored, batch by batch, so that a slow disk delays what this member promises and nothing that it requests of
-// others. Messages that depend on a batch are sent when it is synced.
+// Package replica runs a member that replicates idempotency records, with its UDP socket and its data directory. One goroutine owns the member's core.
+// A second goroutine writes and syncs the entries of the core in batches, so that a slow disk delays only this member's promises and votes, not its
+// requests to other members. Messages that depend on a batch are sent once the batch is synced.
 package replica
 
 import (
@@ -18,31 +18,31 @@
 	"mintspring/internal/cluster/idempotency"
 )
 
-// Config is what a member is started with.
+// Config is the configuration of a member.
 type Config struct {
-	Group       string // the name of the fleet's records
+	Group       string // the name of the group of members that share the records
 	ListenAddr  string
-	MemberAddrs []string      // of all members, by their numbers
-	DataDir     string        // "": it stores nothing
-	MaxBytes    int64         // of all segments in DataDir; 0: any number
+	MemberAddrs []string      // the addresses of all members, indexed by member number
+	DataDir     string        // "": the member stores nothing
+	MaxBytes    int64         // limit for the total size of the segments in DataDir; 0: no limit
 	SyncDelay   time.Duration // added to each sync, for tests
-	Snapshot    func() []byte // returns what FetchSnapshot of another member gets, and may take a while; nil: nothing
+	Snapshot    func() []byte // returns the snapshot to send to another member, and may be slow; nil: there is none
 	Core        idempotency.Config
 }
 
 const (
-	// receivedQueue is how many datagrams wait for the member's goroutine. More are dropped.
-	receivedQueue = 4096
-	// ticksPerRetry is how often the core is ticked within its RetryMs.
+	// receiveQueueLength is how many received datagrams may wait for the member's goroutine. Further datagrams are dropped.
+	receiveQueueLength = 4096
+	// ticksPerRetry is the number of ticks of the core within its RetryMs.
 	ticksPerRetry = 4
 	// minTickInterval is the shortest time between two ticks.
 	minTickInterval = time.Millisecond
-	// minRetryMs and maxRetryMs bound the time between two attempts at a data directory that fails.
-	minRetryMs = 1000
-	maxRetryMs = 60_000
-	// queryTimeout is how long another goroutine waits for the member's goroutine.
+	// minDiskRetryMs and maxDiskRetryMs bound the backoff of attempts to use a failing data directory.
+	minDiskRetryMs = 1000
+	maxDiskRetryMs = 60_000
+	// queryTimeout is how long query waits for the member's goroutine.
 	queryTimeout = time.Second
-	// stopPollInterval is how often Stop looks whether the member is still busy.
+	// stopPollInterval is how often Stop checks whether the member is still busy.
 	stopPollInterval = time.Millisecond
 )
 
@@ -62,32 +62,32 @@
 	memberAddrs  []netip.AddrPort
 	memberByAddr map[netip.AddrPort]idempotency.MemberID
 
-	received chan datagram
-	wake     chan struct{} // there are pending calls
-	stopping chan struct{}
-	stopOnce sync.Once
-	done     chan struct{} // closed when run has ended
-	loops    sync.WaitGroup
+	received   chan datagram
+	wake       chan struct{} // signals that there are pending calls
+	stopping   chan struct{}
+	stopOnce   sync.Once
+	done       chan struct{} // closed when run has ended
+	goroutines sync.WaitGroup
 
 	mu           sync.Mutex // guards pendingCalls
 	pendingCalls []func(now float64)
 
-	// Fields of the member's goroutine, which is in run.
-	core          *idempotency.Core
-	disk          *disk               // nil: it stores nothing
-	dataDirErr    error               // why it was not opened; not changed after Start
-	syncing       []idempotency.Ready // handed to the disk
-	unsynced      []idempotency.Ready // not handed to the disk yet
-	loggedState   string
-	snapshotFetch *snapshotFetch // nil: none is under way
+	// The following fields belong to the member's goroutine, which executes run.
+	core           *idempotency.Core
+	disk           *disk               // nil: the member stores nothing
+	dataDirErr     error               // why the data directory could not be opened; not changed after Start
+	syncingBatches []idempotency.Ready // handed to the disk and not synced yet
+	queuedBatches  []idempotency.Ready // waiting for the disk to be idle
+	loggedState    string
+	snapshotFetch  *snapshotFetch // nil: no snapshot is being fetched
 
 	incarnationRetry retryTimer
 
-	sendingSnapshot atomic.Bool
+	sendingSnapshot atomic.Bool // a goroutine of startSendingSnapshot is running
 }
 
-// Start opens the data directory and the socket, and runs the member until Stop. With a data directory that cannot be used it stores nothing, and logs
-// why. onResult is called with each result, from the member's goroutine.
+// Start opens the data directory and the socket, and runs the member until Stop. If the data directory cannot be opened, the error is logged and the
+// member stores nothing. onResult is called with each result, from the member's goroutine.
 func Start(config Config, c *clock.Clock, log *logrus.Logger, onResult func(idempotency.Result)) (*Replica, error) {
 	r := &Replica{
 		config:       config,
@@ -95,7 +95,7 @@
 		clock:        c,
 		onResult:     onResult,
 		memberByAddr: map[netip.AddrPort]idempotency.MemberID{},
-		received:     make(chan datagram, receivedQueue),
+		received:     make(chan datagram, receiveQueueLength),
 		wake:         make(chan struct{}, 1),
 		stopping:     make(chan struct{}),
 		done:         make(chan struct{}),
@@ -104,15 +104,15 @@
 		return nil, err
 	}
 	r.core = idempotency.New(c.Now(), r.config.Core, r.openDisk())
-	r.loops.Go(r.readLoop)
+	r.goroutines.Go(r.readLoop)
 	if r.disk != nil {
-		r.loops.Go(r.disk.loop)
+		r.goroutines.Go(r.disk.runJobs)
 	}
 	go r.run()
 	return r, nil
 }
 
-// Stop ends the member, once all claims and settlements have ended or a time is over.
+// Stop ends the member once all claims and settlements have ended, or when the timeout expires.
 func (r *Replica) Stop(timeout time.Duration) {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(stopPollInterval) {
 		if busy, err := query(r, func() bool { return r.core.Busy() }); err != nil || !busy {
@@ -123,27 +123,27 @@
 	<-r.done
 }
 
-// Claim proposes a claim of a key. The deadline is in ms of the clock that the member was started with. See idempotency.Core.Claim.
+// Claim proposes a claim of a key. The deadline is in ms of the clock that was passed to Start. See idempotency.Core.Claim.
 func (r *Replica) Claim(number uint64, key idempotency.Key, options idempotency.ClaimOptions, deadline float64) {
 	r.enqueue(func(now float64) { r.core.Claim(now, number, key, options, deadline) })
 }
 
-// Settle proposes the outcome of a granted claim. See idempotency.Core.Settle.
+// Settle proposes the outcome of a granted claim. The deadline is in ms of the clock that was passed to Start. See idempotency.Core.Settle.
 func (r *Replica) Settle(number uint64, outcome idempotency.Outcome, receipt []byte, deadline float64) {
 	r.enqueue(func(now float64) { r.core.Settle(now, number, outcome, receipt, deadline) })
 }
 
-// Status is what a member shows to operators.
+// Status is the state of a member as shown to operators.
 type Status struct {
 	idempotency.Status
 	Group         string `json:"book"`
 	DataDir       string `json:"dir,omitempty"`
 	Syncs         int    `json:"syncs"`
-	SyncedEntries int    `json:"entries"` // that were synced
+	SyncedEntries int    `json:"entries"` // since the start
 	LargestSync   int    `json:"largest"` // most entries in one sync
 }
 
-// Status returns what the member holds and has done.
+// Status returns the member's state and counters. It fails if the member has stopped or does not answer within queryTimeout.
 func (r *Replica) Status() (Status, error) {
 	return query(r, func() Status {
 		s := Status{Status: r.core.Status(r.clock.Now()), Group: r.config.Group, DataDir: r.config.DataDir}
@@ -154,7 +154,7 @@
 	})
 }
 
-// enqueue has the member's goroutine make a call soon.
+// enqueue queues a call for the member's goroutine.
 func (r *Replica) enqueue(call func(now float64)) {
 	r.mu.Lock()
 	r.pendingCalls = append(r.pendingCalls, call)
@@ -165,7 +165,7 @@
 	}
 }
 
-// query has the member's goroutine read something.
+// query calls read on the member's goroutine and returns its result.
 func query[T any](r *Replica, read func() T) (value T, err error) {
 	answer := make(chan T, 1)
 	r.enqueue(func(float64) { answer <- read() })
@@ -179,7 +179,7 @@
 	}
 }
 
-// run is the member's goroutine.
+// run is the event loop of the member's goroutine.
 func (r *Replica) run() {
 	defer r.shutDown()
 	retryInterval := clock.Duration(r.config.Core.RetryMs)
@@ -192,10 +192,10 @@
 			return
 		case <-ticker.C:
 			r.core.Tick(r.clock.Now())
-			r.takeLaterIncarnation()
+			r.adoptLaterIncarnation()
 			r.logState()
 		case <-r.wake:
-		case result := <-r.disk.resultsOf():
+		case result := <-r.disk.resultChannel():
 			r.handleDiskResult(result)
 		case d := <-r.received:
 			r.handleDatagrams(d)
@@ -205,7 +205,7 @@
 	}
 }
 
-// finishPending gives what was requested last a chance to be sent and synced.
+// finishPending runs the remaining calls, and sends and syncs what they produce. The second round covers batches that were queued during the first sync.
 func (r *Replica) finishPending() {
 	for range 2 {
 		r.runPendingCalls()
@@ -216,13 +216,13 @@
 	}
 }
 
-// shutDown ends the other goroutines and closes data directory and socket.
+// shutDown ends the other goroutines and closes the data directory and the socket.
 func (r *Replica) shutDown() {
 	if r.disk != nil {
 		r.disk.close()
 	}
 	_ = r.conn.Close() // nothing is buffered
-	r.loops.Wait()
+	r.goroutines.Wait()
 	close(r.done)
 }
 
@@ -237,7 +237,7 @@
 	}
 }
 
-// handleDatagrams takes in a datagram and all that have arrived meanwhile, so that they share one sync.
+// handleDatagrams handles a datagram and all others that are already queued, so that their entries share one sync.
 func (r *Replica) handleDatagrams(d datagram) {
 	for {
 		r.handleDatagram(d)
@@ -249,7 +249,7 @@
 	}
 }
 
-// processReady sends and stores what the core wants, and hands on its results.
+// processReady sends the core's messages, starts disk jobs that are due, and passes the core's results to onResult.
 func (r *Replica) processReady() {
 	r.collectReady()
 	r.startSync()
@@ -260,7 +260,8 @@
 	}
 }
 
-// collectReady sends what may be sent at once, and collects what has to be synced. Messages of the member to itself may make more of either.
+// collectReady sends the messages that need no sync, and queues batches that do. It repeats this as long as messages of the member to itself may have
+// produced more of either.
 func (r *Replica) collectReady() {
 	for more := true; more; {
 		ready := r.core.Ready()
@@ -269,37 +270,38 @@
 		switch {
 		case ready.Empty():
 		case !r.stores() && !r.recovering():
-			r.core.Advance(ready) // it promises nothing
+			r.core.Advance(ready) // a member without working storage makes no promises that a sync would have to cover
 		default:
-			r.unsynced = append(r.unsynced, ready)
+			r.queuedBatches = append(r.queuedBatches, ready)
 		}
 	}
 }
 
-// retryTimer is when an attempt at the data directory is repeated. The zero value is before the first attempt, and after one that has succeeded.
+// retryTimer is the exponential backoff of an operation on the data directory. The zero value allows an attempt at once.
 type retryTimer struct {
-	delayMs float64 // of the last repetition; 0: no attempt has failed
-	dueAt   float64 // ms of the member's clock
+	delayMs float64 // the current backoff; 0: no attempt has failed
+	dueAt   float64 // when the next attempt is due, in ms of the member's clock
 }
 
-// failed notes an attempt that has failed, and reports whether it is the first one.
-func (retry *retryTimer) failed(now float64) (first bool) {
+// recordFailure schedules the next attempt after a failed one, and reports whether this was the first failure.
+func (retry *retryTimer) recordFailure(now float64) (first bool) {
 	first = retry.delayMs == 0
-	retry.delayMs = min(max(2*retry.delayMs, minRetryMs), maxRetryMs)
+	retry.delayMs = min(max(2*retry.delayMs, minDiskRetryMs), maxDiskRetryMs)
 	retry.dueAt = now + retry.delayMs
 	return first
 }
 
-// takeLaterIncarnation gives the storage a later incarnation if the clock was behind that of the storage before when it was made. The storage has
-// never served, and the member begins again with none of its records. Until an attempt succeeds it stores nothing; the first failure is logged.
-func (r *Replica) takeLaterIncarnation() {
+// adoptLaterIncarnation gives storage that has never served a later incarnation if the member's previous storage turns out to have a later one, because
+// the clock was behind when the new storage was created. The member then restarts its core without records. Until the incarnation can be stored the
+// member stores nothing, and only the first failure is logged.
+func (r *Replica) adoptLaterIncarnation() {
 	latest, neverServed := r.core.NewerStorage()
 	if latest == 0 || !neverServed || r.disk == nil || r.disk.busy || r.clock.Now() < r.incarnationRetry.dueAt {
 		return
 	}
 	later := latest.Next()
 	if err := r.disk.store.SetIncarnation(later); err != nil {
-		if r.incarnationRetry.failed(r.clock.Now()) {
+		if r.incarnationRetry.recordFailure(r.clock.Now()) {
 			r.log.WithError(err).Error("setting a later storage incarnation failed")
 		}
 		r.core.FailStorage()
@@ -307,11 +309,11 @@
 	}
 	r.incarnationRetry = retryTimer{}
 	r.log.WithField("storage_incarnation", uint64(later)).Warn("clock was behind when the data directory was created, took a later storage incarnation")
-	r.config.Core.StorageIncarnation, r.unsynced = later, nil
+	r.config.Core.StorageIncarnation, r.queuedBatches = later, nil
 	r.core = idempotency.New(r.clock.Now(), r.config.Core, idempotency.NewStoredState())
 }
 
-// logState logs the state of the member when it has changed.
+// logState logs the state of the member if it has changed.
 func (r *Replica) logState() {
 	state := r.core.State()
 	if state == r.loggedState {
@@ -325,10 +327,10 @@
 	}).Info("idempotency replica state changed")
 }
 
-// listen resolves the members' addresses and opens the socket. The error matches syscall.EADDRINUSE while another process has it.
+// listen resolves the members' addresses and opens the socket. The error matches syscall.EADDRINUSE while another process uses the address.
 func (r *Replica) listen() error {
-	for i, text := range r.config.MemberAddrs {
-		addr, err := netip.ParseAddrPort(text)
+	for i, memberAddr := range r.config.MemberAddrs {
+		addr, err := netip.ParseAddrPort(memberAddr)
 		if err != nil {
 			return fmt.Errorf("address of member %d: %w", i, err)
 		}
@@ -342,6 +344,6 @@
 	if r.conn, err = net.ListenUDP("udp", addr); err != nil {
 		return fmt.Errorf("listen for members: %w", err)
 	}
-	_ = r.conn.SetReadBuffer(readBufferBytes) // with a smaller one more datagrams are lost, and sent again
+	_ = r.conn.SetReadBuffer(readBufferBytes) // best effort: a smaller buffer only causes more retries
 	return nil
 }
--- a/internal/cluster/idempotency/replica/replica_test.go
+++ b/internal/cluster/idempotency/replica/replica_test.go
@@ -17,34 +17,34 @@
 	"mintspring/internal/testbed/logrecorder"
 )
 
-// A machine that was lost comes back under its number with a clock that is behind: its storage takes a later incarnation than the one before and catches
-// up. A process that still has the storage before, when it is seen again, stores nothing any more.
+// A member is replaced after the loss of its machine, and the clock of the new machine is behind: the new storage takes a later incarnation than the old
+// one and catches up. A process that is then started with the old storage must not store records any more.
 func TestClockBehindAtNewStorage(t *testing.T) {
 	c := newTestCluster(t)
 	c.startAll(nil)
 	if claim := c.claimAndSettle(0, "a"); claim.Decision != idempotency.DecisionGranted {
 		t.Fatal(claim)
 	}
-	c.await(2, "its copy of the record", func(s Status) bool { return s.Records == 1 }) // it has voted, so that others know its storage
+	c.await(2, "its copy of the record", func(s Status) bool { return s.Records == 1 }) // it has voted, so the others know its storage
 	c.replicas[2].Stop(time.Second)
 	old := c.dataDir(2) + "-old"
 	if err := os.Rename(c.dataDir(2), old); err != nil {
 		t.Fatal(err)
 	}
-	c.start(2, 5, nil) // long before
+	c.start(2, 5, nil) // by its clock long before the old storage was created
 	if s := c.awaitState(2, "holds"); s.StorageIncarnation <= incarnation(1002) || s.Records != 1 {
 		t.Errorf("%+v", s)
 	}
 	c.replicas[2].Stop(time.Second)
 	c.start(2, 3000, func(config *Config) { config.DataDir = old })
-	c.claimAndSettle(2, "b") // the answers of the others name the later storage
+	c.claimAndSettle(2, "b") // the replies of the others carry the later incarnation
 	c.awaitState(2, "another process has its number")
 	if claim := c.claimAndSettle(2, "a"); claim.Decision != idempotency.DecisionReplay || string(claim.Receipt) != "receipt a" {
-		t.Errorf("as a proposer it gets %v", claim)
+		t.Errorf("claim by the member that only proposes: %v", claim)
 	}
 }
 
-// A later incarnation that cannot be stored is attempted again now and then, with one line in the log, and taken once it can be.
+// Storing a later incarnation is retried until it succeeds, and only the first failure is logged.
 func TestLaterIncarnationIsRetried(t *testing.T) {
 	c := newTestCluster(t)
 	c.startAll(nil)
@@ -54,8 +54,8 @@
 	if err := os.Rename(c.dataDir(2), c.dataDir(2)+"-old"); err != nil {
 		t.Fatal(err)
 	}
-	obstacle := filepath.Join(c.dataDir(2), "member.new") // a directory that is not empty stands where the new identity has to be written
-	if err := os.MkdirAll(filepath.Join(obstacle, "x"), 0o700); err != nil {
+	blockingDir := filepath.Join(c.dataDir(2), "member.new") // a non-empty directory at the path of the new identity file
+	if err := os.MkdirAll(filepath.Join(blockingDir, "x"), 0o700); err != nil {
 		t.Fatal(err)
 	}
 	c.start(2, 5, nil)
@@ -64,9 +64,9 @@
 	c.awaitState(2, "its disk has failed: asks only")
 	time.Sleep(20 * 10 * time.Millisecond) // 80 ticks
 	if lines := strings.Count(log.String(), "setting a later storage incarnation failed"); lines > 1 {
-		t.Errorf("%d lines for one failure", lines)
+		t.Errorf("%d log lines for repeated failures, want at most 1", lines)
 	}
-	if err := os.RemoveAll(obstacle); err != nil {
+	if err := os.RemoveAll(blockingDir); err != nil {
 		t.Fatal(err)
 	}
 	if s := c.awaitState(2, "holds"); s.StorageIncarnation <= incarnation(1002) {
@@ -74,14 +74,14 @@
 	}
 }
 
-// One member's disk takes a hundred times longer than those of the others: claims wait for the two that do not. When a disk fails its member promises
-// nothing more and goes on as a proposer.
+// Claims do not wait for one slow disk among three, because the other two members are a quorum. A member whose disk fails promises nothing more and
+// goes on as a proposer.
 func TestSlowAndFailingDisks(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(0, 2000, func(config *Config) { config.SyncDelay = 300 * time.Millisecond })
 	c.start(1, 2001, nil)
 	c.start(2, 2002, nil)
-	c.claimAndSettle(0, "first") // and the ballot ceilings are synced
+	c.claimAndSettle(0, "first") // also waits until the ballot ceilings are synced
 	start := time.Now()
 	for i := range 20 {
 		if claim := c.claimAndSettle(i%testMembers, fmt.Sprint("m", i)); claim.Decision != idempotency.DecisionGranted {
@@ -89,7 +89,7 @@
 		}
 	}
 	if took := time.Since(start); took > 1500*time.Millisecond {
-		t.Errorf("20 claims took %v beside a disk of 300 ms", took)
+		t.Errorf("20 claims took %v although only one disk is slow", took)
 	}
 	c.replicas[1].Stop(time.Second)
 	c.start(1, 2003, nil)
@@ -104,16 +104,15 @@
 	c.claimAndSettle(2, "n")
 	c.awaitState(1, "its disk has failed: asks only")
 	if claim := c.claimAndSettle(1, "m3"); claim.Decision != idempotency.DecisionReplay {
-		t.Errorf("as a proposer it gets %v", claim)
+		t.Errorf("claim by the member that only proposes: %v", claim)
 	}
 	if claim := c.claimAndSettle(2, "o"); claim.Decision != idempotency.DecisionGranted {
 		t.Errorf("with two of three: %v", claim)
 	}
 }
 
-// Where the disks of two of three members fail for a moment, claims fail as long as there is no majority, and the members come back by
-// themselves, with all that they had acknowledged.
-func TestDisksThatFailForAWhile(t *testing.T) {
+// When the disks of two of three members fail temporarily, both members recover without a restart and keep all records that they had acknowledged.
+func TestTransientDiskFailures(t *testing.T) {
 	c := newTestCluster(t)
 	c.startAll(nil)
 	if claim := c.claimAndSettle(0, "before"); claim.Decision != idempotency.DecisionGranted {
@@ -123,7 +122,7 @@
 		r := c.replicas[member]
 		set := func() bool {
 			if r.disk.busy {
-				return false // the store is its goroutine's
+				return false // the disk's goroutine is using the store
 			}
 			r.disk.store.Sync = sync
 			return true
@@ -137,14 +136,14 @@
 	}
 	var failing atomic.Bool
 	failing.Store(true)
-	fail := func(f *os.File) error {
+	syncUnlessFailing := func(f *os.File) error {
 		if failing.Load() {
 			return syscall.ENOSPC
 		}
 		return f.Sync()
 	}
-	setSync(1, fail)
-	setSync(2, fail)
+	setSync(1, syncUnlessFailing)
+	setSync(2, syncUnlessFailing)
 	c.claimAndSettle(0, "meanwhile")
 	c.awaitState(1, "its disk has failed: asks only")
 	c.awaitState(2, "its disk has failed: asks only")
@@ -155,9 +154,9 @@
 		t.Errorf("after the disks work again: %v", claim)
 	}
 	if claim := c.claimAndSettle(1, "before"); claim.Decision != idempotency.DecisionReplay {
-		t.Errorf("what was settled before: %v", claim)
+		t.Errorf("a key that was settled before the failure: %v", claim)
 	}
-	// What they hold is on their disks: it is there for processes that start anew.
+	// The records are on the disks: restarted processes read them.
 	for _, member := range []int{1, 2} {
 		c.replicas[member].Stop(time.Second)
 		c.start(member, 4000+member, nil)
@@ -169,7 +168,7 @@
 	}
 }
 
-// A data directory that lost what was synced is refused: its member proposes and stores nothing, and shows it.
+// A data directory that has lost synced data is rejected: its member stores nothing, shows this in its state, and only proposes.
 func TestCorruptDataDirectory(t *testing.T) {
 	c := newTestCluster(t)
 	c.startAll(nil)
@@ -189,10 +188,10 @@
 	}
 }
 
-// A segment that becomes corrupt while its member runs is found, and all records are written again from memory: the member can be started from them.
+// A segment that becomes corrupt while its member runs is detected, and all records are rewritten from memory, so that the member can be restarted.
 func TestSegmentBecomesCorrupt(t *testing.T) {
 	c := newTestCluster(t)
-	c.startAll(func(config *Config) { config.Core.RetentionMs, config.Core.AntiEntropyMs = 1600, 200 }) // segments are closed after 400 ms, and read each 200
+	c.startAll(func(config *Config) { config.Core.RetentionMs, config.Core.AntiEntropyMs = 1600, 200 }) // segments are closed after 400 ms and verified every 200 ms
 	segment := ""
 	for i := 0; segment == ""; i++ {
 		c.claimAndSettle(0, fmt.Sprint("m", i))
@@ -201,16 +200,16 @@
 			segment = segments[0]
 		}
 		if i > 500 {
-			t.Fatal("no segment is closed")
+			t.Fatal("no segment was closed")
 		}
 	}
 	flipBit(t, segment)
-	for deadline := time.Now().Add(patience); ; time.Sleep(10 * time.Millisecond) {
+	for deadline := time.Now().Add(awaitTimeout); ; time.Sleep(10 * time.Millisecond) {
 		if _, err := os.Stat(segment); errors.Is(err, os.ErrNotExist) {
 			break
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the corrupt segment is not found")
+			t.Fatal("the corrupt segment was not replaced")
 		}
 	}
 	if claim := c.claimAndSettle(2, "last"); claim.Decision != idempotency.DecisionGranted {
@@ -236,7 +235,7 @@
 	}
 }
 
-// Claims and settlements a second through sockets and the disk of this machine, three members, so many at a time.
+// BenchmarkOperations measures claims with their settlements, with three members on sockets and the disk of this machine.
 func BenchmarkOperations(b *testing.B) {
 	for _, workers := range []int{1, 64} {
 		b.Run(fmt.Sprint(workers, " at a time"), func(b *testing.B) {
@@ -254,14 +253,14 @@
 	}
 }
 
-// runOperations claims and settles b.N keys, as many at a time as there are workers.
+// runOperations claims and settles b.N keys with a number of concurrent workers.
 func runOperations(b *testing.B, c *testCluster, workers int) {
 	b.Helper()
-	next := make(chan int)
-	var running sync.WaitGroup
+	operations := make(chan int)
+	var workersDone sync.WaitGroup
 	for range workers {
-		running.Go(func() {
-			for i := range next {
+		workersDone.Go(func() {
+			for i := range operations {
 				if claim := c.claimAndSettle(i%testMembers, fmt.Sprint(i)); claim.Decision != idempotency.DecisionGranted {
 					b.Error(claim)
 				}
@@ -269,8 +268,8 @@
 		})
 	}
 	for i := range b.N {
-		next <- i
+		operations <- i
 	}
-	close(next)
-	running.Wait()
+	close(operations)
+	workersDone.Wait()
 }
--- a/internal/cluster/idempotency/replica/snapshot.go
+++ b/internal/cluster/idempotency/replica/snapshot.go
@@ -9,11 +9,11 @@
 	"mintspring/internal/cluster/idempotency"
 )
 
-// A snapshot is what a member gives to one that starts with none, such as what it knows of servers. It is advice that nothing depends on: it is sent
-// beside the messages of the records, once, in parts that fit a datagram, and not sent again when some are lost.
+// A snapshot is application state, such as statistics of servers, that a member sends to a member that starts without any. Correctness does not depend
+// on it: its datagrams share the socket with the messages of the records, each part is sent once, and lost parts are not retransmitted.
 //
-// A datagram of a snapshot begins with two bytes of magic, its version, the CRC-32C of all behind that, and the number of the request. A part goes on
-// with its index, the count of all parts, and its bytes.
+// A snapshot datagram starts with two bytes of magic, a version byte, the CRC-32C of all bytes after the checksum, and the request ID. A part continues
+// with its index, the number of parts, and its data.
 const (
 	snapshotRequestMagic   = "mg"
 	snapshotPartMagic      = "mp"
@@ -28,13 +28,13 @@
 const (
 	maxPartBytes = 32 << 10
 	maxParts     = 32
-	// fetchPeerTimeout is for how long one member is waited for before another one is asked.
+	// fetchPeerTimeout is how long FetchSnapshot waits for one member before it asks the next.
 	fetchPeerTimeout = 200 * time.Millisecond
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// snapshotDatagram is a request for a snapshot, or a part of one.
+// snapshotDatagram is a request for a snapshot, or one part of a snapshot.
 type snapshotDatagram struct {
 	magic     string
 	requestID uint64
@@ -49,7 +49,7 @@
 	return b
 }
 
-// decodeSnapshotDatagram returns false for any other datagram.
+// decodeSnapshotDatagram returns false if b is not a valid snapshot datagram.
 func decodeSnapshotDatagram(b []byte) (snapshotDatagram, bool) {
 	if len(b) < snapshotHeaderSize || b[snapshotVersionOffset] != snapshotVersion {
 		return snapshotDatagram{}, false
@@ -64,16 +64,16 @@
 	return snapshotDatagram{magic, binary.BigEndian.Uint64(b[snapshotNumberOffset:]), b[snapshotHeaderSize:]}, true
 }
 
-// snapshotPart is one of the parts that a snapshot is sent in.
+// snapshotPart is one of the parts into which a snapshot is split.
 type snapshotPart struct {
 	index, count int
-	bytes        []byte
+	data         []byte
 }
 
 func (p snapshotPart) encode() []byte {
 	b := binary.BigEndian.AppendUint16(nil, uint16(p.index))
 	b = binary.BigEndian.AppendUint16(b, uint16(p.count))
-	return append(b, p.bytes...)
+	return append(b, p.data...)
 }
 
 func decodeSnapshotPart(b []byte) (snapshotPart, bool) {
@@ -83,28 +83,28 @@
 	p := snapshotPart{
 		index: int(binary.BigEndian.Uint16(b)),
 		count: int(binary.BigEndian.Uint16(b[2:])),
-		bytes: b[snapshotPartHeaderSize:],
+		data:  b[snapshotPartHeaderSize:],
 	}
 	return p, p.index < p.count && p.count <= maxParts
 }
 
-// snapshotFetch is a snapshot on its way to this member.
+// snapshotFetch is a request for a snapshot and the parts received so far.
 type snapshotFetch struct {
 	requestID uint64
 	parts     [][]byte
 	received  int
-	complete  chan []byte // has room for the one value
+	complete  chan []byte // receives the whole snapshot; buffered, so that the sender never blocks
 }
 
-// add takes in a part, and returns true with the last.
-func (f *snapshotFetch) add(p snapshotPart) bool {
+// addPart adds a received part and reports whether the snapshot is complete. Duplicates, and parts with a different count of parts, are ignored.
+func (f *snapshotFetch) addPart(p snapshotPart) bool {
 	if f.parts == nil {
 		f.parts = make([][]byte, p.count)
 	}
 	if p.count != len(f.parts) || f.parts[p.index] != nil {
 		return false
 	}
-	f.parts[p.index] = p.bytes
+	f.parts[p.index] = p.data
 	f.received++
 	if f.received < p.count {
 		return false
@@ -122,13 +122,13 @@
 	if f == nil || f.requestID != d.requestID {
 		return
 	}
-	if p, ok := decodeSnapshotPart(d.body); ok && f.add(p) {
+	if p, ok := decodeSnapshotPart(d.body); ok && f.addPart(p) {
 		r.snapshotFetch = nil
 	}
 }
 
-// startSendingSnapshot sends this member's snapshot to another, on a goroutine that ends once it is sent: Config.Snapshot may take a while. Requests
-// that arrive meanwhile are dropped.
+// startSendingSnapshot sends this member's snapshot to another member on a separate goroutine, as Config.Snapshot may be slow. Requests that arrive
+// while a snapshot is being sent are dropped.
 func (r *Replica) startSendingSnapshot(to idempotency.MemberID, requestID uint64) {
 	if r.config.Snapshot == nil || !r.sendingSnapshot.CompareAndSwap(false, true) {
 		return
@@ -140,26 +140,27 @@
 }
 
 func (r *Replica) sendSnapshot(to idempotency.MemberID, requestID uint64) {
-	parts := slices.Collect(slices.Chunk(r.config.Snapshot(), maxPartBytes))
-	if len(parts) > maxParts {
+	chunks := slices.Collect(slices.Chunk(r.config.Snapshot(), maxPartBytes))
+	if len(chunks) > maxParts {
 		return
 	}
-	for i, bytes := range parts {
-		part := snapshotPart{index: i, count: len(parts), bytes: bytes}
+	for i, chunk := range chunks {
+		part := snapshotPart{index: i, count: len(chunks), data: chunk}
 		r.sendDatagram(snapshotDatagram{snapshotPartMagic, requestID, part.encode()}.encode(), to)
 	}
 }
 
-// FetchSnapshot requests a snapshot of the other members, one after another, until one has sent it or a time is over. It returns false if none has.
+// FetchSnapshot requests a snapshot from the other members, one after another, until it has received one or the timeout expires. It returns false if
+// it received none.
 func (r *Replica) FetchSnapshot(timeout time.Duration) ([]byte, bool) {
 	members := len(r.memberAddrs)
 	deadline := time.Now().Add(timeout)
-	for turn := 1; time.Now().Before(deadline) && members > 1; turn++ {
-		to := (int(r.config.Core.Self) + turn) % members
+	for attempt := 1; time.Now().Before(deadline) && members > 1; attempt++ {
+		to := (int(r.config.Core.Self) + attempt) % members
 		if to == int(r.config.Core.Self) {
 			continue
 		}
-		f := &snapshotFetch{requestID: uint64(r.config.Core.Incarnation) + uint64(turn), complete: make(chan []byte, 1)}
+		f := &snapshotFetch{requestID: uint64(r.config.Core.Incarnation) + uint64(attempt), complete: make(chan []byte, 1)}
 		r.enqueue(func(float64) {
 			r.snapshotFetch = f
 			r.sendDatagram(snapshotDatagram{magic: snapshotRequestMagic, requestID: f.requestID}.encode(), idempotency.MemberID(to))
--- a/internal/cluster/idempotency/replica/transport.go
+++ b/internal/cluster/idempotency/replica/transport.go
@@ -11,13 +11,13 @@
 // readBufferBytes is the size of the socket's receive buffer.
 const readBufferBytes = 4 << 20
 
-// datagram is one that has arrived from a member.
+// datagram is a received datagram and the member that sent it.
 type datagram struct {
 	from    idempotency.MemberID
 	payload []byte
 }
 
-// readLoop reads datagrams until the socket is closed. Those of unknown addresses, and those that the member's goroutine has no room for, are dropped.
+// readLoop reads datagrams until the socket is closed. It drops datagrams from unknown addresses, and all datagrams while the receive queue is full.
 func (r *Replica) readLoop() {
 	reportError := func(err error) { r.log.WithError(err).Error("receiving idempotency datagrams fails") }
 	datagrams.Receive(r.conn, r.stopping, reportError, func(payload []byte, addr netip.AddrPort) {
@@ -33,20 +33,20 @@
 }
 
 func (r *Replica) handleDatagram(d datagram) {
-	if transfer, ok := decodeSnapshotDatagram(d.payload); ok {
-		r.handleSnapshotDatagram(d.from, transfer)
+	if snapshot, ok := decodeSnapshotDatagram(d.payload); ok {
+		r.handleSnapshotDatagram(d.from, snapshot)
 		return
 	}
 	m, err := idempotency.ParseMessage(d.payload)
 	switch {
 	case err != nil:
 		r.core.CountCorrupt()
-	case m.From == d.from: // no member sends messages of another one
+	case m.From == d.from: // members send only their own messages
 		r.core.Receive(r.clock.Now(), m)
 	}
 }
 
-// send sends messages, and hands over those of this member to itself, of which it returns whether there were any.
+// send sends messages to other members and delivers those that this member addressed to itself. It reports whether there were any of the latter.
 func (r *Replica) send(messages []*idempotency.Message) (toSelf bool) {
 	now := r.clock.Now()
 	for _, m := range messages {
@@ -63,7 +63,7 @@
 	return toSelf
 }
 
-// sendDatagram sends a datagram to a member. One that is lost is sent again by whoever needs its answer.
+// sendDatagram sends a datagram to a member. The protocol retries requests whose datagrams are lost.
 func (r *Replica) sendDatagram(b []byte, to idempotency.MemberID) {
-	_, _ = r.conn.WriteToUDPAddrPort(b, r.memberAddrs[to]) // an error is one way of being lost
+	_, _ = r.conn.WriteToUDPAddrPort(b, r.memberAddrs[to]) // a send error counts as a lost datagram
 }
--- a/internal/cluster/idempotency/storage/backup.go
+++ b/internal/cluster/idempotency/storage/backup.go
@@ -9,18 +9,18 @@
 	"mintspring/internal/state/recordlog"
 )
 
-// Summary is what a data directory holds.
+// Summary describes a data directory and its contents.
 type Summary struct {
 	Owner
 	Incarnation    idempotency.StorageIncarnation
-	Initial        bool // it was created when nothing was stored anywhere, or from a backup when all members had lost theirs
+	Initial        bool // it was complete when created: by Create, or by Restore with allLost
 	Segments       int
 	Bytes          int64
-	TruncatedBytes int64 // of a record that was being written at the end
+	TruncatedBytes int64 // the size of a partially written record at the end of the last segment
 	State          *idempotency.StoredState
 }
 
-// Inspect reads and verifies a data directory that no process uses. It changes nothing.
+// Inspect reads and verifies a data directory that no process uses. It does not modify the directory.
 func Inspect(dir string) (*Summary, error) {
 	id, err := readIdentity(dir)
 	if err != nil {
@@ -34,9 +34,9 @@
 	if err != nil {
 		return nil, err
 	}
-	for _, found := range r.segments {
+	for _, seg := range r.segments {
 		s.Segments++
-		s.Bytes += found.size
+		s.Bytes += seg.size
 	}
 	if s.Segments > 0 {
 		s.TruncatedBytes = r.segments[s.Segments-1].size - r.validSize
@@ -71,14 +71,15 @@
 	return Inspect(to)
 }
 
-// Restore makes a data directory from a backup. The backup is older than what the member may have sent since, so that the directory has another
-// incarnation and catches up like a new one. Only if all members have lost theirs there is nobody to catch up with, and the backups hold all there is.
-func Restore(from, dir string, fresh idempotency.StorageIncarnation, allLost bool) (*Summary, error) {
-	backup, err := Inspect(from)
+// Restore creates a data directory from a backup. The member may have voted after the backup was made, so the directory gets a new incarnation and the
+// member catches up like one with an empty directory. allLost says that all members have lost their data directories: no member is left to catch up
+// with, and the restored directory counts as complete.
+func Restore(backupDir, dir string, newIncarnation idempotency.StorageIncarnation, allLost bool) (*Summary, error) {
+	backup, err := Inspect(backupDir)
 	if err != nil {
 		return nil, err
 	}
-	if err := create(dir, identity{backup.Owner, fresh, allLost}); err != nil {
+	if err := create(dir, identity{backup.Owner, newIncarnation, allLost}); err != nil {
 		return nil, err
 	}
 	if err := writeRestored(dir, appendEntryRecords(nil, backup.State.Entries())); err != nil {
@@ -87,7 +88,7 @@
 	return Inspect(dir)
 }
 
-// writeRestored writes the first segment of a data directory, and the mark of it.
+// writeRestored writes the first segment of a data directory and the mark file.
 func writeRestored(dir string, contents []byte) error {
 	const number = 1
 	if err := recordlog.WriteNewFile(filepath.Join(dir, segmentName(number)), contents); err != nil {
--- a/internal/cluster/idempotency/storage/golden_test.go
+++ b/internal/cluster/idempotency/storage/golden_test.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/cluster/idempotency"
 )
 
-// Data directories do not change between versions: testdata/golden holds those that an earlier one wrote, file by file.
+// The format of data directories must not change between versions: testdata/golden has directories that an earlier version wrote.
 func TestGoldenDirectories(t *testing.T) {
 	for name, write := range map[string]func(t *testing.T, dir string){
 		"empty": func(t *testing.T, dir string) {
@@ -35,12 +35,12 @@
 			if err != nil || !reflect.DeepEqual(stored, written) {
 				t.Errorf("the stored directory is read as %+v, %v; want %+v", stored, err, written)
 			}
-			// It can be taken into use, and goes on where it stood.
-			used := testDir(t)
-			if err := os.CopyFS(used, os.DirFS(golden)); err != nil {
+			// Open accepts the stored directory and reads the same state from it.
+			copiedDir := testDir(t)
+			if err := os.CopyFS(copiedDir, os.DirFS(golden)); err != nil {
 				t.Fatal(err)
 			}
-			withStore(t, used, func(s *Store, state *idempotency.StoredState) error {
+			withStore(t, copiedDir, func(s *Store, state *idempotency.StoredState) error {
 				if s.Incarnation() != stored.Incarnation || !reflect.DeepEqual(state, stored.State) {
 					t.Errorf("in use it holds %+v, want %+v", state, stored.State)
 				}
@@ -50,7 +50,7 @@
 	}
 }
 
-// withStore opens a data directory for one function.
+// withStore opens a data directory, passes it to use and closes it.
 func withStore(t *testing.T, dir string, use func(*Store, *idempotency.StoredState) error) {
 	t.Helper()
 	s, state := openStore(t, dir)
@@ -60,7 +60,7 @@
 	}
 }
 
-// writeRotated writes an initial data directory of several segments, of which the first have expired.
+// writeRotated writes a data directory with several segments, the first of which have expired and are deleted.
 func writeRotated(t *testing.T, dir string) {
 	t.Helper()
 	if err := Create(dir, testOwner, 60); err != nil {
@@ -81,7 +81,7 @@
 	})
 }
 
-// writeRewritten writes a data directory whose segments were replaced by one.
+// writeRewritten writes a data directory whose segments Rewrite has replaced by one.
 func writeRewritten(t *testing.T, dir string) {
 	t.Helper()
 	writeRotated(t, dir)
@@ -90,7 +90,7 @@
 	})
 }
 
-// writeRenumbered writes a data directory that was given a later incarnation.
+// writeRenumbered writes a data directory that has got a later incarnation.
 func writeRenumbered(t *testing.T, dir string) {
 	t.Helper()
 	withStore(t, dir, func(s *Store, _ *idempotency.StoredState) error {
@@ -101,7 +101,7 @@
 	})
 }
 
-// writeRestoredFromBackup writes a data directory that was restored when all members had lost theirs.
+// writeRestoredFromBackup writes a data directory by Restore, with all members' directories lost.
 func writeRestoredFromBackup(t *testing.T, dir string) {
 	t.Helper()
 	from := testDir(t)
@@ -111,7 +111,7 @@
 	}
 }
 
-// directoryContents returns the contents of all files of a data directory but the empty lock file.
+// directoryContents returns the contents of all files in a data directory except the empty lock file.
 func directoryContents(t *testing.T, dir string) map[string]string {
 	t.Helper()
 	files, err := os.ReadDir(dir)
--- a/internal/cluster/idempotency/storage/read.go
+++ b/internal/cluster/idempotency/storage/read.go
@@ -17,8 +17,8 @@
 
 // Kinds of records in a segment.
 const (
-	entryRecord        = 'E' // an entry of the member
-	previousSizeRecord = 'P' // the size of the segment before, with which each begins
+	entryRecord        = 'E' // an entry of the member's state
+	previousSizeRecord = 'P' // the size of the previous segment; the first record of each segment
 )
 
 // previousSizeLength is the length of the payload of previousSizeRecord.
@@ -28,12 +28,12 @@
 type segment struct {
 	number   uint64
 	size     int64
-	closedAt time.Time // by Store.Now; of one that was there, the start of this process
+	closedAt time.Time // by Store.Now; for segments of an earlier process, when this one opened the directory
 }
 
 func segmentName(number uint64) string { return fmt.Sprintf("%016d%s", number, segmentSuffix) }
 
-// segmentNames returns the names of all segments in the order of their numbers.
+// segmentNames returns the names of all segments, ordered by number.
 func segmentNames(dir string) ([]string, error) {
 	files, err := os.ReadDir(dir)
 	if err != nil {
@@ -49,7 +49,7 @@
 	return names, nil
 }
 
-// parseSegmentName returns the number of a segment.
+// parseSegmentName returns the number of the segment with this file name.
 func parseSegmentName(name string) (uint64, error) {
 	var number uint64
 	if _, err := fmt.Sscanf(name, "%d", &number); err != nil || name != segmentName(number) {
@@ -58,17 +58,17 @@
 	return number, nil
 }
 
-// syncMark says which segments there have to be, and how far the last one was synced.
+// syncMark is the content of the mark file: the range of segments that must exist, and the synced size of the last one.
 type syncMark struct {
-	firstSegment uint64 // 0: none were written
+	firstSegment uint64 // 0: no segment was recorded
 	lastSegment  uint64
 	syncedSize   uint64
 }
 
-// syncMarkNumbers is how many numbers the mark file has.
+// syncMarkNumbers is the count of numbers in the mark file.
 const syncMarkNumbers = 3
 
-// readMark reads the mark file, which has to be there if there are segments.
+// readMark reads the mark file, which must exist if there are segments.
 func readMark(dir string, segments []string) (syncMark, error) {
 	name := filepath.Join(dir, markFileName)
 	contents, err := os.ReadFile(name)
@@ -85,13 +85,13 @@
 	return syncMark{firstSegment: numbers[0], lastSegment: numbers[1], syncedSize: numbers[2]}, nil
 }
 
-// segmentReader reads the segments of a data directory in their order.
+// segmentReader reads the segments of a data directory in order.
 type segmentReader struct {
 	dir       string
 	mark      syncMark
 	state     *idempotency.StoredState
 	segments  []segment
-	validSize int64 // of the last segment without a truncated record at its end
+	validSize int64 // the size of the last segment, without a truncated record at its end
 }
 
 // readSegments reads all segments of a data directory into state.
@@ -112,28 +112,28 @@
 			return nil, fmt.Errorf("%s: %w", dir, err)
 		}
 		if number <= previous {
-			continue // it was to be deleted when the process died
+			continue // the process died before it deleted this expired segment
 		}
-		if anyFirst := mark.firstSegment == 0 && previous == 0; !anyFirst && number != previous+1 {
-			return nil, r.missing(previous + 1)
+		if firstUnknown := mark.firstSegment == 0 && previous == 0; !firstUnknown && number != previous+1 {
+			return nil, r.missingSegmentError(previous + 1)
 		}
-		if err := r.read(number, i == len(names)-1); err != nil {
+		if err := r.readSegment(number, i == len(names)-1); err != nil {
 			return nil, err
 		}
 		previous = number
 	}
 	if previous < mark.lastSegment {
-		return nil, r.missing(mark.lastSegment)
+		return nil, r.missingSegmentError(mark.lastSegment)
 	}
 	return r, nil
 }
 
-func (r *segmentReader) missing(number uint64) error {
+func (r *segmentReader) missingSegmentError(number uint64) error {
 	return fmt.Errorf("%s: segment %d is missing: %w", r.dir, number, recordlog.ErrCorrupt)
 }
 
-// read reads one segment. One behind which another stands was synced completely; the mark says how far the last one was.
-func (r *segmentReader) read(number uint64, last bool) error {
+// readSegment reads one segment. All segments but the last are synced completely; the mark has the synced size of the last one.
+func (r *segmentReader) readSegment(number uint64, last bool) error {
 	name := filepath.Join(r.dir, segmentName(number))
 	contents, err := os.ReadFile(name)
 	if err != nil {
@@ -146,7 +146,7 @@
 			synced = int64(r.mark.syncedSize)
 		}
 	}
-	valid, err := recordlog.Replay(name, contents, synced, r.apply)
+	valid, err := recordlog.Replay(name, contents, synced, r.applyRecord)
 	if err != nil {
 		return err
 	}
@@ -155,7 +155,7 @@
 	return nil
 }
 
-func (r *segmentReader) apply(kind byte, payload []byte) error {
+func (r *segmentReader) applyRecord(kind byte, payload []byte) error {
 	switch {
 	case kind == entryRecord:
 		return r.state.Apply(payload)
@@ -163,7 +163,7 @@
 		return fmt.Errorf("record of unknown kind %q with %d bytes", kind, len(payload))
 	}
 	if size := binary.BigEndian.Uint64(payload); len(r.segments) > 0 && size != uint64(r.segments[len(r.segments)-1].size) {
-		return fmt.Errorf("the segment before had %d bytes", size)
+		return fmt.Errorf("the previous segment had %d bytes when this one was created", size)
 	}
 	return nil
 }
--- a/internal/cluster/idempotency/storage/storage.go
+++ b/internal/cluster/idempotency/storage/storage.go
@@ -1,10 +1,10 @@
-// Package storage makes durable what a member must not forget of idempotency records, in a data directory of append-only segment files. A segment is
-// closed when it is large or some time old, and deleted when all that it holds has expired: nothing is compacted, and an operation costs its own bytes
-// and no more.
+// Package storage persists the idempotency records and promises of a member in a data directory of append-only segment files. A segment is closed when
+// it reaches a maximum size or age, and deleted when all its records have expired. There is no compaction: except by Rewrite and Recover, each entry is
+// written only once.
 //
-// A data directory belongs to one member and has an incarnation, which is drawn when it is created: a member that lost its disk comes back with another
-// one, by which the others know that it has forgotten. A directory whose synced bytes do not read is refused. What is not detected is a directory that
-// was put back as it stood earlier; Restore gives a backup another incarnation for that reason.
+// A data directory belongs to one member and has an incarnation, which is chosen when the directory is created. A member that lost its disk returns with
+// a different incarnation, from which the other members learn that its earlier state is lost. A directory whose synced data is missing or corrupt is
+// rejected. A directory that was replaced by an older copy of itself is not detected, which is why Restore gives a restored directory a new incarnation.
 package storage
 
 import (
@@ -21,7 +21,7 @@
 	"mintspring/internal/state/recordlog"
 )
 
-// Files of a data directory.
+// Names of the files in a data directory.
 const (
 	identityFileName    = "member"
 	newIdentityFileName = "member.new"
@@ -36,7 +36,7 @@
 	filePermissions = 0o600
 )
 
-// Errors of data directories that cannot be used, besides recordlog.ErrCorrupt.
+// Errors of data directories that cannot be used. recordlog.ErrCorrupt is another one.
 var (
 	ErrWrongOwner = errors.New("data directory belongs to another member")
 	ErrInUse      = errors.New("data directory is in use by another process")
@@ -45,28 +45,28 @@
 
 // Owner is the member that a data directory belongs to.
 type Owner struct {
-	Group  string               `json:"book"` // the name of the fleet's records
+	Group  string               `json:"book"` // the name of the group of members that share the records
 	Member idempotency.MemberID `json:"member"`
 }
 
-// identity is the contents of the identity file.
+// identity is the content of the identity file.
 type identity struct {
 	Owner
 	Incarnation idempotency.StorageIncarnation `json:"folder"`
-	Initial     bool                           `json:"founded,omitempty"` // it was created when nothing was stored anywhere
+	Initial     bool                           `json:"founded,omitempty"` // it was complete when created: by Create, or by Restore with allLost
 }
 
-// Limits bound the segments.
+// Limits bound the age and the total size of the segments.
 type Limits struct {
-	Retention time.Duration // after which records have expired
-	MaxBytes  int64         // of all segments together; 0: any number
+	Retention time.Duration // records expire this long after they were written
+	MaxBytes  int64         // limit for the total size of all segments; 0: no limit
 }
 
-// Store is a data directory that this process uses. It is not safe for concurrent use.
+// Store is an open data directory, locked by this process. It is not safe for concurrent use.
 type Store struct {
-	// Sync syncs a file. Tests replace it by disks that are slow, fail or lie.
+	// Sync syncs a file. Tests replace it to simulate disks that are slow, fail or drop syncs.
 	Sync func(f *os.File) error
-	// Now is the clock by which segments are closed and deleted.
+	// Now returns the current time, which decides when segments are closed and deleted.
 	Now func() time.Time
 
 	dir      string
@@ -80,11 +80,11 @@
 	segmentNumber    uint64
 	segmentSize      int64
 	segmentStartedAt time.Time
-	failure          error // of the first write that failed
+	failure          error // the error of the first failed write; reset by Recover
 }
 
-// Create makes an initial data directory, once for each member, when nothing was stored before: it counts as one that has all records it has to store.
-// A member that has lost its data directory must not get another one by Create. It starts without one, and catches up.
+// Create creates the initial data directory of a member of a new group. The directory counts as complete, because the group has no records yet. Create
+// must not be used for a member that has lost its data directory: that member starts without one, gets an empty one from Open, and catches up.
 func Create(dir string, owner Owner, incarnation idempotency.StorageIncarnation) error {
 	return create(dir, identity{owner, incarnation, true})
 }
@@ -104,7 +104,7 @@
 	return recordlog.CreateDir(dir, identityFileName, contents)
 }
 
-// readIdentity reads the identity file. The error matches fs.ErrNotExist if there is none.
+// readIdentity reads the identity file. The error matches fs.ErrNotExist if the file does not exist.
 func readIdentity(dir string) (id identity, err error) {
 	name := filepath.Join(dir, identityFileName)
 	contents, err := os.ReadFile(name)
@@ -120,9 +120,9 @@
 	return id, nil
 }
 
-// Open opens and locks a member's data directory, and reads it into state. If there is none it creates one with the given incarnation, which has to
-// catch up. Errors match ErrInUse, ErrWrongOwner or recordlog.ErrCorrupt where these apply.
-func Open(dir string, owner Owner, fresh idempotency.StorageIncarnation, limits Limits, state *idempotency.StoredState) (*Store, error) {
+// Open opens and locks a member's data directory, and reads it into state. If the directory does not exist, Open creates one with newIncarnation, and the
+// member has to catch up. The error matches ErrInUse, ErrWrongOwner or recordlog.ErrCorrupt if one of them is the cause.
+func Open(dir string, owner Owner, newIncarnation idempotency.StorageIncarnation, limits Limits, state *idempotency.StoredState) (*Store, error) {
 	if err := os.MkdirAll(dir, dirPermissions); err != nil {
 		return nil, fmt.Errorf("create data directory: %w", err)
 	}
@@ -134,23 +134,23 @@
 		return nil, fmt.Errorf("lock data directory: %w", err)
 	}
 	s := &Store{dir: dir, limits: limits, lockFile: lockFile, Sync: (*os.File).Sync, Now: time.Now}
-	if err := s.open(owner, fresh, state); err != nil {
+	if err := s.open(owner, newIncarnation, state); err != nil {
 		s.Close()
 		return nil, err
 	}
 	return s, nil
 }
 
-func (s *Store) open(owner Owner, fresh idempotency.StorageIncarnation, state *idempotency.StoredState) error {
+func (s *Store) open(owner Owner, newIncarnation idempotency.StorageIncarnation, state *idempotency.StoredState) error {
 	id, err := readIdentity(s.dir)
 	if errors.Is(err, fs.ErrNotExist) {
-		id, err = identity{owner, fresh, false}, s.createEmpty(owner, fresh)
+		id, err = identity{owner, newIncarnation, false}, s.createEmpty(owner, newIncarnation)
 	}
 	if err != nil {
 		return err
 	}
 	if id.Owner != owner {
-		return fmt.Errorf("%s is of member %d of %s: %w", s.dir, id.Member, id.Group, ErrWrongOwner)
+		return fmt.Errorf("%s belongs to member %d of %s: %w", s.dir, id.Member, id.Group, ErrWrongOwner)
 	}
 	s.identity = id
 	if id.Initial {
@@ -159,8 +159,9 @@
 	return s.load(state)
 }
 
-// createEmpty creates a data directory that has to catch up. Segments without an identity file are the rest of a directory that was lost.
-func (s *Store) createEmpty(owner Owner, fresh idempotency.StorageIncarnation) error {
+// createEmpty creates the data directory of a member that has to catch up. It fails if there are segments without an identity file, because they are
+// the remains of a damaged data directory.
+func (s *Store) createEmpty(owner Owner, newIncarnation idempotency.StorageIncarnation) error {
 	names, err := segmentNames(s.dir)
 	if err != nil {
 		return err
@@ -168,14 +169,14 @@
 	if len(names) > 0 {
 		return fmt.Errorf("%s has %s and no %s: %w", s.dir, names[0], identityFileName, recordlog.ErrCorrupt)
 	}
-	return create(s.dir, identity{owner, fresh, false})
+	return create(s.dir, identity{owner, newIncarnation, false})
 }
 
 // Incarnation returns the incarnation of the data directory.
 func (s *Store) Incarnation() idempotency.StorageIncarnation { return s.identity.Incarnation }
 
-// SetIncarnation gives a later incarnation to a data directory that has never served: the clock that its incarnation was drawn by was behind that of the
-// directory before it.
+// SetIncarnation gives a later incarnation to a data directory that has never served. It is needed if the clock was behind when the directory was created,
+// so that its incarnation is earlier than that of the member's previous directory.
 func (s *Store) SetIncarnation(incarnation idempotency.StorageIncarnation) error {
 	id := identity{s.identity.Owner, incarnation, false}
 	if err := s.replaceIdentityFile(id); err != nil {
@@ -191,7 +192,7 @@
 		return err
 	}
 	name := filepath.Join(s.dir, newIdentityFileName)
-	if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) { // left by a process that died
+	if err := os.Remove(name); err != nil && !errors.Is(err, fs.ErrNotExist) { // a crashed process may have left one
 		return err
 	}
 	if err := recordlog.WriteNewFile(name, contents); err != nil {
@@ -207,7 +208,7 @@
 func (s *Store) Close() {
 	for _, f := range []*os.File{s.segmentFile, s.markFile, s.lockFile} {
 		if f != nil {
-			_ = f.Close() // whatever matters was synced by Append
+			_ = f.Close() // Append has synced all acknowledged entries
 		}
 	}
 }
--- a/internal/cluster/idempotency/storage/storage_test.go
+++ b/internal/cluster/idempotency/storage/storage_test.go
@@ -18,10 +18,10 @@
 
 var testLimits = Limits{Retention: time.Minute}
 
-// testIncarnation is that of data directories which Open creates.
+// testIncarnation is the incarnation of data directories that Open creates.
 const testIncarnation = 55
 
-// testEntries returns what a member stores of so many completed operations.
+// testEntries returns the entries that a member stores for a number of completed operations.
 func testEntries(operations int) [][]byte {
 	state := idempotency.NewStoredState()
 	for i := range operations {
@@ -47,8 +47,8 @@
 	return s, state
 }
 
-// A data directory gives back what was appended, to its owner alone and to one process at a time.
-func TestOpenAgain(t *testing.T) {
+// A reopened data directory has everything that was appended. Another member, and a second process, cannot open it.
+func TestReopen(t *testing.T) {
 	dir := testDir(t)
 	s, state := openStore(t, dir)
 	if state.CaughtUpStorage != 0 || s.Incarnation() != testIncarnation {
@@ -67,21 +67,21 @@
 	if _, err := Open(dir, Owner{"sales", 3}, 57, testLimits, idempotency.NewStoredState()); !errors.Is(err, ErrWrongOwner) {
 		t.Errorf("another member: %v", err)
 	}
-	again, state := openStore(t, dir)
-	defer again.Close()
-	if len(state.Records) != 50 || state.BallotCeiling != 1024 || state.KnownStorage[0] != 9 || again.Incarnation() != testIncarnation {
-		t.Errorf("%d records, ceiling %d, known %v, incarnation %d", len(state.Records), state.BallotCeiling, state.KnownStorage, again.Incarnation())
+	reopened, state := openStore(t, dir)
+	defer reopened.Close()
+	if len(state.Records) != 50 || state.BallotCeiling != 1024 || state.KnownStorage[0] != 9 || reopened.Incarnation() != testIncarnation {
+		t.Errorf("%d records, ceiling %d, known %v, incarnation %d", len(state.Records), state.BallotCeiling, state.KnownStorage, reopened.Incarnation())
 	}
 }
 
-// An initial data directory is created once, and has nothing to catch up with.
+// An initial data directory can be created only once, and counts as caught up.
 func TestCreate(t *testing.T) {
 	dir := testDir(t)
 	if err := Create(dir, testOwner, 60); err != nil {
 		t.Fatal(err)
 	}
 	if err := Create(dir, testOwner, 61); err == nil {
-		t.Error("it is created twice")
+		t.Error("a second Create succeeded")
 	}
 	s, state := openStore(t, dir)
 	s.Close()
@@ -90,7 +90,7 @@
 	}
 }
 
-// Segments are closed by their age, begin with the header, and are deleted when all in them has expired.
+// Segments are closed at their maximum age, start with the header, and are deleted when all their records have expired.
 func TestSegmentsExpire(t *testing.T) {
 	dir := testDir(t)
 	s, _ := openStore(t, dir)
@@ -105,17 +105,17 @@
 		}
 	}
 	s.Close()
-	found, err := Inspect(dir)
+	summary, err := Inspect(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	records := len(found.State.Records)
-	if found.Segments < 4 || found.Segments > 10 || found.State.BallotCeiling != 4096 || records > 15 || records < 6 {
-		t.Errorf("%d segments, ceiling %d, %d records", found.Segments, found.State.BallotCeiling, records)
+	records := len(summary.State.Records)
+	if summary.Segments < 4 || summary.Segments > 10 || summary.State.BallotCeiling != 4096 || records > 15 || records < 6 {
+		t.Errorf("%d segments, ceiling %d, %d records", summary.Segments, summary.State.BallotCeiling, records)
 	}
 }
 
-// A disk that has failed once takes nothing more: what it holds is not known.
+// After a failed write all later appends fail, because the content of the disk is unknown.
 func TestAppendAfterFailure(t *testing.T) {
 	s, _ := openStore(t, testDir(t))
 	defer s.Close()
@@ -130,47 +130,47 @@
 	}
 }
 
-// After a failure a store takes entries again once all that is to be there has been written anew and synced: a sync that succeeds after
-// one that failed says nothing of what that one had covered. Whatever the process dies in, the data directory can be opened.
+// After a failed write a store accepts entries again only once Recover has written and synced all entries, because a successful sync after a failed one
+// does not cover the data of the failed one. The data directory can be opened after any number of failures.
 func TestRecoverAfterFailure(t *testing.T) {
 	errDisk := errors.New("no space left on device")
-	const good = 4 // operations that were acknowledged before the failure
+	const acknowledged = 4 // operations that were acknowledged before the failure
 	for failures := range 6 {
 		dir := testDir(t)
 		s, _ := openStore(t, dir)
-		if err := s.Append(testEntries(good), nil); err != nil {
+		if err := s.Append(testEntries(acknowledged), nil); err != nil {
 			t.Fatal(err)
 		}
-		left := failures
+		failuresLeft := failures
 		s.Sync = func(f *os.File) error {
-			if left > 0 {
-				left--
+			if failuresLeft > 0 {
+				failuresLeft--
 				return errDisk
 			}
 			return f.Sync()
 		}
-		err := s.Append(testEntries(good+1), nil)
+		err := s.Append(testEntries(acknowledged+1), nil)
 		if (err != nil) != (failures > 0) {
 			t.Fatalf("%d failures: %v", failures, err)
 		}
 		for err != nil {
-			if err = s.Recover(testEntries(good+2), nil); err != nil && !errors.Is(err, errDisk) {
+			if err = s.Recover(testEntries(acknowledged+2), nil); err != nil && !errors.Is(err, errDisk) {
 				t.Fatalf("%d failures: %v", failures, err)
 			}
 		}
-		if err := s.Append(testEntries(good+3), nil); err != nil {
+		if err := s.Append(testEntries(acknowledged+3), nil); err != nil {
 			t.Errorf("%d failures: after the recovery: %v", failures, err)
 		}
 		s.Close()
 		s, state := openStore(t, dir)
-		if len(state.Records) != good+3 {
-			t.Errorf("%d failures: %d records, want %d", failures, len(state.Records), good+3)
+		if len(state.Records) != acknowledged+3 {
+			t.Errorf("%d failures: %d records, want %d", failures, len(state.Records), acknowledged+3)
 		}
 		s.Close()
 	}
 }
 
-// A process that dies between a failure and the recovery from it leaves what was acknowledged.
+// If the process dies between a failed write and the recovery, no acknowledged entry is lost.
 func TestOpenAfterFailedRecovery(t *testing.T) {
 	errDisk := errors.New("input/output error")
 	dir := testDir(t)
@@ -193,7 +193,7 @@
 	}
 }
 
-// A data directory never becomes larger than its limit.
+// Append fails with ErrFull instead of making a data directory larger than its limit.
 func TestAppendBeyondTheLimit(t *testing.T) {
 	limits := Limits{Retention: time.Minute, MaxBytes: 2000}
 	s, err := Open(testDir(t), testOwner, 5, limits, idempotency.NewStoredState())
@@ -209,8 +209,7 @@
 	}
 }
 
-// Of a data directory damaged in a thousand random ways each reads as it was, without a record that was being written at its end, or is refused: never a
-// record that was not written, and never without one that was synced.
+// A randomly damaged data directory is either rejected or read with exactly its synced records. A partially written record at the end is ignored.
 func TestDamagedDirectories(t *testing.T) {
 	dir := testDir(t)
 	s, _ := openStore(t, dir)
@@ -226,7 +225,7 @@
 		}
 	}
 	s.Close()
-	complete, err := Inspect(dir)
+	undamaged, err := Inspect(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -235,36 +234,36 @@
 		t.Fatalf("%v, %v", segments, err)
 	}
 	rng := rand.New(rand.NewPCG(3, 5))
-	refused, truncated, unchanged := 0, 0, 0
+	rejected, truncated, unchanged := 0, 0, 0
 	for range 1000 {
 		damaged := t.TempDir()
 		if err := os.CopyFS(damaged, os.DirFS(dir)); err != nil {
 			t.Fatal(err)
 		}
 		name, atEnd := damage(t, damaged, segments, rng, entries[0])
-		found, err := Inspect(damaged)
+		summary, err := Inspect(damaged)
 		switch {
 		case err != nil && atEnd:
 			t.Fatalf("a truncated record at the end: %v", err)
 		case err != nil:
-			refused++
+			rejected++
 			continue
-		case found.TruncatedBytes > 0:
+		case summary.TruncatedBytes > 0:
 			truncated++
 		default:
 			unchanged++
 		}
-		if !reflect.DeepEqual(found.State.Records, complete.State.Records) {
-			t.Fatalf("%s: %d records of %d", name, len(found.State.Records), len(complete.State.Records))
+		if !reflect.DeepEqual(summary.State.Records, undamaged.State.Records) {
+			t.Fatalf("%s: %d records of %d", name, len(summary.State.Records), len(undamaged.State.Records))
 		}
 	}
-	t.Logf("%d refused, %d without a truncated record, %d as they were", refused, truncated, unchanged)
-	if refused < 500 || truncated < 100 {
-		t.Error("too few were damaged")
+	t.Logf("%d rejected, %d read without a truncated record, %d read unchanged", rejected, truncated, unchanged)
+	if rejected < 500 || truncated < 100 {
+		t.Error("too few directories were rejected or truncated")
 	}
 }
 
-// damage changes one file of a data directory, or appends a part of a record to its last segment.
+// damage changes or removes one file of a data directory, or appends a partial record to its last segment. atEnd reports the latter.
 func damage(t *testing.T, dir string, segments []string, rng *rand.Rand, entry []byte) (name string, atEnd bool) {
 	t.Helper()
 	name = append([]string{markFileName}, segments...)[rng.IntN(1+len(segments))]
@@ -302,7 +301,7 @@
 	return contents
 }
 
-// A backup reads like the data directory. What is restored from it has another incarnation and catches up, unless all members have lost theirs.
+// A backup has the records of the data directory. A restored directory has a new incarnation and must catch up, unless all members have lost theirs.
 func TestBackupAndRestore(t *testing.T) {
 	tmp := t.TempDir()
 	dir, backup := filepath.Join(tmp, "idempotency"), filepath.Join(tmp, "backup")
@@ -311,13 +310,13 @@
 		t.Fatal(err)
 	}
 	s.Close()
-	if found, err := Backup(dir, backup); err != nil || len(found.State.Records) != 10 {
-		t.Fatalf("%+v, %v", found, err)
+	if summary, err := Backup(dir, backup); err != nil || len(summary.State.Records) != 10 {
+		t.Fatalf("%+v, %v", summary, err)
 	}
 	for i, allLost := range []bool{false, true} {
-		found, err := Restore(backup, filepath.Join(tmp, fmt.Sprint("restored", i)), 70, allLost)
-		if err != nil || len(found.State.Records) != 10 || found.Incarnation != 70 || (found.State.CaughtUpStorage == 70) != allLost {
-			t.Errorf("%+v, %v", found, err)
+		summary, err := Restore(backup, filepath.Join(tmp, fmt.Sprint("restored", i)), 70, allLost)
+		if err != nil || len(summary.State.Records) != 10 || summary.Incarnation != 70 || (summary.State.CaughtUpStorage == 70) != allLost {
+			t.Errorf("%+v, %v", summary, err)
 		}
 	}
 }
--- a/internal/cluster/idempotency/storage/write.go
+++ b/internal/cluster/idempotency/storage/write.go
@@ -16,15 +16,15 @@
 )
 
 const (
-	// maxSegmentBytes is when a segment is closed.
+	// maxSegmentBytes is the size at which a segment is closed.
 	maxSegmentBytes = 32 << 20
-	// segmentsPerRetention is how many segments are written, at least, while a record is retained.
+	// segmentsPerRetention is the minimum number of segments written within the retention of a record.
 	segmentsPerRetention = 4
-	// deletionDelay is for how long segments are kept beyond the retention of their records, as the clock may be set.
+	// deletionDelay is how long segments are kept after all their records have expired, as the clock may be adjusted.
 	deletionDelay = time.Minute
 )
 
-// load reads the data directory into state, and goes on behind its last valid record.
+// load reads the data directory into state, and positions the last segment for appending after its last valid record.
 func (s *Store) load(state *idempotency.StoredState) error {
 	r, err := readSegments(s.dir, state)
 	if err != nil {
@@ -47,7 +47,7 @@
 	}
 	if r.validSize < last.size {
 		if err := s.segmentFile.Truncate(r.validSize); err != nil {
-			return fmt.Errorf("cut off a truncated record: %w", err)
+			return fmt.Errorf("remove a truncated record: %w", err)
 		}
 	}
 	if err := s.syncTail(r); err != nil {
@@ -57,8 +57,8 @@
 	return err
 }
 
-// syncTail writes again what was read behind the last synced record, and syncs it: a sync of the process before may have failed, after
-// which the system may drop what it did not write, and another sync without another write succeeds.
+// syncTail rewrites and syncs the records that were read after the last synced one. If a sync of the previous process has failed, the operating system
+// may discard the pages that it could not write, and a second sync without a new write succeeds although the data is lost.
 func (s *Store) syncTail(r *segmentReader) error {
 	synced := int64(0)
 	if r.mark.lastSegment == s.segmentNumber {
@@ -79,7 +79,7 @@
 
 func (s *Store) segmentPath(number uint64) string { return filepath.Join(s.dir, segmentName(number)) }
 
-// Size returns how many bytes all segments have.
+// Size returns the total size of all segments in bytes.
 func (s *Store) Size() int64 {
 	size := s.segmentSize
 	for _, closed := range s.closedSegments {
@@ -88,19 +88,20 @@
 	return size
 }
 
-// Append writes entries and syncs them, once for all. Messages that depend on them may be sent only after it has returned nil. After an error the contents
-// of the disk are unknown, and each later call returns the same error. The header is what another segment begins with, as it stands with these entries.
+// Append writes entries and syncs them with one sync. Messages that depend on them may be sent only after Append has returned nil. After an error the
+// content of the disk is unknown, and each later call returns the same error until Recover succeeds. header has the entries with which the next segment
+// starts if Append starts one; it must reflect the state after these entries.
 func (s *Store) Append(entries, header [][]byte) error {
-	return s.guard(func() error { return s.appendEntries(entries, header) })
+	return s.writeUnlessFailed(func() error { return s.appendEntries(entries, header) })
 }
 
-// Rewrite writes all entries into another segment, and deletes those before it: what is corrupt there is in memory still.
+// Rewrite writes all entries into a new segment and deletes the earlier segments. It replaces corrupt segments by the state in memory.
 func (s *Store) Rewrite(entries, header [][]byte) error {
-	return s.guard(func() error { return s.rewrite(entries, header) })
+	return s.writeUnlessFailed(func() error { return s.rewrite(entries, header) })
 }
 
-// Recover takes writes again after one that has failed, once all entries are in another segment that is synced: nothing that a failed sync
-// had covered counts as stored, whatever a later sync of the same file returns. After an error it may be called again.
+// Recover makes the store writable again after a failed write, by writing and syncing all entries into a new segment. Data that a failed sync covered
+// never counts as stored, even if a later sync of the same file succeeds. After an error Recover may be called again.
 func (s *Store) Recover(entries, header [][]byte) error {
 	if err := s.recover(entries, header); err != nil {
 		return fmt.Errorf("recover %s: %w", s.dir, err)
@@ -117,22 +118,22 @@
 	if s.limits.MaxBytes > 0 && int64(size) > s.limits.MaxBytes {
 		return ErrFull
 	}
-	// What stands behind the last synced record may be half of one.
+	// The bytes after the last synced record may be a truncated record.
 	if err := s.segmentFile.Truncate(s.segmentSize); err != nil {
 		return err
 	}
 	if _, err := s.segmentFile.Seek(s.segmentSize, io.SeekStart); err != nil {
 		return err
 	}
-	// A segment that was begun when the write failed is not listed in the mark.
+	// The failed write may have created the next segment without recording it in the mark.
 	if err := os.Remove(s.segmentPath(s.segmentNumber + 1)); err != nil && !errors.Is(err, fs.ErrNotExist) {
 		return err
 	}
 	return s.rewrite(entries, header)
 }
 
-// guard calls write unless an earlier write has failed.
-func (s *Store) guard(write func() error) error {
+// writeUnlessFailed calls write unless an earlier write has failed, and records its error.
+func (s *Store) writeUnlessFailed(write func() error) error {
 	if s.failure == nil {
 		s.failure = write()
 	}
@@ -173,7 +174,7 @@
 	return b
 }
 
-// startSegment closes the open segment and opens another one, whose header is synced before it counts.
+// startSegment closes the open segment and creates the next one. The header is synced before the mark includes the new segment.
 func (s *Store) startSegment(number uint64, header [][]byte) error {
 	f, err := os.OpenFile(s.segmentPath(number), os.O_CREATE|os.O_EXCL|os.O_RDWR, filePermissions)
 	if err != nil {
@@ -181,19 +182,19 @@
 	}
 	b := recordlog.Append(nil, previousSizeRecord, binary.BigEndian.AppendUint64(nil, uint64(s.segmentSize)))
 	b = appendEntryRecords(b, header)
-	if err := s.writeHeader(f, b); err != nil {
+	if err := s.writeSegmentHeader(f, b); err != nil {
 		_ = f.Close() // the error of the write matters more
 		return err
 	}
 	if s.segmentFile != nil {
 		s.closedSegments = append(s.closedSegments, segment{s.segmentNumber, s.segmentSize, s.Now()})
-		_ = s.segmentFile.Close() // it is synced
+		_ = s.segmentFile.Close() // already synced
 	}
 	s.segmentFile, s.segmentNumber, s.segmentSize, s.segmentStartedAt = f, number, int64(len(b)), s.Now()
 	return s.writeMark()
 }
 
-func (s *Store) writeHeader(f *os.File, b []byte) error {
+func (s *Store) writeSegmentHeader(f *os.File, b []byte) error {
 	if _, err := f.Write(b); err != nil {
 		return err
 	}
@@ -203,7 +204,7 @@
 	return recordlog.SyncDir(s.dir)
 }
 
-// writeMark notes which segments there are and how far the last one is synced.
+// writeMark records the range of segments and the synced size of the last one.
 func (s *Store) writeMark() error {
 	first := s.segmentNumber
 	if len(s.closedSegments) > 0 {
@@ -220,27 +221,27 @@
 	if err := s.startSegment(s.segmentNumber+1, slices.Concat(header, entries)); err != nil {
 		return err
 	}
-	old := s.closedSegments
+	replaced := s.closedSegments
 	s.closedSegments = nil
-	return s.remove(old)
+	return s.removeSegments(replaced)
 }
 
-// removeExpired deletes segments all of whose records have expired.
+// removeExpired deletes the segments whose records have all expired.
 func (s *Store) removeExpired(now time.Time) error {
 	lifetime := s.limits.Retention + s.limits.Retention/segmentsPerRetention + deletionDelay
 	expired := 0
 	for expired < len(s.closedSegments) && now.Sub(s.closedSegments[expired].closedAt) > lifetime {
 		expired++
 	}
-	old := s.closedSegments[:expired]
+	removed := s.closedSegments[:expired]
 	s.closedSegments = s.closedSegments[expired:]
-	return s.remove(old)
+	return s.removeSegments(removed)
 }
 
-// remove deletes segments that are no longer among the closed ones. The mark without them is synced first: a segment that is missing but for that is one
-// that the disk has lost.
-func (s *Store) remove(old []segment) error {
-	if len(old) == 0 {
+// removeSegments deletes segments that were already removed from closedSegments. It syncs the mark without them first, as a segment that is listed in the
+// mark but missing counts as lost by the disk.
+func (s *Store) removeSegments(segments []segment) error {
+	if len(segments) == 0 {
 		return nil
 	}
 	if err := s.writeMark(); err != nil {
@@ -249,15 +250,15 @@
 	if err := s.Sync(s.markFile); err != nil {
 		return err
 	}
-	for _, o := range old {
-		if err := os.Remove(s.segmentPath(o.number)); err != nil {
+	for _, seg := range segments {
+		if err := os.Remove(s.segmentPath(seg.number)); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// CorruptSegment reads the closed segments again, and returns the path of the first that does not hold what was written, "" if there is none.
+// CorruptSegment verifies the closed segments, and returns the path of the first corrupt one, "" if there is none.
 func (s *Store) CorruptSegment() string {
 	for _, closed := range s.closedSegments {
 		if name := s.segmentPath(closed.number); verifySegment(name, closed.size) != nil {
