--- a/internal/cluster/idempotency/simcluster/cluster.go
+++ b/internal/cluster/idempotency/simcluster/cluster.go
@@ -1,5 +1,5 @@
-// Package simcluster simulates members with idempotency records on a simulated clock, with their disks and the links between them, and checks them by
-// an oracle: it executes the operations whose claims are granted, and knows of each which answers are allowed. The members run the code of the program.
+// Package simcluster simulates a group of members that replicate idempotency records, with their disks and links, on a simulated clock. The members run
+// the production code of package idempotency. An oracle simulates the execution of granted claims, and checks that each claim gets an allowed decision.
 package simcluster
 
 import (
@@ -12,68 +12,68 @@
 )
 
 const (
-	// startMs is the simulated time of a cluster's start.
+	// startMs is the simulated time at which a cluster starts.
 	startMs = 1e6
-	// retentionMs is for how long records are kept, if a test says nothing else.
-	retentionMs = 60e3
-	// usualSyncMs is the time of a sync.
-	usualSyncMs = 2
-	// localLatencyMs is the time of a message from a member to itself, and the least of any other.
+	// defaultRetentionMs is the retention of records unless a test changes it.
+	defaultRetentionMs = 60e3
+	// defaultSyncMs is the duration of a sync unless a test changes it.
+	defaultSyncMs = 2
+	// localLatencyMs is the latency of messages from a member to itself, and the minimum latency of all other messages.
 	localLatencyMs = 1
-	// clockOffsetMs sets clocks apart that run at different rates.
+	// clockOffsetMs is added to the simulated time before it is scaled by a node's clock rate.
 	clockOffsetMs = 1e5
-	// randomStream is the stream of the cluster's random numbers by its seed.
+	// randomStream separates the cluster's random numbers from other generators with the same seed.
 	randomStream = 3
 )
 
-// node is a member with its disk.
+// node is a simulated member with its disk.
 type node struct {
-	core        *idempotency.Core
-	storage     idempotency.StorageIncarnation
-	incarnation pkgcluster.Incarnation
-	down        bool
-	pausedUntil float64
-	clockRate   float64 // simulated ms that its clock counts in one
-	waitedOn    []int   // operations that it was answered to wait for, or that nothing is known of
+	core                 *idempotency.Core
+	storage              idempotency.StorageIncarnation
+	incarnation          pkgcluster.Incarnation
+	down                 bool
+	pausedUntil          float64
+	clockRate            float64 // ms by which the node's clock advances in one simulated ms
+	unresolvedOperations []int   // operations for which it got DecisionWait or DecisionUnknown
 
-	syncedEntries [][]byte
-	pending       []idempotency.Ready // that the disk is syncing
-	syncDoneAt    float64
-	syncMs        float64 // that a sync takes
-	dropsSyncs    bool    // its disk reports syncs that it has not done
+	syncedEntries  [][]byte
+	pendingBatches []idempotency.Ready // batches that the disk is syncing
+	syncDoneAt     float64
+	syncDurationMs float64 // duration of a sync
+	dropsSyncs     bool    // its disk reports success without syncing
 }
 
-// datagram is one on its way.
+// datagram is a datagram in flight.
 type datagram struct {
 	deliverAt float64
 	from, to  int
 	payload   []byte
 }
 
-// cluster is several members on one simulated clock, which all times are of but where it is said.
+// cluster is a group of simulated members. All times are simulated time unless a comment says otherwise.
 type cluster struct {
 	rng             *rand.Rand
 	now             float64
-	config          idempotency.Config // of all members, but for their numbers and incarnations
+	config          idempotency.Config // shared by all members, which differ in number and incarnations
 	nodes           []*node
 	links           *faultrelay.Links
 	inFlight        []datagram
 	lastIncarnation uint64
 
-	operations []operation
-	claims     map[claimID]*pendingClaim
-	lastNumber uint64
-	violations []string
+	operations      []operation
+	claims          map[claimID]*pendingClaim
+	lastClaimNumber uint64
+	violations      []string
 
-	decisions        map[idempotency.Decision]int // on claims
-	replays          int                          // receipts that were found again
+	decisions        map[idempotency.Decision]int // number of claims by decision
+	replays          int                          // number of replayed receipts
 	grantLatenciesMs []float64
 	sentDatagrams    int
 	sentBytes        int
 }
 
-// newCluster returns a cluster whose members all have initial storage. change may change their configuration.
-func newCluster(members int, seed uint64, change func(*idempotency.Config)) *cluster {
+// newCluster returns a cluster whose members all have initial storage. configure, which may be nil, modifies their configuration.
+func newCluster(members int, seed uint64, configure func(*idempotency.Config)) *cluster {
 	c := &cluster{
 		rng:       rand.New(rand.NewPCG(seed, randomStream)),
 		now:       startMs,
@@ -86,14 +86,14 @@
 		set.Members = append(set.Members, idempotency.MemberID(i))
 	}
 	c.config = idempotency.Config{
-		ReplicaSets: []idempotency.ReplicaSet{set}, ReplicationFactor: 3, RetentionMs: retentionMs, RetryMs: 20, MaxReceiptBytes: 64,
+		ReplicaSets: []idempotency.ReplicaSet{set}, ReplicationFactor: 3, RetentionMs: defaultRetentionMs, RetryMs: 20, MaxReceiptBytes: 64,
 		RepairRate: 1000, AntiEntropyMs: 500, Seed: seed,
 	}
-	if change != nil {
-		change(&c.config)
+	if configure != nil {
+		configure(&c.config)
 	}
 	for range members {
-		c.nodes = append(c.nodes, &node{syncMs: usualSyncMs, clockRate: 1})
+		c.nodes = append(c.nodes, &node{syncDurationMs: defaultSyncMs, clockRate: 1})
 	}
 	for i, n := range c.nodes {
 		n.storage = c.newIncarnation()
@@ -112,37 +112,37 @@
 	return all
 }
 
-// newIncarnation returns an incarnation that is later than all before it.
+// newIncarnation returns an incarnation that is later than all previous ones.
 func (c *cluster) newIncarnation() pkgcluster.Incarnation {
 	c.lastIncarnation++
 	return pkgcluster.NewIncarnation(c.now, 0) + pkgcluster.Incarnation(c.lastIncarnation)
 }
 
-// localTime is the time of a node's own clock.
+// localTime returns the time of a node's own clock.
 func (c *cluster) localTime(n *node) float64 { return c.now*n.clockRate + clockOffsetMs*n.clockRate }
 
-// runs reports whether a node is neither down nor paused.
-func (c *cluster) runs(n *node) bool { return !n.down && n.pausedUntil <= c.now }
+// running reports whether a node is neither down nor paused.
+func (c *cluster) running(n *node) bool { return !n.down && n.pausedUntil <= c.now }
 
-// start starts a node's process with what its disk has.
+// start starts a node's process with the synced entries on its disk.
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	stored := idempotency.NewStoredState()
 	for _, entry := range n.syncedEntries {
 		if err := stored.Apply(entry); err != nil {
-			panic(err) // the member has written it
+			panic(err) // the simulated member wrote an entry that it cannot read
 		}
 	}
 	n.incarnation = c.newIncarnation()
 	config := c.config
 	config.Self, config.StorageIncarnation, config.Incarnation = idempotency.MemberID(i), n.storage, n.incarnation
-	n.core, n.down, n.pending, n.syncDoneAt = idempotency.New(c.localTime(n), config, stored), false, nil, 0
+	n.core, n.down, n.pendingBatches, n.syncDoneAt = idempotency.New(c.localTime(n), config, stored), false, nil, 0
 }
 
-// kill ends a node's process. What is not synced is lost.
+// kill ends a node's process. Entries that are not synced are lost.
 func (c *cluster) kill(i int) {
 	n := c.nodes[i]
-	n.down, n.pending = true, nil
+	n.down, n.pendingBatches = true, nil
 	c.abandonClaims(i)
 }
 
@@ -152,7 +152,8 @@
 	c.start(i)
 }
 
-// replace kills a node that loses its disk, and starts one with new storage in its place. The clock of half of them is far behind.
+// replace kills a node, discards its disk and starts it with new storage. In half of the cases the storage has a far too early incarnation, as from a
+// clock that is behind.
 func (c *cluster) replace(i int) {
 	c.kill(i)
 	n := c.nodes[i]
@@ -163,25 +164,25 @@
 	c.start(i)
 }
 
-// step passes one ms.
+// step advances the simulation by one ms.
 func (c *cluster) step() {
 	c.now++
-	for _, d := range c.takeDue() {
+	for _, d := range c.takeDueDatagrams() {
 		c.deliver(d)
 	}
 	for i, n := range c.nodes {
-		if !c.runs(n) {
+		if !c.running(n) {
 			continue
 		}
 		c.completeSync(i)
 		n.core.Tick(c.localTime(n))
-		c.takeLaterIncarnation(i)
+		c.adoptLaterIncarnation(i)
 		c.processReady(i)
 	}
 }
 
-// takeDue removes and returns the datagrams that arrive now.
-func (c *cluster) takeDue() []datagram {
+// takeDueDatagrams removes and returns the datagrams in flight that are due.
+func (c *cluster) takeDueDatagrams() []datagram {
 	var due []datagram
 	later := c.inFlight[:0]
 	for _, d := range c.inFlight {
@@ -195,7 +196,7 @@
 	return due
 }
 
-// deliver hands a datagram to its node, or keeps it in the socket of one that is paused.
+// deliver delivers a datagram to its node. Datagrams to a paused node wait until the pause ends, and those to a node that is down are lost.
 func (c *cluster) deliver(d datagram) {
 	n := c.nodes[d.to]
 	switch {
@@ -209,24 +210,24 @@
 	}
 }
 
-// completeSync ends the sync of a node's disk if its time is over.
+// completeSync completes the sync of a node's disk if it is due.
 func (c *cluster) completeSync(i int) {
 	n := c.nodes[i]
-	if len(n.pending) == 0 || c.now < n.syncDoneAt {
+	if len(n.pendingBatches) == 0 || c.now < n.syncDoneAt {
 		return
 	}
-	for _, ready := range n.pending {
+	for _, ready := range n.pendingBatches {
 		if !n.dropsSyncs {
 			n.syncedEntries = append(n.syncedEntries, ready.Entries...)
 		}
 		n.core.Advance(ready)
 		c.send(i, ready.MessagesAfterSync)
 	}
-	n.pending = nil
+	n.pendingBatches = nil
 }
 
-// takeLaterIncarnation gives new storage a later incarnation if it learns that its clock was behind.
-func (c *cluster) takeLaterIncarnation(i int) {
+// adoptLaterIncarnation restarts a node with a later storage incarnation if its storage is new and has an earlier incarnation than the previous one.
+func (c *cluster) adoptLaterIncarnation(i int) {
 	n := c.nodes[i]
 	if latest, neverServed := n.core.NewerStorage(); neverServed {
 		n.syncedEntries, n.storage = nil, latest.Next()
@@ -234,17 +235,17 @@
 	}
 }
 
-// processReady sends what a node wants sent, starts to sync what it wants stored, and takes in its results.
+// processReady sends a node's messages, starts to sync its entries, and handles its results.
 func (c *cluster) processReady(i int) {
 	n := c.nodes[i]
 	ready := n.core.Ready()
 	c.send(i, ready.Messages)
 	if !ready.Empty() {
-		if len(n.pending) == 0 {
-			n.syncDoneAt = c.now + n.syncMs
+		if len(n.pendingBatches) == 0 {
+			n.syncDoneAt = c.now + n.syncDurationMs
 		}
 		ready.Messages = nil
-		n.pending = append(n.pending, ready)
+		n.pendingBatches = append(n.pendingBatches, ready)
 	}
 	for _, result := range n.core.TakeResults() {
 		c.handleResult(i, result)
--- a/internal/cluster/idempotency/simcluster/faults_test.go
+++ b/internal/cluster/idempotency/simcluster/faults_test.go
@@ -5,26 +5,26 @@
 	"mintspring/internal/cluster/idempotency"
 )
 
-// Longest times that injected faults take, ms.
+// Maximum durations of injected faults, in ms.
 const (
 	maxPauseMs          = 3000
 	maxJitterMs         = 400
 	maxDuplicateDelayMs = 1500
 )
 
-// runOptions say what happens in run.
-type runOptions struct {
-	loseDisks bool // of one node at a time
+// faultOptions selects the faults that runWithFaults injects.
+type faultOptions struct {
+	loseDisks bool // nodes lose their disks, one at a time
 }
 
-// run has operations claimed again and again at all nodes, for so many ms, while faults happen: new ones all the time, some long after their first claim.
-func (c *cluster) run(ms float64, options runOptions) {
-	for end := c.now + ms; c.now < end; c.step() {
+// runWithFaults runs the cluster for durationMs, while it adds operations, claims new and old operations repeatedly at random nodes, and injects faults.
+func (c *cluster) runWithFaults(durationMs float64, options faultOptions) {
+	for end := c.now + durationMs; c.now < end; c.step() {
 		if c.rng.IntN(40) == 0 {
 			c.addOperation()
 		}
 		if c.hasOperations() && c.rng.IntN(10) == 0 {
-			c.claimAtSeveral()
+			c.claimAtSeveralNodes()
 		}
 		if c.rng.IntN(150) == 0 {
 			c.injectFault(options)
@@ -38,8 +38,8 @@
 
 func (c *cluster) hasOperations() bool { return len(c.operations) > 0 }
 
-// claimAtSeveral claims one operation, mostly one of the latest, at up to three nodes in one ms.
-func (c *cluster) claimAtSeveral() {
+// claimAtSeveralNodes claims one operation, usually a recent one, at up to three nodes in the same ms.
+func (c *cluster) claimAtSeveralNodes() {
 	n := len(c.operations)
 	operation := max(0, n-1-c.rng.IntN(8))
 	if c.rng.IntN(4) == 0 {
@@ -50,15 +50,15 @@
 	}
 }
 
-// injectFault injects one fault at one or all nodes, or ends all faults of the links.
-func (c *cluster) injectFault(options runOptions) {
-	order := c.rng.Perm(len(c.nodes))
-	node := order[0]
+// injectFault injects a random fault at one or all nodes, or ends faults: it starts nodes that are down, or heals the links.
+func (c *cluster) injectFault(options faultOptions) {
+	shuffledNodes := c.rng.Perm(len(c.nodes))
+	node := shuffledNodes[0]
 	switch c.rng.IntN(11) {
 	case 0:
 		c.kill(node)
 	case 1:
-		c.startDown(order)
+		c.startDown(shuffledNodes)
 	case 2, 10:
 		if options.loseDisks && c.caughtUpExcept(node) {
 			c.replace(node)
@@ -66,13 +66,13 @@
 	case 3:
 		c.nodes[node].pausedUntil = c.now + maxPauseMs*c.rng.Float64()
 	case 4:
-		c.partition(order)
+		c.partition(shuffledNodes)
 	case 5:
-		c.links.Set(order, order, c.degrade)
+		c.links.Set(shuffledNodes, shuffledNodes, c.degrade)
 	case 6:
-		c.nodes[node].syncMs = []float64{0, 2, 20, 200}[c.rng.IntN(4)]
+		c.nodes[node].syncDurationMs = []float64{0, 2, 20, 200}[c.rng.IntN(4)]
 	case 7: // a power cut
-		c.restartNodes(order)
+		c.restartNodes(shuffledNodes)
 	case 9:
 		c.restart(node)
 	default:
@@ -80,14 +80,14 @@
 	}
 }
 
-// partition cuts the links from some nodes to all others, and in half of the cases those back too.
+// partition cuts the links from some nodes to all others, and in half of the cases also the links in the opposite direction.
 func (c *cluster) partition(all []int) {
 	shuffled := c.rng.Perm(len(c.nodes))
-	some := shuffled[:1+c.rng.IntN(len(shuffled)-1)]
+	isolated := shuffled[:1+c.rng.IntN(len(shuffled)-1)]
 	cut := func(l *faultrelay.Link) { l.Cut = true }
-	c.links.Set(some, all, cut)
+	c.links.Set(isolated, all, cut)
 	if c.rng.IntN(2) == 0 {
-		c.links.Set(all, some, cut)
+		c.links.Set(all, isolated, cut)
 	}
 }
 
@@ -103,37 +103,38 @@
 	}
 }
 
-// runRecent has the latest operations claimed for so many ms, one of so many ms, while something happens in each ms.
-func (c *cluster) runRecent(ms, claimEvery int, each func(elapsedMs int)) {
-	for elapsedMs := range ms {
+// runWithRecentClaims runs the cluster for durationMs and claims recent operations, on average once in claimIntervalMs. It calls onEachMs, which may be
+// nil, in each ms.
+func (c *cluster) runWithRecentClaims(durationMs, claimIntervalMs int, onEachMs func(elapsedMs int)) {
+	for elapsedMs := range durationMs {
 		if c.rng.IntN(30) == 0 {
 			c.addOperation()
 		}
-		if c.hasOperations() && c.rng.IntN(claimEvery) == 0 {
+		if c.hasOperations() && c.rng.IntN(claimIntervalMs) == 0 {
 			for range 1 + c.rng.IntN(2) {
 				c.claim(c.rng.IntN(len(c.nodes)), c.recentOperation(20), idempotency.ClaimOptions{TimeoutMs: 300})
 			}
 		}
-		if each != nil {
-			each(elapsedMs)
+		if onEachMs != nil {
+			onEachMs(elapsedMs)
 		}
 		c.step()
 	}
 }
 
-// recentOperation returns one of so many latest operations.
-func (c *cluster) recentOperation(latest int) int {
-	return max(0, len(c.operations)-1-c.rng.IntN(latest))
+// recentOperation returns a random one of the latest operations; window is how many count as such.
+func (c *cluster) recentOperation(window int) int {
+	return max(0, len(c.operations)-1-c.rng.IntN(window))
 }
 
-// restartNodes restarts nodes one after another within one moment.
+// restartNodes restarts nodes in the same ms.
 func (c *cluster) restartNodes(nodes []int) {
 	for _, i := range nodes {
 		c.restart(i)
 	}
 }
 
-// startDown starts those of some nodes that are down.
+// startDown starts the given nodes that are down.
 func (c *cluster) startDown(nodes []int) {
 	for _, i := range nodes {
 		if c.nodes[i].down {
@@ -142,10 +143,10 @@
 	}
 }
 
-// caughtUpExcept reports whether all nodes but one run and have caught up.
+// caughtUpExcept reports whether all nodes other than the exempt one are running and have caught up.
 func (c *cluster) caughtUpExcept(exempt int) bool {
 	for i, n := range c.nodes {
-		if i != exempt && (!c.runs(n) || !n.core.CaughtUp()) {
+		if i != exempt && (!c.running(n) || !n.core.CaughtUp()) {
 			return false
 		}
 	}
--- a/internal/cluster/idempotency/simcluster/oracle.go
+++ b/internal/cluster/idempotency/simcluster/oracle.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	// claimTimeoutMs is for how long a claim waits for its decision.
+	// claimTimeoutMs is the time from a claim to the deadline of its decision.
 	claimTimeoutMs = 400
-	// settleTimeoutMs is for how long a settlement is tried.
+	// settleTimeoutMs is the time from a settlement to its deadline.
 	settleTimeoutMs = 2000
 )
 
@@ -23,44 +23,44 @@
 
 func (id claimID) String() string { return fmt.Sprint(id.node, id.incarnation, id.number) }
 
-// receipt returns the receipt of an execution by a claim.
+// receipt returns the receipt that an execution under this claim produces.
 func (id claimID) receipt() string { return "receipt " + id.String() }
 
 // pendingClaim is a claim that waits for its decision or its settlement.
 type pendingClaim struct {
 	operation    int
 	startedAt    float64
-	afterReceipt bool // a receipt was settled before it began
+	afterReceipt bool // a receipt was settled before the claim was made
 	options      idempotency.ClaimOptions
 }
 
-// operation is what the oracle knows of one operation.
+// operation is the oracle's state of one operation.
 type operation struct {
-	executions       int             // by granted claims, without repeats that servers drop
-	owner            string          // the granted claim that nobody else may be granted beside; "": none
-	receipt          string          // that was settled or replayed
-	effectAt         float64         // when it was executed first or settled
-	possibleReceipts map[string]bool // of settlements that were begun
-	uncertain        bool            // a claim was granted or had no decision: it is allowed that nothing is known
+	executions       int             // under granted claims, without duplicates that servers drop
+	owner            string          // the granted claim that rules out further grants; "": none
+	receipt          string          // the receipt that was settled or replayed; "": none
+	executedAt       float64         // when it was first executed, or settled
+	proposedReceipts map[string]bool // receipts of all proposed settlements
+	unknownAllowed   bool            // a claim was granted or had no decision, so DecisionUnknown is a valid answer
 }
 
-// allows reports whether a receipt may be the operation's.
-func (o *operation) allows(receipt string) bool {
-	return o.possibleReceipts[receipt] && (o.receipt == "" || o.receipt == receipt)
+// allowsReceipt reports whether a claim of the operation may be answered with a receipt.
+func (o *operation) allowsReceipt(receipt string) bool {
+	return o.proposedReceipts[receipt] && (o.receipt == "" || o.receipt == receipt)
 }
 
-// execution is how a granted claim goes on.
-type execution uint8
+// executionOutcome is what happens after a claim is granted.
+type executionOutcome uint8
 
 const (
-	notExecuted    execution = iota // it is given up before anything is sent
-	neverSettled                    // it is executed, and its process never settles it
-	unknownOutcome                  // it is executed, and its answer is lost
-	completed
+	notExecuted    executionOutcome = iota // abandoned before anything is sent
+	neverSettled                           // executed, and never settled
+	unknownOutcome                         // executed, and the response is lost
+	completed                              // executed, and settled with a receipt
 )
 
-// drawExecution returns how a granted claim goes on: most complete.
-func (c *cluster) drawExecution() execution {
+// randomExecutionOutcome returns a random outcome; half of all are completed.
+func (c *cluster) randomExecutionOutcome() executionOutcome {
 	switch draw := c.rng.IntN(10); {
 	case draw <= 1:
 		return notExecuted
@@ -73,40 +73,41 @@
 	}
 }
 
-// violation notes that a member did what it must not do.
-func (c *cluster) violation(format string, args ...any) {
+// addViolation records a violation of the guarantees by a member.
+func (c *cluster) addViolation(format string, args ...any) {
 	c.violations = append(c.violations, fmt.Sprintf("%.0f ms: ", c.now)+fmt.Sprintf(format, args...))
 }
 
-// claim has a node claim an operation, if it runs.
+// claim claims an operation through a node if the node is running.
 func (c *cluster) claim(node, operation int, options idempotency.ClaimOptions) {
 	n := c.nodes[node]
-	if !c.runs(n) {
+	if !c.running(n) {
 		return
 	}
-	c.lastNumber++
-	c.claims[claimID{node, n.incarnation, c.lastNumber}] = &pendingClaim{
+	c.lastClaimNumber++
+	c.claims[claimID{node, n.incarnation, c.lastClaimNumber}] = &pendingClaim{
 		operation: operation, startedAt: c.now, afterReceipt: c.operations[operation].receipt != "", options: options,
 	}
-	n.core.Claim(c.localTime(n), c.lastNumber, recordKey(operation), options, c.localTime(n)+claimTimeoutMs)
+	n.core.Claim(c.localTime(n), c.lastClaimNumber, recordKey(operation), options, c.localTime(n)+claimTimeoutMs)
 }
 
-// abandonClaims forgets the claims of a node whose process ends. It may have been granted some, or about to release some.
+// abandonClaims forgets the claims of a node whose process ends. Some of them may have been granted, and claims that were not granted may not have been
+// released yet, so that DecisionUnknown is allowed for all their operations.
 func (c *cluster) abandonClaims(node int) {
 	n := c.nodes[node]
-	for _, operation := range n.waitedOn {
-		c.operations[operation].uncertain = true
+	for _, operation := range n.unresolvedOperations {
+		c.operations[operation].unknownAllowed = true
 	}
-	n.waitedOn = nil
+	n.unresolvedOperations = nil
 	for id, claim := range c.claims {
 		if id.node == node {
-			c.operations[claim.operation].uncertain = true
+			c.operations[claim.operation].unknownAllowed = true
 			delete(c.claims, id)
 		}
 	}
 }
 
-// handleResult checks a result of a node, and goes on with its claim.
+// handleResult checks a result of a node, and executes the claim if it was granted.
 func (c *cluster) handleResult(node int, result idempotency.Result) {
 	id := claimID{node, c.nodes[node].incarnation, result.Number}
 	claim := c.claims[id]
@@ -116,82 +117,82 @@
 	o := &c.operations[claim.operation]
 	if result.Settlement {
 		delete(c.claims, id)
-		if result.Decision == idempotency.DecisionGranted && o.possibleReceipts[id.receipt()] {
-			c.settled(claim.operation, id.receipt())
+		if result.Decision == idempotency.DecisionGranted && o.proposedReceipts[id.receipt()] {
+			c.recordSettlement(claim.operation, id.receipt())
 		}
 		return
 	}
 	c.decisions[result.Decision]++
-	c.checkUncertain(id, claim, result.Decision)
+	c.checkUnknownDecision(id, claim, result.Decision)
 	switch result.Decision {
 	case idempotency.DecisionGranted:
 		c.checkGrant(id, claim)
 		c.execute(id, claim)
-		return // the claim is there until it is settled
+		return // the claim is kept until it is settled
 	case idempotency.DecisionReplay:
-		if receipt := string(result.Receipt); !o.allows(receipt) {
-			c.violation("operation %d: %v is replayed %q, and %q was settled", claim.operation, id, receipt, o.receipt)
+		if receipt := string(result.Receipt); !o.allowsReceipt(receipt) {
+			c.addViolation("operation %d: %v is answered with receipt %q, and %q was settled", claim.operation, id, receipt, o.receipt)
 		}
 		o.receipt = string(result.Receipt)
 		c.replays++
 	case idempotency.DecisionWait, idempotency.DecisionUnknown:
 		n := c.nodes[node]
-		n.waitedOn = append(n.waitedOn, claim.operation)
+		n.unresolvedOperations = append(n.unresolvedOperations, claim.operation)
 		if claim.afterReceipt {
-			c.violation("operation %d: %v is decided %v, and %q was settled before", claim.operation, id, result.Decision, o.receipt)
+			c.addViolation("operation %d: %v is decided %v, and %q was settled before", claim.operation, id, result.Decision, o.receipt)
 		}
 	}
 	delete(c.claims, id)
 }
 
-// settled takes in that a receipt was settled.
-func (c *cluster) settled(operation int, receipt string) {
+// recordSettlement records a settled receipt, and checks that no other receipt was settled before.
+func (c *cluster) recordSettlement(operation int, receipt string) {
 	o := &c.operations[operation]
 	if o.receipt != "" && o.receipt != receipt {
-		c.violation("operation %d: two receipts were settled, %q and %q", operation, o.receipt, receipt)
+		c.addViolation("operation %d: two receipts were settled, %q and %q", operation, o.receipt, receipt)
 	}
-	o.receipt, o.effectAt = receipt, c.now
+	o.receipt, o.executedAt = receipt, c.now
 }
 
-// checkUncertain checks that nothing is decided to be unknown unless some claim was granted, had no decision, or is in flight beyond its timeout.
-func (c *cluster) checkUncertain(id claimID, claim *pendingClaim, decision idempotency.Decision) {
+// checkUnknownDecision checks that DecisionUnknown is given only if another claim of the operation was granted, had no decision or is still pending.
+func (c *cluster) checkUnknownDecision(id claimID, claim *pendingClaim, decision idempotency.Decision) {
 	o := &c.operations[claim.operation]
 	switch decision {
 	case idempotency.DecisionNoQuorum, idempotency.DecisionGranted:
-		o.uncertain = true
+		o.unknownAllowed = true
 	case idempotency.DecisionUnknown:
 		for otherID, other := range c.claims {
 			if other.operation == claim.operation && otherID != id {
-				o.uncertain = true
+				o.unknownAllowed = true
 			}
 		}
-		if !o.uncertain {
-			c.violation("operation %d: %v is decided unknown, and no claim was granted or had no decision", claim.operation, id)
+		if !o.unknownAllowed {
+			c.addViolation("operation %d: %v is decided unknown, and no claim was granted or had no decision", claim.operation, id)
 		}
 	}
 }
 
-// checkGrant checks that a claim may be granted.
+// checkGrant checks that the oracle allows a claim to be granted.
 func (c *cluster) checkGrant(id claimID, claim *pendingClaim) {
 	o := &c.operations[claim.operation]
 	c.grantLatenciesMs = append(c.grantLatenciesMs, c.now-claim.startedAt)
 	if claim.afterReceipt {
-		c.violation("operation %d: %v is granted, and %q was settled before", claim.operation, id, o.receipt)
+		c.addViolation("operation %d: %v is granted, and %q was settled before", claim.operation, id, o.receipt)
 	}
 	if o.owner != "" {
-		c.violation("operation %d: %v is granted beside %s", claim.operation, id, o.owner)
+		c.addViolation("operation %d: %v is granted in addition to %s", claim.operation, id, o.owner)
 	}
 }
 
-// execute goes on with a granted claim.
+// execute simulates the execution of a granted claim and settles it, unless the outcome is neverSettled.
 func (c *cluster) execute(id claimID, claim *pendingClaim) {
 	o := &c.operations[claim.operation]
 	o.owner = id.String()
-	e := c.drawExecution()
-	if e != notExecuted {
+	outcome := c.randomExecutionOutcome()
+	if outcome != notExecuted {
 		c.countExecution(id, claim)
 	}
-	switch e {
+	switch outcome {
 	case notExecuted:
 		o.owner = ""
 		c.settle(id, idempotency.OutcomeNotExecuted, nil)
@@ -203,26 +204,26 @@
 		}
 		c.settle(id, idempotency.OutcomeUnknown, nil)
 	case completed:
-		if o.possibleReceipts == nil {
-			o.possibleReceipts = map[string]bool{}
+		if o.proposedReceipts == nil {
+			o.proposedReceipts = map[string]bool{}
 		}
-		o.possibleReceipts[id.receipt()] = true
+		o.proposedReceipts[id.receipt()] = true
 		o.owner = "completed " + id.String()
 		c.settle(id, idempotency.OutcomeCompleted, []byte(id.receipt()))
 	}
 }
 
-// countExecution checks that an operation takes effect once. Servers drop repeats within the dedup window.
+// countExecution counts an execution, and checks that it is the operation's only one. Servers drop duplicates within the dedup window.
 func (c *cluster) countExecution(id claimID, claim *pendingClaim) {
 	o := &c.operations[claim.operation]
-	if window := claim.options.DedupWindowMs; window > 0 && c.now-o.effectAt <= window {
+	if window := claim.options.DedupWindowMs; window > 0 && c.now-o.executedAt <= window {
 		return
 	}
 	o.executions++
 	if o.executions > 1 {
-		c.violation("operation %d: a second effect, by %v", claim.operation, id)
+		c.addViolation("operation %d: executed a second time, by %v", claim.operation, id)
 	}
-	o.effectAt = c.now
+	o.executedAt = c.now
 }
 
 func (c *cluster) settle(id claimID, outcome idempotency.Outcome, receipt []byte) {
