--- a/internal/cluster/idempotency/replica/cluster_test.go
+++ b/internal/cluster/idempotency/replica/cluster_test.go
@@ -44,8 +44,8 @@
 	settlement bool
 }
 
-// newTestCluster reserves addresses and creates data directories for all members, without starting them. Members that the test starts are stopped at its
-// end.
+// newTestCluster reserves addresses and creates data directories for all members, without starting them. Members that the test starts are
+// stopped at its end.
 func newTestCluster(t testing.TB) *testCluster {
 	t.Helper()
 	c := &testCluster{t: t, dir: t.TempDir(), replicas: make([]*Replica, testMembers), waiters: map[resultID]chan idempotency.Result{}}
--- a/internal/cluster/idempotency/replica/disk.go
+++ b/internal/cluster/idempotency/replica/disk.go
@@ -36,8 +36,8 @@
 	corruptSegment string // only of verifyJob: the path of the first corrupt segment; "": none
 }
 
-// disk runs jobs on the data directory, one at a time, on its own goroutine. Only the member's goroutine accesses the fields other than the channels,
-// except that the disk's goroutine uses store while a job runs.
+// disk runs jobs on the data directory, one at a time, on its own goroutine. Only the member's goroutine accesses the fields other than the
+// channels, except that the disk's goroutine uses store while a job runs.
 type disk struct {
 	store   *storage.Store
 	jobs    chan diskJob
@@ -54,8 +54,8 @@
 	largestSync int // most entries in one appendJob
 }
 
-// openDisk opens the data directory, if one is configured, and returns its contents. If it cannot be opened, openDisk logs the error and returns an
-// empty state.
+// openDisk opens the data directory, if one is configured, and returns its contents. If it cannot be opened, openDisk logs the error and
+// returns an empty state.
 func (r *Replica) openDisk() *idempotency.StoredState {
 	stored := idempotency.NewStoredState()
 	if r.config.DataDir == "" {
@@ -143,8 +143,8 @@
 	d.store.Close()
 }
 
-// startSync hands all queued batches to the disk if it is idle. If no queued batch has entries, their messages are sent at once, because all earlier
-// batches are synced already.
+// startSync hands all queued batches to the disk if it is idle. If no queued batch has entries, their messages are sent at once, because
+// all earlier batches are synced already.
 func (r *Replica) startSync() {
 	for r.stores() && !r.disk.busy && len(r.queuedBatches) > 0 {
 		job := diskJob{kind: appendJob}
@@ -169,8 +169,8 @@
 	d.largestSync = max(d.largestSync, entries)
 }
 
-// startVerification periodically starts a verification of the closed segments. If the last one found a corrupt segment, it starts a rewrite of all
-// records from memory instead.
+// startVerification periodically starts a verification of the closed segments. If the last one found a corrupt segment, it starts a rewrite
+// of all records from memory instead.
 func (r *Replica) startVerification() {
 	if !r.stores() || r.disk.busy {
 		return
@@ -229,8 +229,8 @@
 	}
 }
 
-// handleSynced sends the messages that depend on the batches that are now synced. After a sync error these messages are never sent, and the member
-// stores and promises nothing until startRecovery succeeds.
+// handleSynced sends the messages that depend on the batches that are now synced. After a sync error these messages are never sent, and the
+// member stores and promises nothing until startRecovery succeeds.
 func (r *Replica) handleSynced(err error) {
 	synced := r.syncingBatches
 	r.syncingBatches = nil
--- a/internal/cluster/idempotency/replica/golden_test.go
+++ b/internal/cluster/idempotency/replica/golden_test.go
@@ -10,7 +10,8 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// Snapshot datagrams, and the status of a member on the admin port, must not change between versions: testdata/golden has those of an earlier version.
+// Snapshot datagrams, and the status of a member on the admin port, must not change between versions: testdata/golden has those of an
+// earlier version.
 func TestGoldenBytes(t *testing.T) {
 	part := snapshotPart{index: 1, count: 3, data: []byte("the second of three")}
 	for name, d := range map[string]snapshotDatagram{
--- a/internal/cluster/idempotency/replica/replica.go
+++ b/internal/cluster/idempotency/replica/replica.go
@@ -1,6 +1,6 @@
-// Package replica runs a member that replicates idempotency records, with its UDP socket and its data directory. One goroutine owns the member's core.
-// A second goroutine writes and syncs the entries of the core in batches, so that a slow disk delays only this member's promises and votes, not its
-// requests to other members. Messages that depend on a batch are sent once the batch is synced.
+// Package replica runs a member that replicates idempotency records, with its UDP socket and its data directory. One goroutine owns the
+// member's core. A second goroutine writes and syncs the entries of the core in batches, so that a slow disk delays only this member's
+// promises and votes, not its requests to other members. Messages that depend on a batch are sent once the batch is synced.
 package replica
 
 import (
@@ -86,8 +86,8 @@
 	sendingSnapshot atomic.Bool // a goroutine of startSendingSnapshot is running
 }
 
-// Start opens the data directory and the socket, and runs the member until Stop. If the data directory cannot be opened, the error is logged and the
-// member stores nothing. onResult is called with each result, from the member's goroutine.
+// Start opens the data directory and the socket, and runs the member until Stop. If the data directory cannot be opened, the error is
+// logged and the member stores nothing. onResult is called with each result, from the member's goroutine.
 func Start(config Config, c *clock.Clock, log *logrus.Logger, onResult func(idempotency.Result)) (*Replica, error) {
 	r := &Replica{
 		config:       config,
@@ -205,7 +205,8 @@
 	}
 }
 
-// finishPending runs the remaining calls, and sends and syncs what they produce. The second round covers batches that were queued during the first sync.
+// finishPending runs the remaining calls, and sends and syncs what they produce. The second round covers batches that were queued during
+// the first sync.
 func (r *Replica) finishPending() {
 	for range 2 {
 		r.runPendingCalls()
@@ -260,8 +261,8 @@
 	}
 }
 
-// collectReady sends the messages that need no sync, and queues batches that do. It repeats this as long as messages of the member to itself may have
-// produced more of either.
+// collectReady sends the messages that need no sync, and queues batches that do. It repeats this as long as messages of the member to
+// itself may have produced more of either.
 func (r *Replica) collectReady() {
 	for more := true; more; {
 		ready := r.core.Ready()
@@ -291,9 +292,9 @@
 	return first
 }
 
-// adoptLaterIncarnation gives storage that has never served a later incarnation if the member's previous storage turns out to have a later one, because
-// the clock was behind when the new storage was created. The member then restarts its core without records. Until the incarnation can be stored the
-// member stores nothing, and only the first failure is logged.
+// adoptLaterIncarnation gives storage that has never served a later incarnation if the member's previous storage turns out to have a later
+// one, because the clock was behind when the new storage was created. The member then restarts its core without records. Until the
+// incarnation can be stored the member stores nothing, and only the first failure is logged.
 func (r *Replica) adoptLaterIncarnation() {
 	latest, neverServed := r.core.NewerStorage()
 	if latest == 0 || !neverServed || r.disk == nil || r.disk.busy || r.clock.Now() < r.incarnationRetry.dueAt {
--- a/internal/cluster/idempotency/replica/replica_test.go
+++ b/internal/cluster/idempotency/replica/replica_test.go
@@ -17,8 +17,8 @@
 	"mintspring/internal/testbed/logrecorder"
 )
 
-// A member is replaced after the loss of its machine, and the clock of the new machine is behind: the new storage takes a later incarnation than the old
-// one and catches up. A process that is then started with the old storage must not store records any more.
+// A member is replaced after the loss of its machine, and the clock of the new machine is behind: the new storage takes a later incarnation
+// than the old one and catches up. A process that is then started with the old storage must not store records any more.
 func TestClockBehindAtNewStorage(t *testing.T) {
 	c := newTestCluster(t)
 	c.startAll(nil)
@@ -27,8 +27,8 @@
 	}
 	c.await(2, "its copy of the record", func(s Status) bool { return s.Records == 1 }) // it has voted, so the others know its storage
 	c.replicas[2].Stop(time.Second)
-	old := c.dataDir(2) + "-old"
-	if err := os.Rename(c.dataDir(2), old); err != nil {
+	oldDataDir := c.dataDir(2) + "-old"
+	if err := os.Rename(c.dataDir(2), oldDataDir); err != nil {
 		t.Fatal(err)
 	}
 	c.start(2, 5, nil) // by its clock long before the old storage was created
@@ -36,7 +36,7 @@
 		t.Errorf("%+v", s)
 	}
 	c.replicas[2].Stop(time.Second)
-	c.start(2, 3000, func(config *Config) { config.DataDir = old })
+	c.start(2, 3000, func(config *Config) { config.DataDir = oldDataDir })
 	c.claimAndSettle(2, "b") // the replies of the others carry the later incarnation
 	c.awaitState(2, "another process has its number")
 	if claim := c.claimAndSettle(2, "a"); claim.Decision != idempotency.DecisionReplay || string(claim.Receipt) != "receipt a" {
@@ -74,8 +74,8 @@
 	}
 }
 
-// Claims do not wait for one slow disk among three, because the other two members are a quorum. A member whose disk fails promises nothing more and
-// goes on as a proposer.
+// Claims do not wait for one slow disk among three, because the other two members are a quorum. A member whose disk fails promises nothing
+// more and goes on as a proposer.
 func TestSlowAndFailingDisks(t *testing.T) {
 	c := newTestCluster(t)
 	c.start(0, 2000, func(config *Config) { config.SyncDelay = 300 * time.Millisecond })
@@ -89,7 +89,7 @@
 		}
 	}
 	if took := time.Since(start); took > 1500*time.Millisecond {
-		t.Errorf("20 claims took %v although only one disk is slow", took)
+		t.Errorf("20 claims took %v although only one disk is slow, with 300 ms a sync", took)
 	}
 	c.replicas[1].Stop(time.Second)
 	c.start(1, 2003, nil)
@@ -111,7 +111,8 @@
 	}
 }
 
-// When the disks of two of three members fail temporarily, both members recover without a restart and keep all records that they had acknowledged.
+// When the disks of two of three members fail temporarily, claims fail for lack of a quorum. Both members recover without a restart once
+// the disks work again, and keep all records that they had acknowledged.
 func TestTransientDiskFailures(t *testing.T) {
 	c := newTestCluster(t)
 	c.startAll(nil)
@@ -188,10 +189,12 @@
 	}
 }
 
-// A segment that becomes corrupt while its member runs is detected, and all records are rewritten from memory, so that the member can be restarted.
+// A segment that becomes corrupt while its member runs is detected, and all records are rewritten from memory, so that the member can be
+// restarted.
 func TestSegmentBecomesCorrupt(t *testing.T) {
 	c := newTestCluster(t)
-	c.startAll(func(config *Config) { config.Core.RetentionMs, config.Core.AntiEntropyMs = 1600, 200 }) // segments are closed after 400 ms and verified every 200 ms
+	// Segments are closed after 400 ms and verified every 200 ms.
+	c.startAll(func(config *Config) { config.Core.RetentionMs, config.Core.AntiEntropyMs = 1600, 200 })
 	segment := ""
 	for i := 0; segment == ""; i++ {
 		c.claimAndSettle(0, fmt.Sprint("m", i))
--- a/internal/cluster/idempotency/replica/snapshot.go
+++ b/internal/cluster/idempotency/replica/snapshot.go
@@ -9,11 +9,12 @@
 	"mintspring/internal/cluster/idempotency"
 )
 
-// A snapshot is application state, such as statistics of servers, that a member sends to a member that starts without any. Correctness does not depend
-// on it: its datagrams share the socket with the messages of the records, each part is sent once, and lost parts are not retransmitted.
+// A snapshot is application state, such as statistics of servers, that a member sends to a member that starts without any. Correctness does
+// not depend on it: its datagrams share the socket with the messages of the records, each part is sent once, and lost parts are not
+// retransmitted.
 //
-// A snapshot datagram starts with two bytes of magic, a version byte, the CRC-32C of all bytes after the checksum, and the request ID. A part continues
-// with its index, the number of parts, and its data.
+// A snapshot datagram starts with two bytes of magic, a version byte, the CRC-32C of all bytes after the checksum, and the request ID. A
+// part continues with its index, the number of parts, and its data.
 const (
 	snapshotRequestMagic   = "mg"
 	snapshotPartMagic      = "mp"
@@ -96,7 +97,8 @@
 	complete  chan []byte // receives the whole snapshot; buffered, so that the sender never blocks
 }
 
-// addPart adds a received part and reports whether the snapshot is complete. Duplicates, and parts with a different count of parts, are ignored.
+// addPart adds a received part and reports whether the snapshot is complete. Duplicates, and parts with a different count of parts, are
+// ignored.
 func (f *snapshotFetch) addPart(p snapshotPart) bool {
 	if f.parts == nil {
 		f.parts = make([][]byte, p.count)
@@ -127,8 +129,8 @@
 	}
 }
 
-// startSendingSnapshot sends this member's snapshot to another member on a separate goroutine, as Config.Snapshot may be slow. Requests that arrive
-// while a snapshot is being sent are dropped.
+// startSendingSnapshot sends this member's snapshot to another member on a separate goroutine, as Config.Snapshot may be slow. Requests
+// that arrive while a snapshot is being sent are dropped.
 func (r *Replica) startSendingSnapshot(to idempotency.MemberID, requestID uint64) {
 	if r.config.Snapshot == nil || !r.sendingSnapshot.CompareAndSwap(false, true) {
 		return
@@ -150,8 +152,8 @@
 	}
 }
 
-// FetchSnapshot requests a snapshot from the other members, one after another, until it has received one or the timeout expires. It returns false if
-// it received none.
+// FetchSnapshot requests a snapshot from the other members, one after another, until it has received one or the timeout expires. It returns
+// false if it received none.
 func (r *Replica) FetchSnapshot(timeout time.Duration) ([]byte, bool) {
 	members := len(r.memberAddrs)
 	deadline := time.Now().Add(timeout)
--- a/internal/cluster/idempotency/replica/transport.go
+++ b/internal/cluster/idempotency/replica/transport.go
@@ -17,7 +17,8 @@
 	payload []byte
 }
 
-// readLoop reads datagrams until the socket is closed. It drops datagrams from unknown addresses, and all datagrams while the receive queue is full.
+// readLoop reads datagrams until the socket is closed. It drops datagrams from unknown addresses, and all datagrams while the receive queue
+// is full.
 func (r *Replica) readLoop() {
 	reportError := func(err error) { r.log.WithError(err).Error("receiving idempotency datagrams fails") }
 	datagrams.Receive(r.conn, r.stopping, reportError, func(payload []byte, addr netip.AddrPort) {
@@ -46,7 +47,8 @@
 	}
 }
 
-// send sends messages to other members and delivers those that this member addressed to itself. It reports whether there were any of the latter.
+// send sends messages to other members and delivers those that this member addressed to itself. It reports whether there were any of the
+// latter.
 func (r *Replica) send(messages []*idempotency.Message) (toSelf bool) {
 	now := r.clock.Now()
 	for _, m := range messages {
--- a/internal/cluster/idempotency/simcluster/cluster.go
+++ b/internal/cluster/idempotency/simcluster/cluster.go
@@ -1,5 +1,6 @@
-// Package simcluster simulates a group of members that replicate idempotency records, with their disks and links, on a simulated clock. The members run
-// the production code of package idempotency. An oracle simulates the execution of granted claims, and checks that each claim gets an allowed decision.
+// Package simcluster simulates a group of members that replicate idempotency records, with their disks and links, on a simulated clock. The
+// members run the production code of package idempotency. An oracle simulates the execution of granted claims, and checks that each claim
+// gets an allowed decision.
 package simcluster
 
 import (
@@ -152,8 +153,8 @@
 	c.start(i)
 }
 
-// replace kills a node, discards its disk and starts it with new storage. In half of the cases the storage has a far too early incarnation, as from a
-// clock that is behind.
+// replace kills a node, discards its disk and starts it with new storage. In half of the cases the storage has a far too early incarnation,
+// as from a clock that is behind.
 func (c *cluster) replace(i int) {
 	c.kill(i)
 	n := c.nodes[i]
@@ -226,7 +227,8 @@
 	n.pendingBatches = nil
 }
 
-// adoptLaterIncarnation restarts a node with a later storage incarnation if its storage is new and has an earlier incarnation than the previous one.
+// adoptLaterIncarnation restarts a node with a later storage incarnation if its storage is new and has an earlier incarnation than the
+// previous one.
 func (c *cluster) adoptLaterIncarnation(i int) {
 	n := c.nodes[i]
 	if latest, neverServed := n.core.NewerStorage(); neverServed {
--- a/internal/cluster/idempotency/simcluster/cluster_test.go
+++ b/internal/cluster/idempotency/simcluster/cluster_test.go
@@ -15,9 +15,9 @@
 	}
 }
 
-// Operations are claimed repeatedly and concurrently at three or five members, while members crash, pause, lose their disks one at a time and are
-// partitioned, and messages are lost, delayed, duplicated, reordered and corrupted. Each operation is executed at most once, and every claim after a
-// settlement is answered with its receipt.
+// Operations are claimed repeatedly and concurrently at three or five members, while members crash, pause, lose their disks one at a time
+// and are partitioned, and messages are lost, delayed, duplicated, reordered and corrupted. Each operation is executed at most once, and
+// every claim after a settlement is answered with its receipt.
 func TestAtMostOneExecutionUnderFaults(t *testing.T) {
 	decisions, replays := map[idempotency.Decision]int{}, 0
 	for seed := range uint64(8) {
@@ -45,8 +45,9 @@
 	}
 }
 
-// Disks are lost in quick succession, each once the member that lost the previous one has caught up, while messages are delayed and duplicated and the
-// ballot ceiling is raised in the smallest steps. Promises and votes of lost storage must not count towards a quorum any more.
+// Disks are lost in quick succession, each once the member that lost the previous one has caught up, while messages are delayed and
+// duplicated and the ballot ceiling is raised two rounds at a time. Promises and votes of lost storage must not count towards a quorum any
+// more.
 func TestAtMostOneExecutionWithLostDisks(t *testing.T) {
 	lostDisks := 0
 	for _, seed := range []uint64{1001, 1004, 1029} {
@@ -77,7 +78,8 @@
 	}
 }
 
-// In a group of thirty members that lose their disks one after another, no operation is executed twice, and members that lost their disk catch up.
+// In a group of thirty members that lose their disks one after another, no operation is executed twice, and members that lost their disk
+// catch up.
 func TestManyMembers(t *testing.T) {
 	report := SimulateLoad(30, 300, 6, 1)
 	for _, violation := range report.Violations {
@@ -89,8 +91,8 @@
 	}
 }
 
-// Disks that report success without syncing lose promises and votes in a power cut. If a majority of the disks do so, the guarantees break, and the oracle
-// must detect it.
+// Disks that report success without syncing lose promises and votes in a power cut. If a majority of the disks do so, the guarantees break,
+// and the oracle must detect it.
 func TestDisksThatDropSyncsAreDetected(t *testing.T) {
 	runWithPowerCuts := func(c *cluster, nodes []int) {
 		c.runWithRecentClaims(3000, 6, func(elapsedMs int) {
@@ -150,8 +152,8 @@
 	return true
 }
 
-// If two of three members lose their disks at once, lost records cannot be distinguished from records that never existed. Nothing may be granted until
-// all lost records have expired; then claims are granted again.
+// If two of three members lose their disks at once, lost records cannot be distinguished from records that never existed. Nothing may be
+// granted until all lost records have expired; then claims are granted again.
 func TestTwoOfThreeLostAtOnce(t *testing.T) {
 	c := newCluster(3, 950, func(config *idempotency.Config) { config.RetentionMs = 5000 })
 	c.runWithRecentClaims(1500, 6, nil)
--- a/internal/cluster/idempotency/simcluster/faults_test.go
+++ b/internal/cluster/idempotency/simcluster/faults_test.go
@@ -17,7 +17,8 @@
 	loseDisks bool // nodes lose their disks, one at a time
 }
 
-// runWithFaults runs the cluster for durationMs, while it adds operations, claims new and old operations repeatedly at random nodes, and injects faults.
+// runWithFaults runs the cluster for durationMs, while it adds operations, claims new and old operations repeatedly at random nodes, and
+// injects faults.
 func (c *cluster) runWithFaults(durationMs float64, options faultOptions) {
 	for end := c.now + durationMs; c.now < end; c.step() {
 		if c.rng.IntN(40) == 0 {
@@ -103,8 +104,8 @@
 	}
 }
 
-// runWithRecentClaims runs the cluster for durationMs and claims recent operations, on average once in claimIntervalMs. It calls onEachMs, which may be
-// nil, in each ms.
+// runWithRecentClaims runs the cluster for durationMs and claims recent operations, on average once in claimIntervalMs. It calls onEachMs,
+// which may be nil, in each ms.
 func (c *cluster) runWithRecentClaims(durationMs, claimIntervalMs int, onEachMs func(elapsedMs int)) {
 	for elapsedMs := range durationMs {
 		if c.rng.IntN(30) == 0 {
--- a/internal/cluster/idempotency/simcluster/load.go
+++ b/internal/cluster/idempotency/simcluster/load.go
@@ -28,8 +28,9 @@
 	CPUMs          float64   // elapsed time on this machine per member and simulated second
 }
 
-// SimulateLoad simulates a group of members for a number of seconds. rate is the number of new operations a second; a fifth as many claims are made of
-// earlier operations. Links have a latency of 1 to 6 ms, and syncs take 2 ms. In the second half members lose their disks, one at a time.
+// SimulateLoad simulates a group of members for a number of seconds. rate is the number of new operations a second; a fifth as many claims
+// are made of earlier operations. Links have a latency of 1 to 6 ms, and syncs take 2 ms. In the second half members lose their disks, one
+// at a time.
 func SimulateLoad(members int, rate float64, seconds int, seed uint64) LoadReport {
 	c := newCluster(members, seed, func(config *idempotency.Config) { config.AntiEntropyMs, config.RepairRate = 30e3, 2000 })
 	c.links.Set(c.allNodes(), c.allNodes(), func(l *faultrelay.Link) { *l = faultrelay.Link{JitterMs: 5} })
--- a/internal/cluster/idempotency/simcluster/oracle.go
+++ b/internal/cluster/idempotency/simcluster/oracle.go
@@ -91,8 +91,8 @@
 	n.core.Claim(c.localTime(n), c.lastClaimNumber, recordKey(operation), options, c.localTime(n)+claimTimeoutMs)
 }
 
-// abandonClaims forgets the claims of a node whose process ends. Some of them may have been granted, and claims that were not granted may not have been
-// released yet, so that DecisionUnknown is allowed for all their operations.
+// abandonClaims forgets the claims of a node whose process ends. Some of them may have been granted, and claims that were not granted may
+// not have been released yet, so that DecisionUnknown is allowed for all their operations.
 func (c *cluster) abandonClaims(node int) {
 	n := c.nodes[node]
 	for _, operation := range n.unresolvedOperations {
@@ -154,7 +154,8 @@
 	o.receipt, o.executedAt = receipt, c.now
 }
 
-// checkUnknownDecision checks that DecisionUnknown is given only if another claim of the operation was granted, had no decision or is still pending.
+// checkUnknownDecision checks that DecisionUnknown is given only if another claim of the operation was granted, had no decision or is still
+// pending.
 func (c *cluster) checkUnknownDecision(id claimID, claim *pendingClaim, decision idempotency.Decision) {
 	o := &c.operations[claim.operation]
 	switch decision {
--- a/internal/cluster/idempotency/simcluster/replicaset_test.go
+++ b/internal/cluster/idempotency/simcluster/replicaset_test.go
@@ -20,8 +20,8 @@
 	}
 }
 
-// The replica set changes under load, with delayed and lost messages: each member is restarted with both sets, and after the retention of a record with
-// only the new one. During each step members with different configurations run at the same time.
+// The replica set changes under load, with delayed and lost messages: each member is restarted with both sets, and after the retention of a
+// record with only the new one. During each step members with different configurations run at the same time.
 func TestAtMostOneExecutionDuringReplicaSetChange(t *testing.T) {
 	oldSet, newSet := replicaSet(0, 1, 2), replicaSet(2, 3, 4)
 	granted, withoutQuorum := 0, 0
@@ -62,9 +62,9 @@
 	}
 }
 
-// A member is lost permanently and replaced in the replica set by one without records. While both sets are in use its records are copied from the remaining
-// members, until each replica of the new set reports that it has nothing more to repair. When then the old set is removed and a second member is lost,
-// every receipt is still found.
+// A member is lost permanently and replaced in the replica set by one without records. While both sets are in use its records are copied
+// from the remaining members, until each replica of the new set reports that it has nothing more to repair. When then the old set is
+// removed and a second member is lost, every receipt is still found.
 func TestPermanentMemberLoss(t *testing.T) {
 	oldSet, newSet := replicaSet(0, 1, 2), replicaSet(1, 2, 3)
 	c := newCluster(4, 1200, func(config *idempotency.Config) { config.ReplicaSets = []idempotency.ReplicaSet{oldSet} })
@@ -98,8 +98,8 @@
 	c.failOnViolations(t)
 }
 
-// consistentExcept reports whether each node other than the excluded one has had nothing to repair for a second, and has compared its records with all
-// nodes but the excluded one.
+// consistentExcept reports whether each node other than the excluded one has had nothing to repair for a second, and has compared its
+// records with all nodes but the excluded one.
 func (c *cluster) consistentExcept(excluded int) bool {
 	for i, n := range c.nodes {
 		if i == excluded {
--- a/internal/cluster/idempotency/storage/backup.go
+++ b/internal/cluster/idempotency/storage/backup.go
@@ -71,9 +71,9 @@
 	return Inspect(to)
 }
 
-// Restore creates a data directory from a backup. The member may have voted after the backup was made, so the directory gets a new incarnation and the
-// member catches up like one with an empty directory. allLost says that all members have lost their data directories: no member is left to catch up
-// with, and the restored directory counts as complete.
+// Restore creates a data directory from a backup. The member may have voted after the backup was made, so the directory gets a new
+// incarnation and the member catches up like one with an empty directory. allLost says that all members have lost their data directories:
+// no member is left to catch up with, and the restored directory counts as complete.
 func Restore(backupDir, dir string, newIncarnation idempotency.StorageIncarnation, allLost bool) (*Summary, error) {
 	backup, err := Inspect(backupDir)
 	if err != nil {
--- a/internal/cluster/idempotency/storage/storage.go
+++ b/internal/cluster/idempotency/storage/storage.go
@@ -1,10 +1,11 @@
-// Package storage persists the idempotency records and promises of a member in a data directory of append-only segment files. A segment is closed when
-// it reaches a maximum size or age, and deleted when all its records have expired. There is no compaction: except by Rewrite and Recover, each entry is
-// written only once.
+// Package storage persists the idempotency records and promises of a member in a data directory of append-only segment files. A segment is
+// closed when it reaches a maximum size or age, and deleted when all its records have expired. There is no compaction: except by Rewrite
+// and Recover, each entry is written only once.
 //
-// A data directory belongs to one member and has an incarnation, which is chosen when the directory is created. A member that lost its disk returns with
-// a different incarnation, from which the other members learn that its earlier state is lost. A directory whose synced data is missing or corrupt is
-// rejected. A directory that was replaced by an older copy of itself is not detected, which is why Restore gives a restored directory a new incarnation.
+// A data directory belongs to one member and has an incarnation, which is chosen when the directory is created. A member that lost its disk
+// returns with a different incarnation, from which the other members learn that its earlier state is lost. A directory whose synced data is
+// missing or corrupt is rejected. A directory that was replaced by an older copy of itself is not detected, which is why Restore gives a
+// restored directory a new incarnation.
 package storage
 
 import (
@@ -83,8 +84,9 @@
 	failure          error // the error of the first failed write; reset by Recover
 }
 
-// Create creates the initial data directory of a member of a new group. The directory counts as complete, because the group has no records yet. Create
-// must not be used for a member that has lost its data directory: that member starts without one, gets an empty one from Open, and catches up.
+// Create creates the initial data directory of a member of a new group. The directory counts as complete, because the group has no records
+// yet. Create must not be used for a member that has lost its data directory: that member starts without one, gets an empty one from Open,
+// and catches up.
 func Create(dir string, owner Owner, incarnation idempotency.StorageIncarnation) error {
 	return create(dir, identity{owner, incarnation, true})
 }
@@ -120,8 +122,9 @@
 	return id, nil
 }
 
-// Open opens and locks a member's data directory, and reads it into state. If the directory does not exist, Open creates one with newIncarnation, and the
-// member has to catch up. The error matches ErrInUse, ErrWrongOwner or recordlog.ErrCorrupt if one of them is the cause.
+// Open opens and locks a member's data directory, and reads it into state. If the directory does not exist, Open creates one with
+// newIncarnation, and the member has to catch up. The error matches ErrInUse, ErrWrongOwner or recordlog.ErrCorrupt if one of them is the
+// cause.
 func Open(dir string, owner Owner, newIncarnation idempotency.StorageIncarnation, limits Limits, state *idempotency.StoredState) (*Store, error) {
 	if err := os.MkdirAll(dir, dirPermissions); err != nil {
 		return nil, fmt.Errorf("create data directory: %w", err)
@@ -159,8 +162,8 @@
 	return s.load(state)
 }
 
-// createEmpty creates the data directory of a member that has to catch up. It fails if there are segments without an identity file, because they are
-// the remains of a damaged data directory.
+// createEmpty creates the data directory of a member that has to catch up. It fails if there are segments without an identity file, because
+// they are the remains of a damaged data directory.
 func (s *Store) createEmpty(owner Owner, newIncarnation idempotency.StorageIncarnation) error {
 	names, err := segmentNames(s.dir)
 	if err != nil {
@@ -175,8 +178,8 @@
 // Incarnation returns the incarnation of the data directory.
 func (s *Store) Incarnation() idempotency.StorageIncarnation { return s.identity.Incarnation }
 
-// SetIncarnation gives a later incarnation to a data directory that has never served. It is needed if the clock was behind when the directory was created,
-// so that its incarnation is earlier than that of the member's previous directory.
+// SetIncarnation gives a later incarnation to a data directory that has never served. It is needed if the clock was behind when the
+// directory was created, so that its incarnation is earlier than that of the member's previous directory.
 func (s *Store) SetIncarnation(incarnation idempotency.StorageIncarnation) error {
 	id := identity{s.identity.Owner, incarnation, false}
 	if err := s.replaceIdentityFile(id); err != nil {
--- a/internal/cluster/idempotency/storage/storage_test.go
+++ b/internal/cluster/idempotency/storage/storage_test.go
@@ -130,8 +130,8 @@
 	}
 }
 
-// After a failed write a store accepts entries again only once Recover has written and synced all entries, because a successful sync after a failed one
-// does not cover the data of the failed one. The data directory can be opened after any number of failures.
+// After a failed write a store accepts entries again only once Recover has written and synced all entries, because a successful sync after
+// a failed one does not cover the data of the failed one. The data directory can be opened after any number of failures.
 func TestRecoverAfterFailure(t *testing.T) {
 	errDisk := errors.New("no space left on device")
 	const acknowledged = 4 // operations that were acknowledged before the failure
@@ -209,7 +209,8 @@
 	}
 }
 
-// A randomly damaged data directory is either rejected or read with exactly its synced records. A partially written record at the end is ignored.
+// A randomly damaged data directory is either rejected or read with exactly its synced records. A partially written record at the end is
+// ignored.
 func TestDamagedDirectories(t *testing.T) {
 	dir := testDir(t)
 	s, _ := openStore(t, dir)
@@ -301,7 +302,8 @@
 	return contents
 }
 
-// A backup has the records of the data directory. A restored directory has a new incarnation and must catch up, unless all members have lost theirs.
+// A backup has the records of the data directory. A restored directory has a new incarnation and must catch up, unless all members have
+// lost theirs.
 func TestBackupAndRestore(t *testing.T) {
 	tmp := t.TempDir()
 	dir, backup := filepath.Join(tmp, "idempotency"), filepath.Join(tmp, "backup")
--- a/internal/cluster/idempotency/storage/write.go
+++ b/internal/cluster/idempotency/storage/write.go
@@ -57,8 +57,8 @@
 	return err
 }
 
-// syncTail rewrites and syncs the records that were read after the last synced one. If a sync of the previous process has failed, the operating system
-// may discard the pages that it could not write, and a second sync without a new write succeeds although the data is lost.
+// syncTail rewrites and syncs the records that were read after the last synced one. If a sync of the previous process has failed, the
+// operating system may discard the pages that it could not write, and a second sync without a new write succeeds although the data is lost.
 func (s *Store) syncTail(r *segmentReader) error {
 	synced := int64(0)
 	if r.mark.lastSegment == s.segmentNumber {
@@ -88,9 +88,9 @@
 	return size
 }
 
-// Append writes entries and syncs them with one sync. Messages that depend on them may be sent only after Append has returned nil. After an error the
-// content of the disk is unknown, and each later call returns the same error until Recover succeeds. header has the entries with which the next segment
-// starts if Append starts one; it must reflect the state after these entries.
+// Append writes entries and syncs them with one sync. Messages that depend on them may be sent only after Append has returned nil. After an
+// error the content of the disk is unknown, and each later call returns the same error until Recover succeeds. header has the entries with
+// which the next segment starts if Append starts one; it must reflect the state after these entries.
 func (s *Store) Append(entries, header [][]byte) error {
 	return s.writeUnlessFailed(func() error { return s.appendEntries(entries, header) })
 }
@@ -100,8 +100,8 @@
 	return s.writeUnlessFailed(func() error { return s.rewrite(entries, header) })
 }
 
-// Recover makes the store writable again after a failed write, by writing and syncing all entries into a new segment. Data that a failed sync covered
-// never counts as stored, even if a later sync of the same file succeeds. After an error Recover may be called again.
+// Recover makes the store writable again after a failed write, by writing and syncing all entries into a new segment. Data that a failed
+// sync covered never counts as stored, even if a later sync of the same file succeeds. After an error Recover may be called again.
 func (s *Store) Recover(entries, header [][]byte) error {
 	if err := s.recover(entries, header); err != nil {
 		return fmt.Errorf("recover %s: %w", s.dir, err)
@@ -238,8 +238,8 @@
 	return s.removeSegments(removed)
 }
 
-// removeSegments deletes segments that were already removed from closedSegments. It syncs the mark without them first, as a segment that is listed in the
-// mark but missing counts as lost by the disk.
+// removeSegments deletes segments that were already removed from closedSegments. It syncs the mark without them first, as a segment that is
+// listed in the mark but missing counts as lost by the disk.
 func (s *Store) removeSegments(segments []segment) error {
 	if len(segments) == 0 {
 		return nil
