--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -91,7 +91,7 @@
 	response := e.completion.Response
 	completion := inflight.Completion{
 		Result: response.Result,
-		Took:   e.completion.At - e.attempt.SentAt,
+		Took:   e.completion.EndedAt - e.attempt.SentAt,
 		Cache:  response.Cache,
 		Report: response.Report,
 		Value:  response.Value,
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -97,7 +97,7 @@
 	}
 	failure := &exchange.AttemptError{Progress: a.progress, Result: result, Stale: a.staleConn, Cause: cause}
 	e.mu.Unlock()
-	e.group.OnDone(a, Completion{At: e.group.Clock.Now(), Failure: failure})
+	e.group.OnDone(a, Completion{EndedAt: e.group.Clock.Now(), Failure: failure})
 }
 
 // abandon detaches a failed attempt from its connection and closes that, except that an unsized response is read to its end
--- a/internal/node/upstream/reader.go
+++ b/internal/node/upstream/reader.go
@@ -140,7 +140,7 @@
 	e.pool.Responded(at, c, response.Result == fleet.Declined, response.Close || excess)
 	e.mu.Unlock()
 	if first {
-		e.group.OnDone(a, Completion{At: at, Response: response})
+		e.group.OnDone(a, Completion{EndedAt: at, Response: response})
 	}
 	return true
 }
@@ -154,7 +154,7 @@
 	first := e.markEnded(a)
 	e.mu.Unlock()
 	if first {
-		e.group.OnDone(a, Completion{At: at, Response: response})
+		e.group.OnDone(a, Completion{EndedAt: at, Response: response})
 	} else {
 		s.Close()
 	}
--- a/internal/node/upstream/upstream.go
+++ b/internal/node/upstream/upstream.go
@@ -50,7 +50,7 @@
 
 // Completion is how an attempt ended: with a response, or with a failure.
 type Completion struct {
-	At       float64 // Unix ms
+	EndedAt       float64 // Unix ms
 	Response Response
 	Failure  *exchange.AttemptError // nil: there is a response
 }
