--- a/internal/node/cacheserver/golden_test.go
+++ b/internal/node/cacheserver/golden_test.go
@@ -68,13 +68,13 @@
 	})
 	in := golden["large"]
 	n, head, err := Protocol{}.ParseResponse([]byte(in))
-	if err != nil || n != len(in) || head.LargeSize != 70_000 || head.TailParts != 2 || head.Result != fleet.Completed {
+	if err != nil || n != len(in) || head.LargeValueSize != 70_000 || head.TailElements != 2 || head.Result != fleet.Completed {
 		t.Fatalf("large: %d bytes, %+v, %v", n, head, err)
 	}
 	tail := golden["after-large"]
 	got, err := Protocol{}.ParseTail([]byte(tail), head)
 	want := upstream.Response{Result: fleet.Completed, Cache: fleet.CacheHit, Report: queue}
-	if err != nil || got.Length != len(tail) || !got.Sound || !got.Complete || !protocoltest.Equal(got.Response, want) {
+	if err != nil || got.Length != len(tail) || !got.ValueEnded || !got.Complete || !protocoltest.Equal(got.Response, want) {
 		t.Errorf("after-large: %+v, %v", got, err)
 	}
 }
--- a/internal/node/cacheserver/protocol.go
+++ b/internal/node/cacheserver/protocol.go
@@ -18,8 +18,8 @@
 type Protocol struct{}
 
 const (
-	maxLine     = 1024 // bytes of a line
-	maxElements = 8    // elements of a response
+	maxLine     = 1024 // longest line, in bytes
+	maxElements = 8    // most elements of a response array
 	lineEnd     = "\r\n"
 )
 
@@ -28,8 +28,8 @@
 	errMalformed = errors.New("malformed response")
 )
 
-// AppendRequest implements upstream.Protocol: it appends the client's command, with the node's limit in place of the client's.
-func (Protocol) AppendRequest(b []byte, request *exchange.Exchange, limit float64) []byte {
+// AppendRequest implements upstream.Protocol. It appends the client's command, in which the node's timeout replaces the client's.
+func (Protocol) AppendRequest(b []byte, request *exchange.Exchange, timeout float64) []byte {
 	count := 4
 	if request.Value != nil || request.Body != nil {
 		count++
@@ -38,7 +38,7 @@
 	b = redcon.AppendBulk(b, request.Command)
 	b = redcon.AppendBulk(b, request.Key)
 	b = redcon.AppendBulk(b, request.ID)
-	b = redcon.AppendBulk(b, upstream.ForwardedExtra(request.Extra, limit))
+	b = redcon.AppendBulk(b, upstream.ForwardedExtra(request.Extra, timeout))
 	switch {
 	case request.IsLarge():
 		b = append(strconv.AppendInt(append(b, '$'), request.ValueLength(), 10), lineEnd...)
@@ -51,16 +51,16 @@
 // ValueTerminator implements upstream.Protocol.
 func (Protocol) ValueTerminator() string { return lineEnd }
 
-// ParseResponse implements upstream.Protocol. A response is an array of the value, how the server came by it and the load
-// report, or an error line.
+// ParseResponse implements upstream.Protocol. A response is either an error line or an array of the value, the cache status (hit,
+// miss or pending) and the load report.
 func (Protocol) ParseResponse(b []byte) (n int, response upstream.Response, err error) {
-	line, at, err := nextLine(b, 0)
-	if at == 0 || err != nil {
+	line, pos, err := nextLine(b, 0)
+	if pos == 0 || err != nil {
 		return 0, upstream.Response{}, err
 	}
 	switch line[0] {
 	case '-':
-		return at, parseErrorLine(line[1:]), nil
+		return pos, parseErrorLine(line[1:]), nil
 	case '*':
 	default:
 		return 0, upstream.Response{}, fmt.Errorf("%w: it begins with %q", errMalformed, line[0])
@@ -69,17 +69,17 @@
 	if err != nil || count < 1 || count > maxElements {
 		return 0, upstream.Response{}, errMalformed
 	}
-	if size, start := largeValue(b, at); size > 0 {
+	if size, start := parseLargeValueHeader(b, pos); size > 0 {
 		return start, upstream.Response{
-			Result: fleet.Completed, Report: fleet.NewLoadReport(), LargeSize: size, TailParts: count - 1,
+			Result: fleet.Completed, Report: fleet.NewLoadReport(), LargeValueSize: size, TailElements: count - 1,
 		}, nil
 	}
-	value, at, complete, err := nextBulk(b, at)
+	value, pos, complete, err := nextBulk(b, pos)
 	if err != nil || !complete {
 		return 0, upstream.Response{}, err
 	}
-	at, response, err = parseTailParts(b, at, count-1)
-	if err != nil || at == 0 {
+	pos, response, err = parseTailElements(b, pos, count-1)
+	if err != nil || pos == 0 {
 		return 0, upstream.Response{}, err
 	}
 	if response.Result = fleet.Completed; value == nil {
@@ -87,10 +87,10 @@
 	} else {
 		response.Value = append([]byte{}, value...)
 	}
-	return at, response, nil
+	return pos, response, nil
 }
 
-// ParseTail implements upstream.Protocol: it parses the line end of a large value and the elements behind it.
+// ParseTail implements upstream.Protocol. It parses the line end after a large value and the array elements that follow.
 func (Protocol) ParseTail(b []byte, head upstream.Response) (upstream.Tail, error) {
 	if len(b) > 0 && b[0] != '\r' || len(b) > 1 && b[1] != '\n' {
 		return upstream.Tail{}, errMalformed
@@ -98,24 +98,24 @@
 	if len(b) < len(lineEnd) {
 		return upstream.Tail{}, nil
 	}
-	n, response, err := parseTailParts(b, len(lineEnd), head.TailParts)
+	n, response, err := parseTailElements(b, len(lineEnd), head.TailElements)
 	response.Result = fleet.Completed
-	return upstream.Tail{Sound: true, Complete: n > 0 && err == nil, Length: n, Response: response}, err
+	return upstream.Tail{ValueEnded: true, Complete: n > 0 && err == nil, Length: n, Response: response}, err
 }
 
-// parseTailParts parses the elements behind the value, count of them from a position: how the server came by the value, and
-// its load report. It returns the position behind them, or 0 while they are incomplete.
-func parseTailParts(b []byte, at, count int) (int, upstream.Response, error) {
-	var parts [maxElements - 1][]byte
+// parseTailElements parses the elements that follow the value, count of them, from position pos. The first two are the cache status
+// and the load report; others are ignored. It returns the position after the last one, or 0 while they are incomplete.
+func parseTailElements(b []byte, pos, count int) (int, upstream.Response, error) {
+	var elements [maxElements - 1][]byte
 	for i := range count {
 		var complete bool
 		var err error
-		if parts[i], at, complete, err = nextBulk(b, at); err != nil || !complete {
+		if elements[i], pos, complete, err = nextBulk(b, pos); err != nil || !complete {
 			return 0, upstream.Response{}, err
 		}
 	}
-	response := upstream.Response{Report: upstream.ParseReport(parts[1])}
-	switch string(parts[0]) {
+	response := upstream.Response{Report: upstream.ParseReport(elements[1])}
+	switch string(elements[0]) {
 	case "hit":
 		response.Cache = fleet.CacheHit
 	case "miss":
@@ -123,13 +123,13 @@
 	case "pending":
 		response.Cache = fleet.CacheMissFetching
 	}
-	return at, response, nil
+	return pos, response, nil
 }
 
-// largeValue returns the size of the value at a position, and where its bytes begin, if it is too large to be buffered but
-// may be passed on; otherwise zeros.
-func largeValue(b []byte, at int) (size int64, start int) {
-	line, next, err := nextLine(b, at)
+// parseLargeValueHeader parses the header of the bulk string at position pos. It returns the size of the value and the position of its
+// first byte if the value is too large to be buffered but not too large to be streamed; otherwise zeros.
+func parseLargeValueHeader(b []byte, pos int) (size int64, start int) {
+	line, next, err := nextLine(b, pos)
 	if err != nil || next == 0 || line[0] != '$' {
 		return 0, 0
 	}
@@ -140,7 +140,8 @@
 	return int64(n), next
 }
 
-// parseErrorLine parses an error line, whose last word may be a load report. Only BUSY shows that the attempt did not run.
+// parseErrorLine parses an error line, whose last word may be a load report. Only the error BUSY proves that the request was not
+// executed.
 func parseErrorLine(line []byte) upstream.Response {
 	response := upstream.Response{Result: fleet.Failed, Report: fleet.NewLoadReport()}
 	words := bytes.Fields(line)
@@ -156,23 +157,23 @@
 	return response
 }
 
-// nextLine returns the line at a position, and where the next one begins; 0 while it is incomplete.
-func nextLine(b []byte, at int) (line []byte, next int, err error) {
-	i := bytes.IndexByte(b[at:], '\n')
+// nextLine returns the line at position pos without its end, and the position after it; 0 while the line is incomplete.
+func nextLine(b []byte, pos int) (line []byte, next int, err error) {
+	i := bytes.IndexByte(b[pos:], '\n')
 	switch {
-	case i < 0 && len(b)-at > maxLine || i > maxLine:
+	case i < 0 && len(b)-pos > maxLine || i > maxLine:
 		return nil, 0, errTooLong
 	case i < 0:
 		return nil, 0, nil
-	case i < len(lineEnd) || b[at+i-1] != '\r':
+	case i < len(lineEnd) || b[pos+i-1] != '\r':
 		return nil, 0, errMalformed
 	}
-	return b[at : at+i-1], at + i + 1, nil
+	return b[pos : pos+i-1], pos + i + 1, nil
 }
 
-// nextBulk returns the bulk string at a position, nil for null, the position behind it, and whether it is complete.
-func nextBulk(b []byte, at int) (value []byte, next int, complete bool, err error) {
-	line, next, err := nextLine(b, at)
+// nextBulk returns the bulk string at position pos (nil for a null), the position after it, and whether it is complete.
+func nextBulk(b []byte, pos int) (value []byte, next int, complete bool, err error) {
+	line, next, err := nextLine(b, pos)
 	if next == 0 || err != nil {
 		return nil, 0, false, err
 	}
--- a/internal/node/cacheserver/protocol_test.go
+++ b/internal/node/cacheserver/protocol_test.go
@@ -73,13 +73,13 @@
 // The elements behind a large value are parsed like those behind a small one, cut anywhere.
 func TestParseTail(t *testing.T) {
 	n, head, err := Protocol{}.ParseResponse([]byte("*3\r\n$70000\r\nvalue"))
-	if err != nil || n != 12 || head.LargeSize != 70000 {
+	if err != nil || n != 12 || head.LargeValueSize != 70000 {
 		t.Fatalf("%d, %+v, %v", n, head, err)
 	}
 	const tail = "\r\n$3\r\nhit\r\n$21\r\nutil=0.25,queue=3,x=9\r\n"
 	for cut := range len(tail) + 1 {
 		got, err := Protocol{}.ParseTail([]byte(tail[:cut]), head)
-		if err != nil || got.Sound != (cut >= 2) || got.Complete != (cut == len(tail)) {
+		if err != nil || got.ValueEnded != (cut >= 2) || got.Complete != (cut == len(tail)) {
 			t.Errorf("%q: %+v, %v", tail[:cut], got, err)
 		}
 		if r := got.Response; got.Complete && (got.Length != len(tail) || r.Result != fleet.Completed || r.Cache != fleet.CacheHit || r.Report.Queue != 3) {
--- a/internal/node/origin/golden_test.go
+++ b/internal/node/origin/golden_test.go
@@ -61,13 +61,13 @@
 	}{{"large", false}, {"large-provisional", true}} {
 		in := golden[c.name]
 		n, head, err := Protocol{}.ParseResponse([]byte(in + "rest"))
-		want := upstream.Response{Result: fleet.Completed, Report: queue, LargeSize: 70_000, Close: c.last}
+		want := upstream.Response{Result: fleet.Completed, Report: queue, LargeValueSize: 70_000, Close: c.last}
 		if err != nil || n != len(in) || !protocoltest.Equal(head, want) {
 			t.Errorf("%s: %d bytes, %+v, %v", c.name, n, head, err)
 		}
 		tail, err := Protocol{}.ParseTail([]byte("rest"), head)
-		want.LargeSize = 0
-		if err != nil || tail.Length != 0 || !tail.Sound || !tail.Complete || !protocoltest.Equal(tail.Response, want) {
+		want.LargeValueSize = 0
+		if err != nil || tail.Length != 0 || !tail.ValueEnded || !tail.Complete || !protocoltest.Equal(tail.Response, want) {
 			t.Errorf("after %s: %+v, %v", c.name, tail, err)
 		}
 	}
--- a/internal/node/origin/protocol.go
+++ b/internal/node/origin/protocol.go
@@ -1,5 +1,5 @@
-// Package origin implements HTTP/1.1 with the origin. Requests are encoded here and not by net/http, whose transport repeats
-// some by itself.
+// Package origin implements the HTTP/1.1 client protocol for the origin. It does not use the transport of net/http, which retries
+// some requests by itself.
 package origin
 
 import (
@@ -23,24 +23,25 @@
 type Protocol struct{}
 
 const (
-	maxHead    = 8 << 10  // bytes of a response's head
-	maxReparse = 16 << 10 // bytes of a chunked response that is parsed again with each read until it is complete
+	maxHead    = 8 << 10  // longest response head, in bytes
+	maxReparse = 16 << 10 // bytes of a chunked response up to which it is parsed anew after each read
 
-	declinedHeader   = "Srv-Declined" // 1: the request did not run
+	declinedHeader   = "Srv-Declined" // 1: the request was not executed
 	loadReportHeader = "Srv-Load"
 )
 
 // headEnd ends the head of a response.
 var headEnd = []byte("\r\n\r\n")
 
-// readerPool reuses readers. Their size bounds the trailer of a chunked response, of which net/http needs all at once.
+// readerPool reuses readers. Their size limits the trailer of a chunked response, because net/http reads a trailer only if all of it
+// fits into the reader's buffer.
 var readerPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, maxHead) }}
 
 var errTooLong = errors.New("response too long")
 
-// AppendRequest implements upstream.Protocol. The client's extra list is forwarded as it is, but for the time limit: with
-// the client's own in an attempt after the first, the origin worked for clients that had long given up.
-func (Protocol) AppendRequest(b []byte, request *exchange.Exchange, limit float64) []byte {
+// AppendRequest implements upstream.Protocol. It forwards the client's extra list with the node's timeout in place of the client's:
+// with the client's timeout in a retry, the origin executed requests for clients that had already given up.
+func (Protocol) AppendRequest(b []byte, request *exchange.Exchange, timeout float64) []byte {
 	method := "GET /"
 	if request.Write {
 		method = "PUT /"
@@ -50,7 +51,7 @@
 	b = append(b, " HTTP/1.1\r\nHost: origin\r\nReq-Id: "...)
 	b = append(b, request.ID...)
 	b = append(b, "\r\nReq-Extra: "...)
-	b = append(b, upstream.ForwardedExtra(request.Extra, limit)...)
+	b = append(b, upstream.ForwardedExtra(request.Extra, timeout)...)
 	if request.Write {
 		b = append(b, "\r\nContent-Length: "...)
 		b = strconv.AppendInt(b, request.ValueLength(), 10)
@@ -62,7 +63,7 @@
 	return b
 }
 
-// ValueTerminator implements upstream.Protocol: nothing follows a body.
+// ValueTerminator implements upstream.Protocol. Nothing follows an HTTP body.
 func (Protocol) ValueTerminator() string { return "" }
 
 // ParseResponse implements upstream.Protocol.
@@ -80,14 +81,14 @@
 		return parseLargeHead(b, resp)
 	}
 	if resp.ContentLength < 0 && !chunked {
-		return 0, upstream.Response{}, upstream.ErrUnsized // it ends with the connection
+		return 0, upstream.Response{}, upstream.ErrUnsized // the body ends with the connection
 	}
 	value, err := io.ReadAll(io.LimitReader(resp.Body, exchange.MaxBufferedValue+1))
 	switch {
 	case len(value) > exchange.MaxBufferedValue || err != nil && len(b) > maxReparse:
-		return 0, upstream.Response{}, upstream.ErrUnsized // chunked, and not complete soon
+		return 0, upstream.Response{}, upstream.ErrUnsized // chunked, and longer than is parsed anew after each read
 	case err != nil && strings.Contains(err.Error(), io.ErrUnexpectedEOF.Error()):
-		return 0, upstream.Response{}, nil // net/http has an error of its own for the end within a trailer
+		return 0, upstream.Response{}, nil // compared as text: net/http has an unexported error for a truncated trailer
 	case err != nil:
 		return 0, upstream.Response{}, fmt.Errorf("read response body: %w", err)
 	}
@@ -98,8 +99,8 @@
 	return len(b) - src.Len() - buf.Buffered(), response, nil
 }
 
-// readHead reads the head of the response at the beginning of b, through a reader of b. Any number of provisional responses may
-// precede it. It returns nil without an error while the head is incomplete.
+// readHead reads the head of the response at the beginning of b, and skips informational (1xx) responses before it. The reader r reads
+// from b. It returns nil without an error while the head is incomplete.
 func readHead(b []byte, r *bufio.Reader) (*http.Response, error) {
 	for rest := b; ; {
 		length := bytes.Index(rest, headEnd)
@@ -110,15 +111,15 @@
 			return nil, nil
 		}
 		resp, err := readResponse(r)
-		if err != nil || !isProvisional(resp) {
+		if err != nil || !isInformational(resp) {
 			return resp, err
 		}
 		rest = rest[length+len(headEnd):]
 	}
 }
 
-// readResponse reads the head of one response. Its body is not closed anywhere: that would read on to the end of the body, while
-// the connection is the caller's.
+// readResponse reads the head of one response. The response's body is never closed: Close would read on to the end of the body, and
+// the caller, not the body, owns the connection.
 func readResponse(r *bufio.Reader) (*http.Response, error) {
 	resp, err := http.ReadResponse(r, nil)
 	if err != nil {
@@ -127,33 +128,33 @@
 	return resp, nil
 }
 
-func isProvisional(resp *http.Response) bool { return resp.StatusCode/100 == 1 }
+func isInformational(resp *http.Response) bool { return resp.StatusCode/100 == 1 }
 
-// parseLargeHead parses the head of a response whose value is passed on in pieces. Only a successful response may be so large.
+// parseLargeHead parses the head of a response whose value is streamed. Only a response with status 200 may have such a value.
 func parseLargeHead(b []byte, resp *http.Response) (int, upstream.Response, error) {
 	if resp.ContentLength > exchange.MaxStreamedValue || resp.StatusCode != http.StatusOK {
 		return 0, upstream.Response{}, errTooLong
 	}
 	response := upstream.Response{
-		Result: fleet.Completed, Close: resp.Close, LargeSize: resp.ContentLength, Report: loadReport(resp),
+		Result: fleet.Completed, Close: resp.Close, LargeValueSize: resp.ContentLength, Report: loadReport(resp),
 	}
 	return headLength(b), response, nil
 }
 
-// headLength returns the length of a complete head, with the provisional responses before it.
+// headLength returns the length of a complete head, including the informational responses before it.
 func headLength(b []byte) int {
 	const statusStart, minStatusLine = len("HTTP/1.1 "), len("HTTP/1.1 200 ")
-	at := 0
+	end := 0
 	for {
-		from := at
-		at += bytes.Index(b[at:], headEnd) + len(headEnd)
-		if line := b[from:]; len(line) < minStatusLine || line[statusStart] != '1' {
-			return at
+		start := end
+		end += bytes.Index(b[end:], headEnd) + len(headEnd)
+		if line := b[start:]; len(line) < minStatusLine || line[statusStart] != '1' {
+			return end
 		}
 	}
 }
 
-// responseFromHead returns what the head of a response says.
+// responseFromHead converts the head of a response. The value is not set.
 func responseFromHead(resp *http.Response) upstream.Response {
 	response := upstream.Response{Result: fleet.Failed, Close: resp.Close, Report: loadReport(resp)}
 	switch resp.StatusCode {
@@ -171,20 +172,21 @@
 	return upstream.ParseReport([]byte(resp.Header.Get(loadReportHeader)))
 }
 
-// ParseTail implements upstream.Protocol: nothing follows a value of announced length.
+// ParseTail implements upstream.Protocol. Nothing follows a value of announced length.
 func (Protocol) ParseTail(_ []byte, head upstream.Response) (upstream.Tail, error) {
-	head.LargeSize = 0
-	return upstream.Tail{Sound: true, Complete: true, Response: head}, nil
+	head.LargeValueSize = 0
+	return upstream.Tail{ValueEnded: true, Complete: true, Response: head}, nil
 }
 
-// ReadUnsized implements upstream.UnsizedReader for a chunked response, or one that ends with its connection. The latter is
-// complete if the server closes in order (RFC 9112, section 8); a process that dies resets its connections, which is an error.
+// ReadUnsized implements upstream.UnsizedReader for a chunked response and for one that ends with its connection. A response that ends
+// with its connection is complete if the server closes the connection normally (RFC 9112, section 8). A server process that dies resets
+// its connections, which is an error.
 func (Protocol) ReadUnsized(r io.Reader, write func([]byte) error) (upstream.Response, error) {
 	buf := readerPool.Get().(*bufio.Reader)
 	buf.Reset(r)
 	defer readerPool.Put(buf)
 	resp, err := readResponse(buf) //nolint:bodyclose // see readResponse
-	for err == nil && isProvisional(resp) {
+	for err == nil && isInformational(resp) {
 		resp, err = readResponse(buf) //nolint:bodyclose // see readResponse
 	}
 	if err != nil {
--- a/internal/node/sockstate/sockstate.go
+++ b/internal/node/sockstate/sockstate.go
@@ -10,12 +10,12 @@
 	"golang.org/x/sys/unix"
 )
 
-// Peek reports whether bytes have arrived that nobody has read yet, and whether the other end has closed the connection or it is broken.
-// Of a connection other than TCP it reports neither.
+// Peek reports whether unread bytes have arrived on a TCP connection, and whether the peer has closed the connection or it is broken.
+// For other connections it reports false for both.
 //
-// A reader is woken a moment after bytes have arrived. Whoever closes or reuses a connection because its reader has seen nothing peeks
-// first: closing over unread bytes resets the connection, which destroys a response on its way, and what is written to a closed one is
-// lost.
+// A reader goroutine wakes up only some time after bytes have arrived. Before a connection is closed or reused as idle, call Peek:
+// closing a connection with unread bytes resets it, which destroys a response in transit, and bytes written to a connection that the
+// peer has closed are lost.
 func Peek(conn net.Conn) (readable, closed bool) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -30,7 +30,7 @@
 	return readable, closed || err != nil
 }
 
-// HasPending reports whether a connection waits to be accepted. Of a listener other than TCP it reports that none does.
+// HasPending reports whether a connection waits to be accepted. For a listener without a file descriptor it reports false.
 func HasPending(listener net.Listener) (pending bool) {
 	tcp, ok := listener.(syscall.Conn)
 	if !ok {
@@ -39,12 +39,12 @@
 	err := control(tcp, func(fd uintptr) {
 		poll := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLIN}}
 		n, err := unix.Poll(poll, 0)
-		pending = n > 0 || errors.Is(err, unix.EINTR) // the caller asks again
+		pending = n > 0 || errors.Is(err, unix.EINTR) // the caller will call again
 	})
 	return pending && err == nil
 }
 
-// States of a TCP connection in which the other end has ended it or it is broken (include/net/tcp_states.h of Linux).
+// States of a TCP connection that the peer has closed or that is broken (include/net/tcp_states.h of Linux).
 const (
 	tcpClose     = 7
 	tcpCloseWait = 8
@@ -52,11 +52,11 @@
 	tcpClosing   = 11
 )
 
-// tcpInfoBytes is enough of struct tcp_info for its first byte, the state.
+// tcpInfoBytes is the size of the part of struct tcp_info that is read. Only its first byte, the state, is used.
 const tcpInfoBytes = 8
 
-// EndedByPeer reports whether the other end has closed a TCP connection, or it is broken, also where bytes before that were not read yet. Where
-// the system does not say, it reports false.
+// EndedByPeer reports whether the peer has closed a TCP connection or it is broken, even if unread bytes precede the close. If the
+// system does not provide the state, it reports false.
 func EndedByPeer(conn net.Conn) (ended bool) {
 	tcp, ok := conn.(*net.TCPConn)
 	if !ok {
@@ -78,7 +78,7 @@
 	return ended || err != nil
 }
 
-// control calls a function with the descriptor of a connection or a listener, which stays open meanwhile. The error says that it is closed.
+// control calls f with the descriptor of a connection or listener, which stays open during the call. It fails if conn is closed.
 func control(conn syscall.Conn, f func(fd uintptr)) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -9,14 +9,14 @@
 	"mintspring/internal/node/exchange"
 )
 
-// Send starts an attempt of a request, which times out after limit ms. It is not sent any more after sendBy: its
-// connection may be opened so late that the server would not recognize a repeated request any more.
-func (e *Endpoint) Send(request *exchange.Exchange, number int, limit, sendBy float64) *Attempt {
+// Send starts an attempt of a request, which times out after timeout ms. The attempt is cancelled if it is not sent by sendBy: if
+// its connection is opened later than that, the server may no longer recognize a repeated request.
+func (e *Endpoint) Send(request *exchange.Exchange, number int, timeout, sendBy float64) *Attempt {
 	now := e.group.Clock.Now()
-	a := &Attempt{Request: request, Number: number, SentAt: now, Deadline: now + limit, SendBy: sendBy}
+	a := &Attempt{Request: request, Number: number, SentAt: now, Deadline: now + timeout, SendBy: sendBy}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	a.timer = time.AfterFunc(clock.Duration(limit), func() { e.fail(a, fleet.TimedOut, errTimeout) })
+	a.timer = time.AfterFunc(clock.Duration(timeout), func() { e.fail(a, fleet.TimedOut, errTimeout) })
 	if sendBy < a.Deadline {
 		time.AfterFunc(clock.Duration(max(0, sendBy-now)), func() { e.CancelUnsent(a) })
 	}
@@ -35,8 +35,8 @@
 	}
 }
 
-// BodyComplete records that the body of an attempt's request has arrived completely from the client: the attempt counts as
-// sent now, and times out at the deadline.
+// BodyComplete records that the client has sent the whole body of an attempt's request. It sets the attempt's SentAt to the
+// present time and moves its timeout to the deadline.
 func (e *Endpoint) BodyComplete(a *Attempt, deadline float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -46,28 +46,28 @@
 	}
 }
 
-// deadline returns when an attempt times out, which BodyComplete may change.
+// deadline returns when an attempt times out. BodyComplete may change this time concurrently.
 func (e *Endpoint) deadline(a *Attempt) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return a.Deadline
 }
 
-// Cancel ends an attempt. Its connection is closed.
+// Cancel ends an attempt and closes its connection.
 func (e *Endpoint) Cancel(a *Attempt) { e.fail(a, fleet.Cancelled, errCancelled) }
 
-// CancelUnsent ends an attempt unless its last byte has been sent, since its server would run it for nobody. One that has
-// been sent goes on: a new connection costs more than the rest of its response.
+// CancelUnsent ends an attempt whose last byte has not been sent, so that the server does not execute a request that no client
+// waits for. An attempt that has been sent continues: opening a new connection costs more than reading the rest of the response.
 func (e *Endpoint) CancelUnsent(a *Attempt) {
 	e.mu.Lock()
-	written := a.written
+	sent := a.lastByteSent
 	e.mu.Unlock()
-	if !written {
+	if !sent {
 		e.fail(a, fleet.Cancelled, errWithdrawn)
 	}
 }
 
-// markEnded marks an attempt as ended and reports whether it was not before. Called with the mutex held.
+// markEnded marks an attempt as ended, and reports false if it had already ended. Called with the mutex held.
 func (e *Endpoint) markEnded(a *Attempt) bool {
 	if a.ended {
 		return false
@@ -77,8 +77,8 @@
 	return true
 }
 
-// fail ends an attempt without a response, unless it has ended already. Its connection is closed: as long as that is open the
-// attempt counts as in flight, and its late response would be read as that of the next attempt.
+// fail ends an attempt without a response, unless it has already ended, and closes its connection. On an open connection the
+// attempt would still be in flight, and its late response would be read as the response to the next attempt.
 func (e *Endpoint) fail(a *Attempt, result fleet.Result, cause error) {
 	e.mu.Lock()
 	if !e.markEnded(a) {
@@ -100,17 +100,17 @@
 	e.group.OnDone(a, Completion{EndedAt: e.group.Clock.Now(), Failure: failure})
 }
 
-// abandon detaches a failed attempt from its connection and closes that, except that an unsized response is read to its end
-// after a timeout. Called with the mutex held.
+// abandon detaches a failed attempt from its connection and closes the connection. Exception: if the attempt timed out while an
+// unsized response was being read, the response is read to its end and dropped. Called with the mutex held.
 func (e *Endpoint) abandon(c *conn, result fleet.Result) {
 	e.detach(c)
 	if !c.readingUnsized || result != fleet.TimedOut {
-		// Also while a response arrives: the request may be attempted again, and must not be in flight twice.
+		// A connection on which a response is arriving is closed too: the request may be retried, and must not be in flight twice.
 		e.pool.CloseConn(c)
 		return
 	}
 	c.discarding.Store(true)
-	if limit := e.group.StreamStallTimeout; limit > 0 { // the response may never end
-		time.AfterFunc(clock.Duration(limit), func() { e.closeConn(c) })
+	if timeout := e.group.StreamStallTimeout; timeout > 0 { // the response may never end
+		time.AfterFunc(clock.Duration(timeout), func() { e.closeConn(c) })
 	}
 }
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -316,7 +316,7 @@
 	e := r.send("gone", 4000)
 	for sent := false; !sent; time.Sleep(time.Millisecond) {
 		r.endpoint.mu.Lock()
-		sent = e.written
+		sent = e.lastByteSent
 		r.endpoint.mu.Unlock()
 	}
 	r.endpoint.CancelUnsent(e)
--- a/internal/node/upstream/conn.go
+++ b/internal/node/upstream/conn.go
@@ -12,13 +12,13 @@
 	"mintspring/internal/node/exchange"
 )
 
-// conn is one connection. It has one goroutine that writes and one that reads, so that a server that closes it is noticed
-// at once. Both end when the connection is closed.
+// conn is one connection. It has one goroutine that writes and one that reads, so that a close by the server is noticed at
+// once. Both goroutines end when the connection is closed.
 type conn struct {
 	connpool.Conn
 	endpoint *Endpoint
 	net      net.Conn
-	attempts chan *Attempt // assigned by the pool, at most one at a time; closed with the connection
+	attempts chan *Attempt // attempts assigned by the pool, at most one at a time; closed with the connection
 
 	discarding atomic.Bool // the rest of an unsized response is read and dropped
 
@@ -26,7 +26,7 @@
 	current        *Attempt
 	writing        bool
 	readingUnsized bool  // the response is read to its end even if its attempt times out
-	readErr        error // why the reader failed while the writer was writing
+	readErr        error // error of the reader if it failed while the writer was writing
 }
 
 // startConn starts the goroutines of a connection.
@@ -40,7 +40,7 @@
 	return c
 }
 
-// setReadTimeout sets how long reading may take from now on, in ms; 0: for ever.
+// setReadTimeout sets the read deadline to ms from now; 0 removes it.
 func (c *conn) setReadTimeout(ms float64) {
 	deadline := time.Time{}
 	if ms > 0 {
@@ -49,20 +49,20 @@
 	_ = c.net.SetReadDeadline(deadline) // fails only on a closed connection, and then reading fails too
 }
 
-// fail ends the connection and the attempt on it. The attempt's progress tells how far that had come. Only the writer knows
-// whether the last byte was sent, so a reader that fails meanwhile leaves the attempt to it.
+// fail ends the connection and the attempt on it. The attempt's progress determines whether it may have been executed. Only the
+// writer knows whether the last byte was sent: if the reader fails during a write, the writer ends the attempt.
 func (c *conn) fail(cause error) {
 	c.endpoint.mu.Lock()
 	c.failAndUnlock(cause)
 }
 
-// failAndUnlock is fail with the endpoint's mutex held, which it unlocks.
+// failAndUnlock does the work of fail. It is called with the endpoint's mutex held, and unlocks it.
 func (c *conn) failAndUnlock(cause error) {
 	e := c.endpoint
 	e.pool.RemoveUnused(c)
 	a := c.current
 	if c.Used && a != nil && a.progress == exchange.NotConnected {
-		e.requeue(c) // the server closed the connection while it was idle, which says nothing about the attempt
+		e.requeue(c) // the server closed the idle connection before the attempt was sent
 		e.mu.Unlock()
 		return
 	}
@@ -70,7 +70,7 @@
 	if c.writing {
 		c.readErr = cause
 		if a != nil && a.Request.Body != nil {
-			a.Request.Body.CloseReader(cause) // the writer may be waiting for more of it
+			a.Request.Body.CloseReader(cause) // the writer may be waiting for more of the body
 		}
 		e.mu.Unlock()
 		return
@@ -81,12 +81,12 @@
 		e.mu.Unlock()
 		return
 	}
-	a.staleConn = e.forgottenByServer(c, a)
+	a.staleConn = e.handleStale(c, a)
 	e.mu.Unlock()
 	e.fail(a, fleet.Reset, cause)
 }
 
-// recoverPanic ends the connection after a panic in one of its goroutines. The attempt on it may have run.
+// recoverPanic ends the connection after a panic in one of its goroutines. The attempt on it may have been executed.
 func (c *conn) recoverPanic() {
 	if p := recover(); p != nil {
 		c.fail(fmt.Errorf("panic: %v", p))
@@ -94,13 +94,13 @@
 	}
 }
 
-// staleIdleDivisor divides the connect timeout into the time that a connection must have been idle to count as forgotten.
+// staleIdleDivisor defines stale connections: those idle for at least ConnectTimeout/staleIdleDivisor before they broke.
 const staleIdleDivisor = 5
 
-// forgottenByServer reports whether a connection broke because its server, or a middlebox, had forgotten it while it was
-// idle, as some do without closing it. Connections idle for as long are closed, since the next attempts would fail alike. Called
-// with the mutex held.
-func (e *Endpoint) forgottenByServer(c *conn, a *Attempt) bool {
+// handleStale reports whether a connection probably broke because the server or a middlebox dropped it while it was idle,
+// without closing it. If so, it also closes the other connections that have been idle for as long, on which the next attempts
+// would fail in the same way. Called with the mutex held.
+func (e *Endpoint) handleStale(c *conn, a *Attempt) bool {
 	if a.progress == exchange.ResponseStarted || c.IdleBefore < e.group.ConnectTimeout/staleIdleDivisor {
 		return false
 	}
@@ -108,8 +108,8 @@
 	return true
 }
 
-// requeue closes a connection on which nothing of its attempt was sent, and has the attempt wait for another. Called with
-// the mutex held.
+// requeue closes a connection on which no byte of its attempt was sent, and enqueues the attempt for another connection.
+// Called with the mutex held.
 func (e *Endpoint) requeue(c *conn) {
 	a := c.current
 	e.detach(c)
--- a/internal/node/upstream/endpoint.go
+++ b/internal/node/upstream/endpoint.go
@@ -28,7 +28,7 @@
 	timer *time.Timer // calls tick
 }
 
-// New adds an endpoint to a group. No attempt may go to it before SetTarget. The name identifies the server.
+// New adds an endpoint to a group. It accepts no attempts until SetTarget is called. The name identifies the server.
 func New(group *Group, protocol Protocol, name string, config connpool.Config) *Endpoint {
 	hash := fnv.New64a()
 	hash.Write([]byte(name)) //nolint:errcheck // a hash never fails
@@ -41,10 +41,11 @@
 	return e
 }
 
-// Remove removes the endpoint of a server that no longer exists from its group.
+// Remove removes the endpoint from its group, once its server no longer exists.
 func (e *Endpoint) Remove() { e.group.remove(e) }
 
-// poolOwner carries out what the endpoint's pool decides, with the endpoint's mutex held.
+// poolOwner implements connpool.Owner: it carries out the pool's decisions on real connections. The pool calls it with the
+// endpoint's mutex held.
 type poolOwner struct{ *Endpoint }
 
 // Dial implements connpool.Owner.
@@ -56,17 +57,17 @@
 	c.attempts <- a
 }
 
-// CloseConn implements connpool.Owner. The connection's goroutines end by that.
+// CloseConn implements connpool.Owner. It makes the connection's goroutines end.
 func (o poolOwner) CloseConn(c *conn) {
 	close(c.attempts)
-	_ = c.net.Close() // nothing is written any more
+	_ = c.net.Close() // an error has no consequence: nothing more is written
 	o.group.Sockets.Release(fdlimit.Server)
 }
 
 // TickAfter implements connpool.Owner.
 func (o poolOwner) TickAfter(ms float64) { o.timer.Reset(clock.Duration(ms)) }
 
-// tick does what is due in the pool.
+// tick runs the pool's due work, and fails the attempts that have waited too long for a connection.
 func (e *Endpoint) tick() {
 	e.mu.Lock()
 	timedOut := e.pool.Tick(e.group.Clock.Now())
@@ -76,11 +77,11 @@
 	}
 }
 
-// SetTarget sets the server's address and whether attempts may go to it. Connections to an earlier address are not reused.
-// Where attempts may not go any more, those that wait for a connection fail as not sent.
-func (e *Endpoint) SetTarget(addr string, open bool) {
+// SetTarget sets the server's address and whether it is available for attempts. Connections to an earlier address are not
+// reused. If the server is unavailable, attempts that wait for a connection fail as not sent.
+func (e *Endpoint) SetTarget(addr string, available bool) {
 	e.mu.Lock()
-	removed := e.pool.SetTarget(e.group.Clock.Now(), addr, open)
+	removed := e.pool.SetTarget(e.group.Clock.Now(), addr, available)
 	e.mu.Unlock()
 	for _, a := range removed {
 		e.fail(a, fleet.NotSent, errUnavailable)
@@ -101,7 +102,7 @@
 	return e.pool.State()
 }
 
-// SetQuota sets this node's share of the connections that all nodes together may open.
+// SetQuota sets this node's share of the rate at which all nodes together may open connections to the server.
 func (e *Endpoint) SetQuota(quota quota.Allowance) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -109,15 +110,15 @@
 	e.pool.Dispatch(e.group.Clock.Now())
 }
 
-// Demand returns the fraction of the connections that all nodes may open that this node could use.
+// Demand returns the fraction of that rate which this node could use, measured since the last call.
 func (e *Endpoint) Demand(now float64) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.pool.Policy.Demand(now)
 }
 
-// Reap closes connections that have been unused for so long that the server may close them at any time, and those not
-// needed any more. It opens what the pool's policy keeps open.
+// Reap closes connections that have been unused for so long that the server may close them at any time, and connections that
+// are no longer needed. It opens connections up to the number that the pool's policy keeps open.
 func (e *Endpoint) Reap() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -147,30 +148,31 @@
 func (e *Endpoint) ReportedDuplicates() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.resetSuspected(e.pool.ReportedDuplicates())
+	e.failOnSuspectedConns(e.pool.ReportedDuplicates())
 }
 
-// unsolicited records that bytes arrived on a connection without a request. Called with the mutex held.
-func (e *Endpoint) unsolicited(now float64, c *conn) {
+// recordUnsolicited records that bytes arrived on a connection without a request. Called with the mutex held.
+func (e *Endpoint) recordUnsolicited(now float64, c *conn) {
 	wasSuspected := e.pool.Policy.Suspected()
-	e.resetSuspected(e.pool.Unsolicited(now, c))
+	e.failOnSuspectedConns(e.pool.Unsolicited(now, c))
 	if e.group.OnDuplicates != nil && !wasSuspected && e.pool.Policy.Suspected() {
 		go e.group.OnDuplicates(e)
 	}
 }
 
-// resetSuspected fails the attempts on connections where a duplicate may pass for the response. Called with the mutex held.
-func (e *Endpoint) resetSuspected(conns []*conn) {
+// failOnSuspectedConns fails the attempts on connections where a duplicate could be read as their response. Called with the mutex
+// held.
+func (e *Endpoint) failOnSuspectedConns(conns []*conn) {
 	for _, c := range conns {
 		if a := c.current; a != nil && a.progress < exchange.ResponseStarted {
-			go e.fail(a, fleet.Reset, errSuspected)
+			go e.fail(a, fleet.Reset, errDuplicatesSuspected)
 		}
 	}
 }
 
-// dial opens one connection, for whichever attempt is first then.
+// dial opens one connection and gives it to the pool, which assigns it to the attempt that has waited longest.
 func (e *Endpoint) dial(addr string) {
-	began := e.group.Clock.Now()
+	startedAt := e.group.Clock.Now()
 	netConn, result, err := e.connect(addr)
 	e.mu.Lock()
 	now := e.group.Clock.Now()
@@ -179,14 +181,14 @@
 		e.mu.Unlock()
 		return
 	}
-	failed := e.pool.DialFailed(now, began, result == fleet.ConnectFailed)
+	failed := e.pool.DialFailed(now, startedAt, result == fleet.ConnectFailed)
 	e.mu.Unlock()
 	for _, a := range failed {
 		e.fail(a, result, err)
 	}
 }
 
-// connect opens a network connection. With an error, result is what that means for an attempt.
+// connect opens a network connection. If it fails, result is the outcome for an attempt that needed the connection.
 func (e *Endpoint) connect(addr string) (netConn net.Conn, result fleet.Result, err error) {
 	if !e.group.Sockets.Acquire(fdlimit.Server) {
 		return nil, fleet.NotSent, errNoDescriptor
@@ -204,14 +206,15 @@
 	return netConn, fleet.ConnectFailed, err
 }
 
-// localDialErrnos are the errors of socket(2), bind(2) and connect(2) that this machine itself is the reason of: no descriptor, buffer,
-// memory, port or route, or a rule of its own firewall.
+// localDialErrnos are the errors of socket(2), bind(2) and connect(2) that are caused by this machine: no free descriptor, buffer,
+// memory or port, no route, or a rule of its own firewall.
 var localDialErrnos = [...]error{
 	syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EAGAIN, syscall.EADDRNOTAVAIL, syscall.EADDRINUSE,
 	syscall.ENETUNREACH, syscall.ENETDOWN, syscall.EACCES, syscall.EPERM, syscall.EINTR,
 }
 
-// isLocalDialFailure reports whether a dial failed for a reason that says nothing of the server: all servers may be hit by it at once.
+// isLocalDialFailure reports whether a dial failed because of this machine. Such an error does not count against the server, since it
+// may affect dials to all servers at once.
 func isLocalDialFailure(err error) bool {
 	return slices.ContainsFunc(localDialErrnos[:], func(errno error) bool { return errors.Is(err, errno) })
 }
--- a/internal/node/upstream/group.go
+++ b/internal/node/upstream/group.go
@@ -11,21 +11,22 @@
 	"mintspring/internal/node/memlimit"
 )
 
-// Group is what the endpoints of a node share. Its exported fields are set before the first endpoint is made.
+// Group holds the configuration and state that all endpoints of a node share. Its exported fields are set before the first
+// endpoint is created.
 type Group struct {
 	Clock   *clock.Clock
 	Sockets *fdlimit.Budget
-	Memory  *memlimit.Budget // for values that have to be buffered
+	Memory  *memlimit.Budget // for buffered values of unknown length
 
 	OnDone       func(*Attempt, Completion) // called once per attempt, from any goroutine; must not block
 	OnPanic      func(any)                  // a panic in a connection's goroutine, which closes that connection only
 	OnDuplicates func(*Endpoint)            // a server became suspected of duplicate responses; may be nil
 	Random       func() float64             // from [0,1), called from any goroutine; nil: always 0
 
-	Dialer             net.Dialer // opens connections; the zero value will do
+	Dialer             net.Dialer // opens connections; the zero value is usable
 	ConnectTimeout     float64    // ms
-	StallTimeout       float64    // ms that a begun response may pause; 0: for ever
-	StreamStallTimeout float64    // ms that a large value may pause, which cannot be requested again; 0: for ever
+	StallTimeout       float64    // ms that a response may stall once it has begun; 0: no limit
+	StreamStallTimeout float64    // the same for large and unsized values, which cannot be requested again; 0: no limit
 
 	counters connpool.Counters
 
@@ -33,7 +34,7 @@
 	endpoints []*Endpoint
 }
 
-// Stats count events of the node's pools since its start.
+// Stats counts events of the node's pools since its start.
 type Stats struct {
 	Opened       int // connections
 	Reused       int // attempts on a connection that had served another one
@@ -45,7 +46,7 @@
 	Suspected    int // times that a server became suspected of duplicate responses
 }
 
-// Stats returns the present counts.
+// Stats returns the current counts.
 func (g *Group) Stats() Stats {
 	c := &g.counters
 	return Stats{
@@ -68,7 +69,7 @@
 	g.endpoints = append(g.endpoints, e)
 }
 
-// remove leaves earlier snapshots of the endpoints as they are.
+// remove removes an endpoint. It copies the slice, because callers of snapshot may still be reading it.
 func (g *Group) remove(e *Endpoint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/node/upstream/harness_test.go
+++ b/internal/node/upstream/harness_test.go
@@ -38,7 +38,7 @@
 	case -1:
 		return Tail{}, nil
 	case 0:
-		return Tail{Sound: true, Complete: true, Length: 1, Response: Response{Result: fleet.Completed}}, nil
+		return Tail{ValueEnded: true, Complete: true, Length: 1, Response: Response{Result: fleet.Completed}}, nil
 	}
 	return Tail{}, errors.New("malformed tail")
 }
@@ -56,7 +56,7 @@
 	default:
 		if size, is := strings.CutPrefix(text, "large "); is {
 			n, _ := strconv.ParseInt(size, 10, 64)
-			return i + 1, Response{Result: fleet.Completed, LargeSize: n}, nil
+			return i + 1, Response{Result: fleet.Completed, LargeValueSize: n}, nil
 		}
 		return i + 1, Response{Result: fleet.Completed, Value: []byte(text), Close: text == "last"}, nil
 	}
--- a/internal/node/upstream/loadreport.go
+++ b/internal/node/upstream/loadreport.go
@@ -12,8 +12,8 @@
 // maxReportValue bounds the values of a load report; larger ones are ignored.
 const maxReportValue = 1e12
 
-// ParseReport parses a load report: name=value pairs separated by commas. Pairs that are malformed, or of unknown names, are
-// ignored.
+// ParseReport parses a load report: name=value pairs separated by commas. It ignores pairs that are malformed or have an unknown
+// name.
 func ParseReport(b []byte) fleet.LoadReport {
 	report := fleet.NewLoadReport()
 	for len(b) > 0 {
--- a/internal/node/upstream/pooling_test.go
+++ b/internal/node/upstream/pooling_test.go
@@ -317,7 +317,7 @@
 		if e.Failure == nil && string(e.Response.Value) != key {
 			wrong[key] = string(e.Response.Value)
 		}
-		if e.Failure != nil && !errors.Is(e.Failure, errSuspected) {
+		if e.Failure != nil && !errors.Is(e.Failure, errDuplicatesSuspected) {
 			t.Errorf("%s: %v; %+v", key, e.Failure, r.endpoint.pool.State())
 		}
 	}
--- a/internal/node/upstream/reader.go
+++ b/internal/node/upstream/reader.go
@@ -10,12 +10,12 @@
 
 // reader is the state of a connection's reading goroutine.
 type reader struct {
-	conn       *conn
-	in         ringbuf.Ring
-	stallTimer bool // a read deadline is set, since a response has begun
+	conn             *conn
+	in               ringbuf.Ring
+	stallDeadlineSet bool // a read deadline is set because a response has begun
 }
 
-// readLoop reads responses. Bytes that arrive without an attempt in flight end the connection.
+// readLoop reads responses until the connection ends. It closes the connection if bytes arrive while no attempt is in flight.
 func (c *conn) readLoop() {
 	r := &reader{conn: c}
 	defer r.in.Release()
@@ -43,7 +43,7 @@
 	a := c.current
 	switch {
 	case a == nil || c.Closed:
-		e.unsolicited(at, c)
+		e.recordUnsolicited(at, c)
 		e.pool.CloseConn(c)
 		e.pool.RemoveUnused(c)
 		e.pool.Dispatch(at)
@@ -51,11 +51,11 @@
 		return false
 	case a.Request.Body != nil && a.progress == exchange.PartiallyWritten:
 		e.mu.Unlock()
-		e.fail(a, fleet.Declined, errEarlyResponse) // whatever it says: without its last byte the attempt has not run
+		e.fail(a, fleet.Declined, errEarlyResponse) // regardless of its content: without its last byte the request was not executed
 		return false
 	case c.Used && a.progress < exchange.FullyWritten:
-		e.unsolicited(at, c)
-		e.requeue(c) // the bytes arrived before the attempt was sent, so they are no response to it
+		e.recordUnsolicited(at, c)
+		e.requeue(c) // the bytes arrived before the attempt was sent, so they are not its response
 		e.mu.Unlock()
 		return false
 	}
@@ -63,29 +63,30 @@
 	switch {
 	case unsized:
 		var ok bool
-		if response, ok = r.readUnsizedOf(a); !ok {
+		if response, ok = r.readUnsizedResponse(a); !ok {
 			return false
 		}
 		at, n = e.group.Clock.Now(), 0
 	case n == 0:
 		e.mu.Unlock()
-		r.startStallTimer()
+		r.setStallDeadline()
 		return true
 	}
-	return r.finish(a, n, response, at)
+	return r.completeAttempt(a, n, response, at)
 }
 
-// startStallTimer bounds the next read: a response that has begun and then stalls would cost the request all its time.
-func (r *reader) startStallTimer() {
-	r.stallTimer = r.conn.endpoint.group.StallTimeout > 0
-	if r.stallTimer {
+// setStallDeadline limits how long the next read may take. Without this limit a response that stalls after it has begun would use up
+// the request's remaining time.
+func (r *reader) setStallDeadline() {
+	r.stallDeadlineSet = r.conn.endpoint.group.StallTimeout > 0
+	if r.stallDeadlineSet {
 		r.conn.setReadTimeout(r.conn.endpoint.group.StallTimeout)
 	}
 }
 
-// readUnsizedOf reads an unsized response. It is called with the endpoint's mutex held, which it holds again when it
-// returns true; otherwise the connection is closed.
-func (r *reader) readUnsizedOf(a *Attempt) (Response, bool) {
+// readUnsizedResponse reads an unsized response. It is called with the endpoint's mutex held. If it returns true, the mutex is held
+// again; otherwise the mutex is unlocked and the connection closed.
+func (r *reader) readUnsizedResponse(a *Attempt) (Response, bool) {
 	c, e := r.conn, r.conn.endpoint
 	c.readingUnsized = true
 	e.mu.Unlock()
@@ -95,7 +96,7 @@
 		return Response{}, false
 	}
 	e.mu.Lock()
-	if c.current != a { // the attempt has ended meanwhile
+	if c.current != a { // the attempt has ended in the meantime
 		e.pool.CloseConn(c)
 		e.mu.Unlock()
 		if response.Stream != nil {
@@ -107,17 +108,18 @@
 	return response, true
 }
 
-// finish completes an attempt with its response, of which n bytes are in the ring, and releases the connection. It reports
-// whether to read on. It is called with the endpoint's mutex held, and unlocks it.
-func (r *reader) finish(a *Attempt, n int, response Response, at float64) bool {
+// completeAttempt completes an attempt with its response and releases the connection. It discards the first n bytes in the ring:
+// the response, or its part before a large value. It reports whether to read on. It is called with the endpoint's mutex held, and
+// unlocks it.
+func (r *reader) completeAttempt(a *Attempt, n int, response Response, at float64) bool {
 	c, e := r.conn, r.conn.endpoint
-	if r.stallTimer {
-		r.stallTimer = false
+	if r.stallDeadlineSet {
+		r.stallDeadlineSet = false
 		c.setReadTimeout(0)
 	}
 	r.in.Discard(n)
-	if response.LargeSize > 0 {
-		s := r.handOver(a, response, at)
+	if response.LargeValueSize > 0 {
+		s := r.streamValue(a, response, at)
 		at = e.group.Clock.Now()
 		e.mu.Lock()
 		if s.err != nil {
@@ -132,28 +134,28 @@
 	excess := r.in.Len() > 0
 	if excess {
 		c.IdleSince = at
-		e.unsolicited(at, c)
+		e.recordUnsolicited(at, c)
 	}
 	r.in.ReleaseIfEmpty()
 	c.current = nil
-	first := e.markEnded(a)
+	endedNow := e.markEnded(a)
 	e.pool.Responded(at, c, response.Result == fleet.Declined, response.Close || excess)
 	e.mu.Unlock()
-	if first {
+	if endedNow {
 		e.group.OnDone(a, Completion{EndedAt: at, Response: response})
 	}
 	return true
 }
 
-// handOver completes an attempt with a large value as a stream, whose user reads from the connection until it is done. It is
-// called with the endpoint's mutex held, and unlocks it.
-func (r *reader) handOver(a *Attempt, response Response, at float64) *stream {
+// streamValue completes an attempt with a stream of its large value, and waits until the stream's consumer has read it from the
+// connection or closed it. It is called with the endpoint's mutex held, and unlocks it.
+func (r *reader) streamValue(a *Attempt, response Response, at float64) *stream {
 	c, e := r.conn, r.conn.endpoint
 	s := newStream(c, &r.in, response)
 	response.Stream = s
-	first := e.markEnded(a)
+	endedNow := e.markEnded(a)
 	e.mu.Unlock()
-	if first {
+	if endedNow {
 		e.group.OnDone(a, Completion{EndedAt: at, Response: response})
 	} else {
 		s.Close()
--- a/internal/node/upstream/stream.go
+++ b/internal/node/upstream/stream.go
@@ -11,37 +11,37 @@
 
 var errStreamClosed = errors.New("stream closed before its end")
 
-// stream is a large value on its way from a connection to its user, an exchange.Stream. The user reads from the connection
-// itself, as fast as it passes the pieces on, while the connection's reader waits: nothing is buffered but what is in the ring.
+// stream implements exchange.Stream for a large value in a response. Its consumer reads from the connection at its own pace, while
+// the connection's reader waits, so that only the contents of the ring are buffered.
 type stream struct {
 	conn *conn
 	head Response
-	done chan struct{} // closed when the connection's reader may go on; err and tail are final then
+	done chan struct{} // closed when the connection's reader may continue; err and tail do not change after that
 
 	mu        sync.Mutex    // held during Next and Close; guards the fields below
-	in        *ringbuf.Ring // the connection's
-	handed    int           // bytes at the head of the ring that Next returned last
-	remaining int64         // bytes of the value not returned yet
+	in        *ringbuf.Ring // of the connection's reader
+	returned  int           // bytes at the beginning of the ring that the last call of Next returned
+	remaining int64         // bytes of the value that Next has not returned yet
 	ended     bool
-	err       error // why the connection cannot be used further
+	err       error // why the value broke off; the connection cannot be reused then
 	tail      Response
 }
 
 func newStream(c *conn, in *ringbuf.Ring, head Response) *stream {
-	return &stream{conn: c, in: in, head: head, remaining: head.LargeSize, done: make(chan struct{})}
+	return &stream{conn: c, in: in, head: head, remaining: head.LargeValueSize, done: make(chan struct{})}
 }
 
 // Size implements exchange.Stream.
-func (s *stream) Size() int64 { return s.head.LargeSize }
+func (s *stream) Size() int64 { return s.head.LargeValueSize }
 
-// Next implements exchange.Stream. The last byte of the value is returned only once the value is seen to end where it
-// should, since a value of another length than announced must not pass for complete.
+// Next implements exchange.Stream. It returns the last byte of the value only after the value's terminator has arrived: a value
+// whose length differs from the announced one must not be passed on as complete.
 func (s *stream) Next() ([]byte, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.ended {
-		s.in.Discard(s.handed)
-		s.handed = 0
+		s.in.Discard(s.returned)
+		s.returned = 0
 	}
 	for !s.ended {
 		b := s.in.Peek()
@@ -54,10 +54,10 @@
 		case err != nil:
 			s.finish(err)
 		case n > 0:
-			s.handed, s.remaining = n, s.remaining-int64(n)
+			s.returned, s.remaining = n, s.remaining-int64(n)
 			return b[:n], nil
 		default:
-			s.fill()
+			s.readMore()
 		}
 	}
 	if s.err != nil {
@@ -66,7 +66,7 @@
 	return nil, io.EOF
 }
 
-// available returns how many bytes of the value at the head of b may be returned now.
+// available returns how many bytes of the value at the beginning of b may be returned now.
 func (s *stream) available(b []byte) (int, error) {
 	n := int(min(int64(len(b)), s.remaining))
 	if int64(n) < s.remaining {
@@ -76,28 +76,28 @@
 	if err != nil {
 		return 0, err
 	}
-	if !tail.Sound {
+	if !tail.ValueEnded {
 		n--
 	}
 	return n, nil
 }
 
-// fill waits for more bytes. A value that keeps arriving is never cut off, however slowly; one that stalls is.
-func (s *stream) fill() {
+// readMore reads more bytes into the ring. It fails a value that stalls, but not one that keeps arriving slowly.
+func (s *stream) readMore() {
 	if timeout := s.conn.endpoint.group.StreamStallTimeout; timeout > 0 {
 		s.conn.setReadTimeout(timeout)
 	}
 	s.in.Grow(exchange.StreamWindow)
 	_, err := s.in.ReadOnce(s.conn.net)
 	if errors.Is(err, io.EOF) {
-		err = io.ErrUnexpectedEOF // the connection's end must not pass for the end of the value
+		err = io.ErrUnexpectedEOF // Next returns io.EOF only for a complete value
 	}
 	if err != nil {
 		s.finish(err)
 	}
 }
 
-// readTail parses what follows the value, so that the connection can be reused.
+// readTail parses the tail of the response, so that the connection can be reused.
 func (s *stream) readTail(b []byte) {
 	tail, err := s.conn.endpoint.protocol.ParseTail(b, s.head)
 	switch {
@@ -108,11 +108,11 @@
 		s.tail = tail.Response
 		s.finish(nil)
 	default:
-		s.fill()
+		s.readMore()
 	}
 }
 
-// finish lets the connection's reader go on. Called with the mutex held.
+// finish ends the stream and lets the connection's reader continue. Called with the mutex held.
 func (s *stream) finish(err error) {
 	if !s.ended {
 		s.ended, s.err = true, err
@@ -120,10 +120,10 @@
 	}
 }
 
-// Close implements exchange.Stream. A concurrent Next returns because its connection is closed.
+// Close implements exchange.Stream. It closes the connection if a concurrent Next is waiting for bytes.
 func (s *stream) Close() {
 	if !s.mu.TryLock() {
-		_ = s.conn.net.Close() // which makes Next return
+		_ = s.conn.net.Close() // makes Next return and unlock the mutex
 		s.mu.Lock()
 	}
 	defer s.mu.Unlock()
--- a/internal/node/upstream/unsized.go
+++ b/internal/node/upstream/unsized.go
@@ -12,32 +12,32 @@
 	"mintspring/internal/node/ringbuf"
 )
 
-// ErrUnsized is what Protocol.ParseResponse returns for a response that does not announce the length of its value and is
-// not complete soon: it ends with its last chunk, or with the connection. Clients are sent the length first, so such a value
-// must be buffered until its end.
+// ErrUnsized is returned by Protocol.ParseResponse for an unsized response: one that does not announce the length of its value, and
+// ends with its last chunk or with the connection. A short one that is complete is parsed as usual. Clients are sent the length
+// before the value, so an unsized value must be buffered until its end.
 var ErrUnsized = errors.New("response of unknown length")
 
-// UnsizedReader is a Protocol that has unsized responses.
+// UnsizedReader is implemented by a Protocol that has unsized responses.
 type UnsizedReader interface {
-	// ReadUnsized reads such a response from its beginning, and passes the value's bytes to write as they arrive.
+	// ReadUnsized reads an unsized response from its beginning, and passes the value's bytes to write as they arrive.
 	ReadUnsized(r io.Reader, write func([]byte) error) (Response, error)
 }
 
 var errNoMemory = errors.New("no memory for a value of unknown length")
 
-// firstChunkSize is the size in bytes of the first chunk of a buffered value. Most such values are small.
+// firstChunkSize is the size of the first chunk of a buffered value, in bytes. It is small because most such values are.
 const firstChunkSize = 4 << 10
 
-// bufferedValue is a buffered value of unknown length, in chunks so that it is not copied as it grows. It is an
-// exchange.Stream once it is complete.
+// bufferedValue buffers a value of unknown length. It consists of chunks, so that the value is not copied as it grows. Once it is
+// complete it serves as an exchange.Stream.
 type bufferedValue struct {
 	memory *memlimit.Budget
 	chunks [][]byte
 	size   int64
-	next   int // chunk that Next returns
+	next   int // index of the chunk that Next returns
 }
 
-// write appends bytes. It fails if there is no memory for them.
+// write appends bytes. It fails if the memory budget is exhausted.
 func (v *bufferedValue) write(b []byte) error {
 	for len(b) > 0 {
 		last := len(v.chunks) - 1
@@ -79,7 +79,7 @@
 	return v.chunks[v.next-1], nil
 }
 
-// Close implements exchange.Stream. It gives the memory back; chunks returned by Next must not be used any more.
+// Close implements exchange.Stream. It returns the memory to the budget; chunks returned by Next must not be used after that.
 func (v *bufferedValue) Close() {
 	for _, chunk := range v.chunks {
 		v.memory.Release(int64(cap(chunk)))
@@ -87,7 +87,7 @@
 	v.chunks, v.next = nil, 0
 }
 
-// stallReader reads from a connection as long as that does not stall.
+// stallReader reads from a connection, and fails a read that takes longer than StreamStallTimeout.
 type stallReader struct{ conn *conn }
 
 func (r stallReader) Read(b []byte) (int, error) {
@@ -97,8 +97,8 @@
 	return r.conn.net.Read(b)
 }
 
-// readUnsized reads an unsized response, of which the ring holds the beginning. If its attempt times out meanwhile, the rest
-// is read all the same and dropped: a reset would do no good to a server that is still sending.
+// readUnsized reads an unsized response whose beginning is in the ring. If its attempt times out in the meantime, the rest is still
+// read, and dropped: closing the connection would reset it under a server that is still sending.
 func (c *conn) readUnsized(in *ringbuf.Ring) (Response, error) {
 	protocol, ok := c.endpoint.protocol.(UnsizedReader)
 	if !ok {
@@ -127,6 +127,6 @@
 		response.Value = bytes.Join(value.chunks, nil)
 		value.Close()
 	}
-	response.Close = true // bytes behind the response, which may have been read with it, are not looked for
+	response.Close = true // bytes after the response may have been read with it, and are not checked
 	return response, err
 }
--- a/internal/node/upstream/writer.go
+++ b/internal/node/upstream/writer.go
@@ -9,10 +9,10 @@
 	"mintspring/internal/node/sockstate"
 )
 
-// requestOverhead is a bound, in bytes, for what a protocol adds around the parts of a request.
+// requestOverhead is an upper bound of the bytes that a protocol adds to the variable parts of a request.
 const requestOverhead = 512
 
-// writeLoop sends the attempts that the connection is assigned.
+// writeLoop sends the attempts that are assigned to the connection.
 func (c *conn) writeLoop() {
 	var out ringbuf.Ring
 	defer out.Release()
@@ -25,11 +25,11 @@
 	}
 }
 
-// writeAttempt sends one attempt and reports whether the connection may be used further.
+// writeAttempt sends one attempt and reports whether the connection can still be used.
 func (c *conn) writeAttempt(out *ringbuf.Ring, a *Attempt) bool {
 	encodeErr := c.encodeRequest(out, a)
 	total := out.Len()
-	if isBigValue(a.Request) {
+	if isBufferedLargeValue(a.Request) {
 		total += len(a.Request.Value) + len(c.endpoint.protocol.ValueTerminator())
 	}
 	if !c.beginWrite(a, encodeErr) {
@@ -39,15 +39,18 @@
 	return c.endWrite(a, err, written < total)
 }
 
-// isBigValue reports whether the value of a request is buffered, and written by itself behind the encoded request.
-func isBigValue(request *exchange.Exchange) bool { return request.IsLarge() && request.Body == nil }
+// isBufferedLargeValue reports whether the value of a request is buffered but too large to be encoded with the rest of the request.
+// Such a value is written separately, after the encoded request.
+func isBufferedLargeValue(request *exchange.Exchange) bool {
+	return request.IsLarge() && request.Body == nil
+}
 
-// encodeRequest encodes the request of an attempt into out; of a big one, what precedes the value.
+// encodeRequest encodes the request of an attempt into out. A large value and its terminator are left out.
 func (c *conn) encodeRequest(out *ringbuf.Ring, a *Attempt) error {
 	request := a.Request
-	limit := c.endpoint.deadline(a) - c.endpoint.group.Clock.Now()
+	timeout := c.endpoint.deadline(a) - c.endpoint.group.Clock.Now()
 	if request.Body != nil {
-		limit = min(limit, request.Timeout) // the time in which the client may send the body is none to respond in
+		timeout = min(timeout, request.Timeout) // the deadline also covers the time that the client may take to send the body
 	}
 	size := 2*len(request.Extra) + len(request.Key) + len(request.ID) + requestOverhead
 	if !request.IsLarge() {
@@ -57,19 +60,19 @@
 	if err != nil {
 		return err
 	}
-	b = c.endpoint.protocol.AppendRequest(b[:0], request, limit)
+	b = c.endpoint.protocol.AppendRequest(b[:0], request, timeout)
 	out.Commit(len(b))
 	return nil
 }
 
-// beginWrite checks whether an attempt may be sent on the connection and marks it as being sent. Otherwise the attempt has
-// been requeued or failed, and the connection closed.
+// beginWrite checks whether an attempt may be sent on the connection. If so, it marks the attempt as being sent. Otherwise it
+// returns false: the attempt has been requeued or failed, and the connection closed.
 func (c *conn) beginWrite(a *Attempt, encodeErr error) bool {
-	// Whatever has arrived on an idle connection is its end, or bytes without a request. What is written now would be lost with the
-	// connection, or be taken for answered by those bytes.
-	unsolicited, ended := false, false
+	// On an idle connection, either the server's close or unsolicited bytes may have arrived. A request written now would be lost with
+	// the connection, or those bytes would be read as its response.
+	unsolicited, closed := false, false
 	if c.Used {
-		unsolicited, ended = sockstate.Peek(c.net)
+		unsolicited, closed = sockstate.Peek(c.net)
 	}
 	e := c.endpoint
 	e.mu.Lock()
@@ -77,9 +80,9 @@
 	case c.Closed: // by the reader, which has requeued or failed the attempt
 		e.mu.Unlock()
 		return false
-	case unsolicited || ended:
+	case unsolicited || closed:
 		if unsolicited {
-			e.unsolicited(e.group.Clock.Now(), c)
+			e.recordUnsolicited(e.group.Clock.Now(), c)
 		}
 		e.requeue(c)
 		e.mu.Unlock()
@@ -89,7 +92,7 @@
 		e.fail(a, fleet.NotSent, errUnavailable)
 		return false
 	}
-	// Set before the bytes are sent: if the attempt ends meanwhile, it may have run.
+	// Set before the bytes are sent: if the attempt ends during the write, it may have been executed.
 	a.progress, c.writing = exchange.FullyWritten, true
 	if a.Request.Body != nil {
 		a.progress = exchange.PartiallyWritten
@@ -98,13 +101,13 @@
 	return true
 }
 
-// writeRequest writes the encoded request and its value. It returns how many bytes were written; 0 if a body was not
-// written completely.
+// writeRequest writes the encoded request and its value. It returns how many bytes were written, not counting a body that is
+// streamed; 0 if such a body was not written completely.
 func (c *conn) writeRequest(out *ringbuf.Ring, a *Attempt) (written int, err error) {
 	if written, err = out.FlushTo(c.net); err != nil {
 		return written, err
 	}
-	if isBigValue(a.Request) {
+	if isBufferedLargeValue(a.Request) {
 		buffers := net.Buffers{a.Request.Value, []byte(c.endpoint.protocol.ValueTerminator())}
 		n, err := buffers.WriteTo(c.net)
 		return written + int(n), err
@@ -117,19 +120,19 @@
 	return written, nil
 }
 
-// endWrite marks an attempt as sent, or ends the connection if writing has failed, or the reader meanwhile. It reports whether
-// the connection may be used further. All of it happens under one hold of the mutex: a reader that fails in between would take the
-// attempt for fully written.
+// endWrite marks an attempt as sent, or ends the connection if the write or the reader has failed. It reports whether the connection
+// can still be used. It does not unlock the mutex in between: a reader that fails after writing is false, but before the progress is
+// corrected, would report the attempt as fully written.
 func (c *conn) endWrite(a *Attempt, writeErr error, partlyWritten bool) bool {
 	c.endpoint.mu.Lock()
 	c.writing = false
 	switch {
 	case writeErr == nil && c.readErr == nil:
-		a.written = true
+		a.lastByteSent = true
 		c.endpoint.mu.Unlock()
 		return true
 	case writeErr == nil:
-		a.written = true
+		a.lastByteSent = true
 		c.failAndUnlock(c.readErr)
 	default:
 		if partlyWritten && a.progress == exchange.FullyWritten {
@@ -140,7 +143,8 @@
 	return false
 }
 
-// writeBody writes a body that is still arriving, piece by piece. The attempt counts as sent just before the last piece.
+// writeBody writes a body that is still arriving, piece by piece. It marks the attempt as fully written before it writes the last
+// piece.
 func (c *conn) writeBody(a *Attempt) error {
 	body := a.Request.Body
 	piece := make([]byte, exchange.StreamWindow)
@@ -159,7 +163,7 @@
 		buffers := net.Buffers{piece[:n], []byte(terminator)}
 		if _, err := buffers.WriteTo(c.net); err != nil {
 			if remaining == 0 {
-				return nil // the reader will fail too, and the last byte may have been sent
+				return nil // the last byte may have been sent, and the reader will fail too
 			}
 			return err
 		}
@@ -167,7 +171,7 @@
 	return nil
 }
 
-// markBodyWritten marks an attempt as sent, and reports false if it has ended or its connection is closed.
+// markBodyWritten marks an attempt as fully written. It reports false if the attempt has ended or its connection is closed.
 func (c *conn) markBodyWritten(a *Attempt) bool {
 	c.endpoint.mu.Lock()
 	defer c.endpoint.mu.Unlock()
