--- a/internal/node/cacheserver/golden_test.go
+++ b/internal/node/cacheserver/golden_test.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/testbed/protocoltest"
 )
 
-// TestGoldenCommands pins the commands that cache servers receive, byte for byte.
+// TestGoldenCommands checks the commands sent to cache servers byte for byte against a golden file.
 func TestGoldenCommands(t *testing.T) {
 	golden := goldentest.ReadQuoted(t, "commands.txt")
 	request := func(command, extra string, value []byte) *exchange.Exchange {
@@ -36,8 +36,8 @@
 	}
 }
 
-// TestGoldenAnswers pins how each form of a cache server's answer is read.
-func TestGoldenAnswers(t *testing.T) {
+// TestGoldenResponses checks how each form of a cache server's response is parsed.
+func TestGoldenResponses(t *testing.T) {
 	golden := goldentest.ReadQuoted(t, "answers.txt")
 	report := func(set func(*fleet.LoadReport)) fleet.LoadReport {
 		r := fleet.NewLoadReport()
@@ -66,9 +66,9 @@
 		{Name: "error-report", Want: upstream.Response{Result: fleet.Failed, Report: queue}},
 		{Name: "error-empty", Want: upstream.Response{Result: fleet.Failed, Report: none}},
 	})
-	in := golden["large"]
-	n, head, err := Protocol{}.ParseResponse([]byte(in))
-	if err != nil || n != len(in) || head.LargeValueSize != 70_000 || head.TailElements != 2 || head.Result != fleet.Completed {
+	response := golden["large"]
+	n, head, err := Protocol{}.ParseResponse([]byte(response))
+	if err != nil || n != len(response) || head.LargeValueSize != 70_000 || head.TailElements != 2 || head.Result != fleet.Completed {
 		t.Fatalf("large: %d bytes, %+v, %v", n, head, err)
 	}
 	tail := golden["after-large"]
--- a/internal/node/origin/golden_test.go
+++ b/internal/node/origin/golden_test.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/testbed/protocoltest"
 )
 
-// TestGoldenRequests pins the requests that the origin receives, byte for byte.
+// TestGoldenRequests checks the requests sent to the origin byte for byte against a golden file.
 func TestGoldenRequests(t *testing.T) {
 	golden := goldentest.ReadQuoted(t, "requests.txt")
 	request := func(key, extra string, value []byte) *exchange.Exchange {
@@ -37,7 +37,7 @@
 	}
 }
 
-// TestGoldenResponses pins how each form of an origin's response is read.
+// TestGoldenResponses checks how each form of the origin's response is parsed.
 func TestGoldenResponses(t *testing.T) {
 	golden := goldentest.ReadQuoted(t, "responses.txt")
 	none, queue := fleet.NewLoadReport(), fleet.NewLoadReport()
@@ -56,12 +56,12 @@
 		{Name: "declined-no", Want: upstream.Response{Result: fleet.Failed, Report: none}},
 	})
 	for _, c := range []struct {
-		name string
-		last bool
+		name      string
+		closeConn bool
 	}{{"large", false}, {"large-provisional", true}} {
 		in := golden[c.name]
 		n, head, err := Protocol{}.ParseResponse([]byte(in + "rest"))
-		want := upstream.Response{Result: fleet.Completed, Report: queue, LargeValueSize: 70_000, Close: c.last}
+		want := upstream.Response{Result: fleet.Completed, Report: queue, LargeValueSize: 70_000, Close: c.closeConn}
 		if err != nil || n != len(in) || !protocoltest.Equal(head, want) {
 			t.Errorf("%s: %d bytes, %+v, %v", c.name, n, head, err)
 		}
--- a/internal/node/origin/protocol_test.go
+++ b/internal/node/origin/protocol_test.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/node/upstream"
 )
 
-// Each form of response has its result. Cut anywhere it is incomplete.
+// Each form of response has its own result. A response that is truncated at any byte is incomplete.
 func TestParseResponse(t *testing.T) {
 	for _, c := range []struct {
 		in     string
@@ -31,7 +31,7 @@
 			"HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 1\r\n\r\nv",
 			fleet.Completed, "v",
 		},
-		// Without the header it may have run.
+		// Without the header, or with another status, the request may have been executed.
 		{"HTTP/1.1 503 Later\r\nContent-Length: 0\r\n\r\n", fleet.Failed, ""},
 		{"HTTP/1.1 404 No\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", fleet.Failed, ""},
 	} {
@@ -50,7 +50,8 @@
 	}
 }
 
-// A truncated response must not pass for a complete one, nor a long one be buffered.
+// ParseResponse returns an error for a response that is malformed, too long to be buffered, or of unknown length. It never returns a
+// truncated value.
 func TestMalformedResponses(t *testing.T) {
 	for _, in := range []string{
 		"HTTP/1.1 200 OK\r\n\r\nhalf a val", "HTTP/1.1 200 OK\r\nContent-Length: 4194305\r\n\r\n", "nonsense\r\n\r\n",
@@ -62,34 +63,35 @@
 	}
 }
 
-// The key is escaped, and the client's extra list sent as it is but for the time limit.
+// The key is escaped, and the client's extra list is sent unchanged except for its timeout.
 func TestAppendRequest(t *testing.T) {
-	x := &exchange.Exchange{Key: []byte("a/b c"), ID: []byte("9b"), Extra: []byte("c=put,d=480,k=5c"), Value: []byte("new"), Write: true}
+	request := &exchange.Exchange{Key: []byte("a/b c"), ID: []byte("9b"), Extra: []byte("c=put,d=480,k=5c"), Value: []byte("new"), Write: true}
 	want := "PUT /a%2Fb%20c HTTP/1.1\r\nHost: origin\r\nReq-Id: 9b\r\nReq-Extra: c=put,d=100,k=5c\r\nContent-Length: 3\r\n\r\nnew"
-	if got := string(Protocol{}.AppendRequest(nil, x, 100)); got != want {
+	if got := string(Protocol{}.AppendRequest(nil, request, 100)); got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
-	x.Write, x.Value = false, nil
-	if got := string(Protocol{}.AppendRequest(nil, x, 100)); !strings.HasPrefix(got, "GET /a%2Fb%20c HTTP/1.1\r\n") || strings.Contains(got, "Content-Length") {
+	request.Write, request.Value = false, nil
+	if got := string(Protocol{}.AppendRequest(nil, request, 100)); !strings.HasPrefix(got, "GET /a%2Fb%20c HTTP/1.1\r\n") ||
+		strings.Contains(got, "Content-Length") {
 		t.Errorf("%q", got)
 	}
 }
 
-// Responses of unknown length are complete with their last chunk or at the end of the connection, in whatever pieces they
-// arrive, and with any extensions in heads and trailers.
+// A response of unknown length is complete with its last chunk or at the end of its connection. This holds for any size of the pieces
+// in which it arrives, and with chunk extensions, long headers and trailers.
 func TestReadUnsized(t *testing.T) {
-	long := strings.Repeat("n", 3000)
+	longHeader := strings.Repeat("n", 3000)
 	value := strings.Repeat("0123456789", 9000)
 	chunks := ""
 	for rest := value; rest != ""; {
 		n := min(len(rest), 1234)
-		chunks += fmt.Sprintf("%x;note=%s\r\n%s\r\n", n, long[:9], rest[:n])
+		chunks += fmt.Sprintf("%x;note=%s\r\n%s\r\n", n, longHeader[:9], rest[:n])
 		rest = rest[n:]
 	}
 	for name, text := range map[string]string{
-		"in chunks":        "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 \r\nSRV-LOAD:  waiting=3 \r\nX-Note: " + long + "\r\ntransfer-encoding: chunked\r\n\r\n" + chunks + "0\r\nX-Note: " + long + "\r\n\r\n",
-		"to its end":       "HTTP/1.1 200 OK\r\nsrv-load:waiting=3\r\nConnection: close\r\n\r\n" + value,
-		"to its end, bare": "HTTP/1.1 200 OK\r\nsrv-load:waiting=3\r\n\r\n" + value,
+		"chunked":     "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 \r\nSRV-LOAD:  waiting=3 \r\nX-Note: " + longHeader + "\r\ntransfer-encoding: chunked\r\n\r\n" + chunks + "0\r\nX-Note: " + longHeader + "\r\n\r\n",
+		"until close": "HTTP/1.1 200 OK\r\nsrv-load:waiting=3\r\nConnection: close\r\n\r\n" + value,
+		"until close, without a Connection header": "HTTP/1.1 200 OK\r\nsrv-load:waiting=3\r\n\r\n" + value,
 	} {
 		if _, _, err := (Protocol{}).ParseResponse([]byte(text[:min(len(text), 40_000)])); !errors.Is(err, upstream.ErrUnsized) {
 			t.Errorf("%s: %v", name, err)
@@ -99,10 +101,10 @@
 		if err != nil || got != value || r.Result != fleet.Completed || r.Report.Queue != 3 {
 			t.Errorf("%s: %d bytes, %+v, %v", name, len(got), r, err)
 		}
-		// One that is reset is incomplete, and so is one whose last chunk is missing.
-		broken := io.MultiReader(strings.NewReader(text[:len(text)-20]), iotest.ErrReader(syscall.ECONNRESET))
-		if _, err := (Protocol{}).ReadUnsized(broken, func([]byte) error { return nil }); err == nil {
-			t.Errorf("%s: truncated, it passes for complete", name)
+		// A response is incomplete if its connection is reset or its last chunk is missing.
+		truncated := io.MultiReader(strings.NewReader(text[:len(text)-20]), iotest.ErrReader(syscall.ECONNRESET))
+		if _, err := (Protocol{}).ReadUnsized(truncated, func([]byte) error { return nil }); err == nil {
+			t.Errorf("%s: a truncated response is reported as complete", name)
 		}
 	}
 	r, err := Protocol{}.ReadUnsized(strings.NewReader("HTTP/1.1 503 Busy\r\nSrv-Declined: 1\r\n\r\nno"), func([]byte) error { return nil })
@@ -111,7 +113,7 @@
 	}
 }
 
-// A small chunked response with a long trailer is complete at once.
+// A small chunked response with a long trailer is parsed as a complete response.
 func TestLongTrailer(t *testing.T) {
 	text := "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\nX-Note: " + strings.Repeat("n", 3000) + "\r\n\r\n"
 	n, r, err := Protocol{}.ParseResponse([]byte(text))
--- a/internal/node/sockstate/sockstate_test.go
+++ b/internal/node/sockstate/sockstate_test.go
@@ -9,11 +9,11 @@
 	"mintspring/internal/testbed/loopbacktest"
 )
 
-// pair returns both ends of a TCP connection on loopback.
-func pair(t *testing.T) (client, server net.Conn) {
+// tcpPair returns both ends of a TCP connection on loopback.
+func tcpPair(t *testing.T) (client, server net.Conn) {
 	t.Helper()
 	ln := loopbacktest.Listen(t)
-	defer func() { _ = ln.Close() }() // nothing is lost with it
+	defer func() { _ = ln.Close() }() // an error has no consequence for the test
 	var err error
 	client, err = net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -29,58 +29,59 @@
 	return client, server
 }
 
-// expect waits until a connection is in a state.
-func expect(t *testing.T, conn net.Conn, readable, closed bool) {
+// waitForPeek waits until Peek reports the given results for a connection.
+func waitForPeek(t *testing.T, conn net.Conn, wantReadable, wantClosed bool) {
 	t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
-		r, c := Peek(conn)
-		if r == readable && c == closed {
+		readable, closed := Peek(conn)
+		if readable == wantReadable && closed == wantClosed {
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("readable %v, closed %v; want %v, %v", r, c, readable, closed)
+			t.Fatalf("readable %v, closed %v; want %v, %v", readable, closed, wantReadable, wantClosed)
 		}
 	}
 }
 
 func TestPeek(t *testing.T) {
-	client, server := pair(t)
-	expect(t, server, false, false)
+	client, server := tcpPair(t)
+	waitForPeek(t, server, false, false)
 	if _, err := client.Write([]byte("x")); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, server, true, false)
-	expect(t, server, true, false) // it has read nothing
+	waitForPeek(t, server, true, false)
+	waitForPeek(t, server, true, false) // the first Peek did not read the byte
 	if _, err := io.ReadFull(server, make([]byte, 1)); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, server, false, false)
+	waitForPeek(t, server, false, false)
 	if err := client.Close(); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, server, false, true)
+	waitForPeek(t, server, false, true)
 	if err := server.Close(); err != nil {
 		t.Fatal(err)
 	}
-	expect(t, server, false, true)
+	waitForPeek(t, server, false, true)
 }
 
-func TestPeekAtOtherConnections(t *testing.T) {
+func TestPeekIgnoresOtherConnections(t *testing.T) {
 	client, server := net.Pipe()
 	defer func() { _, _ = client.Close(), server.Close() }()
-	expect(t, client, false, false)
+	waitForPeek(t, client, false, false)
 }
 
-// The end of a connection shows behind bytes that were not read, and not before it has come.
+// EndedByPeer detects that the peer has closed or reset a connection even if unread bytes precede the end. It does not report an open
+// connection.
 func TestEndedByPeer(t *testing.T) {
 	for _, reset := range []bool{false, true} {
-		client, server := pair(t)
+		client, server := tcpPair(t)
 		if _, err := client.Write([]byte("unread")); err != nil {
 			t.Fatal(err)
 		}
-		expect(t, server, true, false)
+		waitForPeek(t, server, true, false)
 		if EndedByPeer(server) {
-			t.Error("it has ended while it is open")
+			t.Error("an open connection is reported as ended")
 		}
 		if reset {
 			if err := client.(*net.TCPConn).SetLinger(0); err != nil {
@@ -92,23 +93,23 @@
 		}
 		for deadline := time.Now().Add(5 * time.Second); !EndedByPeer(server); time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("reset %v: its end does not show", reset)
+				t.Fatalf("reset %v: the end of the connection was not detected", reset)
 			}
 		}
 	}
-	near, far := net.Pipe()
-	defer func() { _, _ = near.Close(), far.Close() }()
-	if EndedByPeer(near) {
-		t.Error("a connection without a socket has ended")
+	client, server := net.Pipe()
+	defer func() { _, _ = client.Close(), server.Close() }()
+	if EndedByPeer(client) {
+		t.Error("an open connection without a socket is reported as ended")
 	}
 }
 
-// A connection waits from its being established until it is accepted.
+// HasPending reports a connection from the time it is established until it is accepted.
 func TestHasPending(t *testing.T) {
 	ln := loopbacktest.Listen(t)
 	defer ln.Close() //nolint:errcheck // the test is over
 	if HasPending(ln) {
-		t.Error("a connection waits before there was any")
+		t.Error("a pending connection is reported before any was opened")
 	}
 	client, err := net.Dial("tcp", ln.Addr().String())
 	if err != nil {
@@ -116,15 +117,15 @@
 	}
 	defer client.Close() //nolint:errcheck // the test is over
 	if !HasPending(ln) {
-		t.Error("no connection waits")
+		t.Error("the pending connection is not reported")
 	}
 	if _, err := ln.Accept(); err != nil {
 		t.Fatal(err)
 	}
 	if HasPending(ln) {
-		t.Error("a connection waits that has been accepted")
+		t.Error("an accepted connection is reported as pending")
 	}
 	if HasPending(struct{ net.Listener }{ln}) {
-		t.Error("a connection waits at a listener that cannot tell")
+		t.Error("a pending connection is reported for a listener without a file descriptor")
 	}
 }
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -17,39 +17,39 @@
 	"mintspring/internal/node/exchange"
 )
 
-// Every way in which an attempt can fail, and what is known of it then.
+// Each way in which a response can fail or stall has its own result.
 func TestAttemptFailures(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		serve func(net.Conn)
-		limit float64
-		want  fleet.Result
+		name    string
+		serve   func(net.Conn)
+		timeout float64
+		want    fleet.Result
 	}{
 		{"response", echo, 1000, fleet.Completed},
 		{"closed after the request", func(c net.Conn) { read(c); closeConn(c) }, 1000, fleet.Reset},
-		{"closed within the response", func(c net.Conn) { read(c); write(c, "hal"); closeConn(c) }, 1000, fleet.Reset},
-		{"malformed response", func(c net.Conn) { read(c); write(c, "bad\n") }, 1000, fleet.Reset},
+		{"closed within the response", func(c net.Conn) { read(c); write(c, "part"); closeConn(c) }, 1000, fleet.Reset},
+		{"malformed response", func(c net.Conn) { read(c); write(c, "malformed\n") }, 1000, fleet.Reset},
 		{"no response", func(c net.Conn) { read(c) }, 50, fleet.TimedOut},
-		{"stalled response", func(c net.Conn) { read(c); write(c, "hal") }, 4000, fleet.Reset},
-		{"incomplete response", func(c net.Conn) { read(c); write(c, "hal") }, 50, fleet.TimedOut},
+		{"stalled response", func(c net.Conn) { read(c); write(c, "part") }, 4000, fleet.Reset},
+		{"incomplete response", func(c net.Conn) { read(c); write(c, "part") }, 50, fleet.TimedOut},
 	} {
-		r := newHarness(t, c.serve)
-		r.endpoint.group.StallTimeout = 100
-		r.send("q", c.limit)
-		r.expect(c.name, c.want)
+		h := newHarness(t, c.serve)
+		h.endpoint.group.StallTimeout = 100
+		h.send("q", c.timeout)
+		h.expectResult(c.name, c.want)
 	}
 }
 
-func TestRefusedNeverRan(t *testing.T) {
-	r := newHarness(t, echo)
-	closeConn(r.ln)
-	r.send("q", 1000)
-	r.expect("refused", fleet.ConnectFailed)
+func TestRefusedConnectionIsConnectFailure(t *testing.T) {
+	h := newHarness(t, echo)
+	closeConn(h.listener)
+	h.send("q", 1000)
+	h.expectResult("refused", fleet.ConnectFailed)
 }
 
-// A connect that fails for a reason of this machine's says nothing of the server: the attempt was not sent. One that the server or the
-// network fails counts against the server.
-func TestLocalDialFailuresSayNothingOfTheServer(t *testing.T) {
+// If connecting fails because of this machine, the attempt counts as not sent. If the server or the network is the cause, the failure
+// counts against the server.
+func TestLocalDialFailuresCountAsNotSent(t *testing.T) {
 	for _, c := range []struct {
 		errno syscall.Errno
 		want  fleet.Result
@@ -67,300 +67,306 @@
 		{syscall.EHOSTUNREACH, fleet.ConnectFailed},
 		{syscall.ETIMEDOUT, fleet.ConnectFailed},
 	} {
-		r := newHarness(t, echo)
-		r.endpoint.group.Dialer.Control = func(_, _ string, _ syscall.RawConn) error { return os.NewSyscallError("connect", c.errno) }
-		r.send("q", 1000)
-		r.expect(c.errno.Error(), c.want)
+		h := newHarness(t, echo)
+		h.endpoint.group.Dialer.Control = func(_, _ string, _ syscall.RawConn) error { return os.NewSyscallError("connect", c.errno) }
+		h.send("q", 1000)
+		h.expectResult(c.errno.Error(), c.want)
 	}
 }
 
-// A failure before the last byte was sent proves that the attempt never ran, even if bytes were sent before it.
-func TestPartlyWrittenNeverRan(t *testing.T) {
-	r := newHarness(t, echo)
-	far := r.piped()
-	r.send("a long query", 5000)
-	readBytes(far, 4)
-	closeConn(far)
-	e := r.end()
-	if e.Failure == nil || e.Failure.Progress != exchange.PartiallyWritten || e.Failure.Outcome() != fleet.ConnectFailed {
-		t.Errorf("completed with %v", e.Failure)
+// An attempt that fails before its last byte was sent was not executed, even if other bytes of it were sent.
+func TestPartlyWrittenIsNotExecuted(t *testing.T) {
+	h := newHarness(t, echo)
+	serverEnd := h.addPipeConn()
+	h.send("a long query", 5000)
+	readBytes(serverEnd, 4)
+	closeConn(serverEnd)
+	completion := h.nextCompletion()
+	if completion.Failure == nil || completion.Failure.Progress != exchange.PartiallyWritten ||
+		completion.Failure.Outcome() != fleet.ConnectFailed {
+		t.Errorf("completed with %v, want a connect failure after a partial write", completion.Failure)
 	}
-	for _, reach := range []exchange.Progress{exchange.NotConnected, exchange.PartiallyWritten, exchange.FullyWritten, exchange.ResponseStarted} {
-		b := exchange.AttemptError{Progress: reach, Result: fleet.Reset, Cause: errTimeout}
-		if want := reach < exchange.FullyWritten; b.NeverRan() != want || b.Outcome().NotExecuted() != want {
-			t.Errorf("%v: never ran is %v", reach, b.NeverRan())
+	for _, progress := range []exchange.Progress{
+		exchange.NotConnected, exchange.PartiallyWritten, exchange.FullyWritten, exchange.ResponseStarted,
+	} {
+		failure := exchange.AttemptError{Progress: progress, Result: fleet.Reset, Cause: errTimeout}
+		if want := progress < exchange.FullyWritten; failure.NeverRan() != want || failure.Outcome().NotExecuted() != want {
+			t.Errorf("%v: NeverRan returned %v", progress, failure.NeverRan())
 		}
-		if !strings.HasPrefix(b.Error(), reach.String()) || !errors.Is(&b, errTimeout) {
-			t.Errorf("error %q", b.Error())
+		if !strings.HasPrefix(failure.Error(), progress.String()) || !errors.Is(&failure, errTimeout) {
+			t.Errorf("error %q", failure.Error())
 		}
 	}
 }
 
-// A reader that fails right after the writer's write has broken off does not end the attempt as fully written.
+// If the writer has failed after a partial write, a failure of the reader right after that does not report the attempt as fully written.
 func TestReaderFailsAfterPartialWrite(t *testing.T) {
-	r := newHarness(t, echo)
-	near, far := net.Pipe()
-	t.Cleanup(func() { closeConn(far) })
-	// Without its goroutines, so that the test itself orders what they do.
-	c := &conn{Conn: connpool.Conn{Addr: r.ln.Addr().String()}, endpoint: r.endpoint, net: near, attempts: make(chan *Attempt, 1)}
-	r.endpoint.mu.Lock()
-	r.endpoint.pool.Release(r.endpoint.group.Clock.Now(), c)
-	r.endpoint.mu.Unlock()
-	r.send("a long query", 5000)
+	h := newHarness(t, echo)
+	clientEnd, serverEnd := net.Pipe()
+	t.Cleanup(func() { closeConn(serverEnd) })
+	// The connection has no goroutines: the test calls their functions in a fixed order.
+	c := &conn{Conn: connpool.Conn{Addr: h.listener.Addr().String()}, endpoint: h.endpoint, net: clientEnd, attempts: make(chan *Attempt, 1)}
+	h.endpoint.mu.Lock()
+	h.endpoint.pool.Release(h.endpoint.group.Clock.Now(), c)
+	h.endpoint.mu.Unlock()
+	h.send("a long query", 5000)
 	a := <-c.attempts
 	if !c.beginWrite(a, nil) {
-		t.Fatal("the attempt was not begun")
+		t.Fatal("beginWrite rejected the attempt")
 	}
 	c.endWrite(a, io.ErrClosedPipe, true)
 	c.fail(io.EOF)
-	e := r.end()
-	if e.Failure == nil || e.Failure.Progress != exchange.PartiallyWritten || e.Failure.Outcome() != fleet.ConnectFailed {
-		t.Errorf("completed with %v", e.Failure)
+	completion := h.nextCompletion()
+	if completion.Failure == nil || completion.Failure.Progress != exchange.PartiallyWritten ||
+		completion.Failure.Outcome() != fleet.ConnectFailed {
+		t.Errorf("completed with %v, want a connect failure after a partial write", completion.Failure)
 	}
 }
 
-// heldProtocol is a lineProtocol that encodes no request before it is released.
-type heldProtocol struct {
+// blockingProtocol is a lineProtocol whose AppendRequest blocks until released is closed.
+type blockingProtocol struct {
 	lineProtocol
 	released chan struct{}
 }
 
-func (p heldProtocol) AppendRequest(b []byte, request *exchange.Exchange, limit float64) []byte {
+func (p blockingProtocol) AppendRequest(b []byte, request *exchange.Exchange, timeout float64) []byte {
 	<-p.released
-	return p.lineProtocol.AppendRequest(b, request, limit)
+	return p.lineProtocol.AppendRequest(b, request, timeout)
 }
 
-// The body of a request may be complete while the request is being encoded, whose time limit depends on that: the race
-// detector sees whether the two are synchronized.
+// The client may complete the body of a request while the request is being encoded. BodyComplete changes the deadline that the
+// encoding reads: the race detector checks that the two are synchronized.
 func TestBodyCompleteWhileEncoding(t *testing.T) {
-	r := newHarness(t, echo)
-	protocol := heldProtocol{released: make(chan struct{})}
-	r.endpoint.protocol = protocol
-	far := r.piped() // a connection is open, so that the writer has the attempt before its body is complete
-	a := r.send("q", 5000)
-	r.endpoint.BodyComplete(a, r.endpoint.group.Clock.Now()+5000)
+	h := newHarness(t, echo)
+	protocol := blockingProtocol{released: make(chan struct{})}
+	h.endpoint.protocol = protocol
+	serverEnd := h.addPipeConn() // an open connection, so that the writer has the attempt before its body is complete
+	a := h.send("q", 5000)
+	h.endpoint.BodyComplete(a, h.endpoint.group.Clock.Now()+5000)
 	close(protocol.released)
-	if got := read(far); got != "q\n" {
+	if got := read(serverEnd); got != "q\n" {
 		t.Errorf("the server got %q", got)
 	}
-	write(far, "done\n")
-	r.expect("response", fleet.Completed)
+	write(serverEnd, "done\n")
+	h.expectResult("response", fleet.Completed)
 }
 
-// An attempt that times out while it is written may have run: its last byte may have been sent.
+// An attempt that times out while it is being written may have been executed, since its last byte may have been sent.
 func TestTimeoutWhileWriting(t *testing.T) {
-	r := newHarness(t, echo)
-	far := r.piped()
-	r.send("a long query", 50)
-	readBytes(far, 4)
-	r.expect("timed out", fleet.TimedOut)
+	h := newHarness(t, echo)
+	serverEnd := h.addPipeConn()
+	h.send("a long query", 50)
+	readBytes(serverEnd, 4)
+	h.expectResult("timed out", fleet.TimedOut)
 }
 
-// As long as its connection is open an attempt counts as in flight, so that cancelling it closes the connection.
+// Cancel closes the attempt's connection, because an attempt counts as in flight while its connection is open.
 func TestCancelClosesConnection(t *testing.T) {
-	r := newHarness(t, func(net.Conn) {})
-	e := r.send("q", 5000)
-	c := <-r.conns
+	h := newHarness(t, func(net.Conn) {})
+	attempt := h.send("q", 5000)
+	c := <-h.accepted
 	if read(c) != "q\n" {
-		t.Fatal("not written")
+		t.Fatal("the server did not get the request")
 	}
-	r.endpoint.Cancel(e)
-	r.endpoint.Cancel(e)
-	r.expect("cancelled", fleet.Cancelled)
+	h.endpoint.Cancel(attempt)
+	h.endpoint.Cancel(attempt)
+	h.expectResult("cancelled", fleet.Cancelled)
 	if read(c) != "" {
 		t.Error("the connection is still open")
 	}
-	if len(r.ended) > 0 {
-		t.Error("completed twice")
+	if len(h.completions) > 0 {
+		t.Error("the attempt was completed twice")
 	}
 }
 
-// One attempt at a time is in flight on a connection, so that no response is taken for that of another.
+// Only one attempt at a time is in flight on a connection, so that no response is read as that of another attempt.
 func TestOneAttemptPerConnection(t *testing.T) {
-	r := newHarness(t, echo)
+	h := newHarness(t, echo)
 	got := map[string]int{}
-	for _, k := range []string{"a", "b", "c", "d"} {
-		r.send(k, 1000)
+	for _, key := range []string{"a", "b", "c", "d"} {
+		h.send(key, 1000)
 	}
 	for range 4 {
-		got[string(r.end().Response.Value)]++
+		got[string(h.nextCompletion().Response.Value)]++
 	}
 	if len(got) != 4 {
 		t.Errorf("responses %v", got)
 	}
 }
 
-// Nothing is sent to a server that became unavailable while an attempt waited for a connection or for the writer (rule 3).
+// An attempt is not sent if its server becomes unavailable while it waits for a connection or for the writer (rule 3).
 func TestUnavailableWhileWaiting(t *testing.T) {
-	r := newHarness(t, echo)
-	endpoint := r.endpoint
+	h := newHarness(t, echo)
+	endpoint := h.endpoint
 	endpoint.mu.Lock()
-	endpoint.pool.Dialing = 1 // as if a slow dial were in progress
+	endpoint.pool.Dialing = 1 // simulates a slow dial in progress
 	endpoint.mu.Unlock()
-	r.send("q", 1000)
-	endpoint.SetTarget(r.ln.Addr().String(), false)
-	r.expect("unavailable while it waited", fleet.NotSent)
-	r.send("q", 1000)
-	r.expect("to an unavailable server", fleet.NotSent)
+	h.send("q", 1000)
+	endpoint.SetTarget(h.listener.Addr().String(), false)
+	h.expectResult("server unavailable during the wait", fleet.NotSent)
+	h.send("q", 1000)
+	h.expectResult("server already unavailable", fleet.NotSent)
 
-	near, far := net.Pipe()
-	c := &conn{Conn: connpool.Conn{Addr: r.ln.Addr().String()}, endpoint: endpoint, net: near, attempts: make(chan *Attempt, 1)}
-	e := &Attempt{Request: &exchange.Exchange{Key: []byte("q")}, timer: time.AfterFunc(time.Hour, func() {})}
+	clientEnd, serverEnd := net.Pipe()
+	c := &conn{Conn: connpool.Conn{Addr: h.listener.Addr().String()}, endpoint: endpoint, net: clientEnd, attempts: make(chan *Attempt, 1)}
+	attempt := &Attempt{Request: &exchange.Exchange{Key: []byte("q")}, timer: time.AfterFunc(time.Hour, func() {})}
 	endpoint.mu.Lock()
-	poolOwner{endpoint}.Assign(0, c, e)
+	poolOwner{endpoint}.Assign(0, c, attempt)
 	endpoint.mu.Unlock()
 	go c.writeLoop()
-	r.expect("unavailable before its first byte", fleet.NotSent)
-	if got := read(far); got != "" {
+	h.expectResult("server unavailable before the first byte", fleet.NotSent)
+	if got := read(serverEnd); got != "" {
 		t.Errorf("%q was sent to an unavailable server", got)
 	}
 }
 
-// Attempts go to the server's present address only.
+// Attempts are sent only to the server's current address.
 func TestAddressChange(t *testing.T) {
-	r, other := newHarness(t, echo), newHarness(t, func(c net.Conn) { read(c); write(c, "other\n") })
-	r.send("q", 1000)
-	r.end()
-	r.endpoint.SetTarget(other.ln.Addr().String(), true)
-	r.send("q", 1000)
-	if v := string(r.end().Response.Value); v != "other" {
+	h, other := newHarness(t, echo), newHarness(t, func(c net.Conn) { read(c); write(c, "other\n") })
+	h.send("q", 1000)
+	h.nextCompletion()
+	h.endpoint.SetTarget(other.listener.Addr().String(), true)
+	h.send("q", 1000)
+	if v := string(h.nextCompletion().Response.Value); v != "other" {
 		t.Errorf("response of %q", v)
 	}
-	// The server moves back during a dial: that connection is useless, and another is needed.
-	endpoint := r.endpoint
+	// The server moves back during a dial: the dialed connection leads to the wrong address, and another one is opened.
+	endpoint := h.endpoint
 	endpoint.mu.Lock()
 	endpoint.pool.Dialing = 1
 	endpoint.mu.Unlock()
 	endpoint.CloseUnused()
-	r.send("q", 1000)
-	endpoint.SetTarget(r.ln.Addr().String(), true)
-	endpoint.dial(other.ln.Addr().String())
-	if v := string(r.end().Response.Value); v != "q" {
+	h.send("q", 1000)
+	endpoint.SetTarget(h.listener.Addr().String(), true)
+	endpoint.dial(other.listener.Addr().String())
+	if v := string(h.nextCompletion().Response.Value); v != "q" {
 		t.Errorf("response of %q", v)
 	}
 }
 
-// A panic in a connection's goroutine fails its attempt and is reported.
+// A panic in a connection's goroutine fails the attempt on that connection and is reported.
 func TestPanicClosesOneConnection(t *testing.T) {
-	r := newHarness(t, func(c net.Conn) { read(c); write(c, "boom\n") })
-	r.send("q", 1000)
-	r.expect("panic", fleet.Reset)
-	if p := <-r.panics; p != "boom" {
-		t.Errorf("panic %v", p)
+	h := newHarness(t, func(c net.Conn) { read(c); write(c, "panic\n") })
+	h.send("q", 1000)
+	h.expectResult("panic", fleet.Reset)
+	if p := <-h.panics; p != "panic" {
+		t.Errorf("reported panic %v", p)
 	}
 }
 
-// An attempt that waits for a connection when its client disconnects is never sent, also once a connection is free.
+// An attempt whose client disconnects while the attempt waits for a connection is not sent when a connection becomes free.
 func TestCancelUnsentWhileWaiting(t *testing.T) {
-	got, answer := make(chan string, 10), make(chan struct{})
-	r := newHarness(t, func(c net.Conn) {
+	received, respond := make(chan string, 10), make(chan struct{})
+	h := newHarness(t, func(c net.Conn) {
 		for {
 			s := read(c)
 			if s == "" {
 				return
 			}
-			got <- s
-			<-answer
+			received <- s
+			<-respond
 			write(c, "done\n")
 		}
 	})
-	r.endpoint = New(r.endpoint.group, lineProtocol{}, "one", connpool.Config{IdleTimeout: 300, MaxConns: 1, Nodes: 1})
-	r.endpoint.SetTarget(r.ln.Addr().String(), true)
-	r.send("first", 4000)
-	if s := <-got; s != "first\n" {
+	h.endpoint = New(h.endpoint.group, lineProtocol{}, "one", connpool.Config{IdleTimeout: 300, MaxConns: 1, Nodes: 1})
+	h.endpoint.SetTarget(h.listener.Addr().String(), true)
+	h.send("first", 4000)
+	if s := <-received; s != "first\n" {
 		t.Fatalf("the server got %q", s)
 	}
-	left, stays := r.send("left", 4000), r.send("stays", 4000)
-	r.endpoint.CancelUnsent(left)
-	r.expect("cancelled while it waits", fleet.NotSent)
-	close(answer)
-	if s := <-got; s != "stays\n" {
-		t.Errorf("the server got %q for a client that is gone", s)
+	cancelled, waiting := h.send("cancelled", 4000), h.send("waiting", 4000)
+	h.endpoint.CancelUnsent(cancelled)
+	h.expectResult("cancelled during the wait", fleet.NotSent)
+	close(respond)
+	if s := <-received; s != "waiting\n" {
+		t.Errorf("the server got %q instead of the attempt that still waits", s)
 	}
-	r.expect("the one before it", fleet.Completed)
-	r.expect("the one behind it", fleet.Completed)
-	r.endpoint.CancelUnsent(stays)
+	h.expectResult("attempt before it", fleet.Completed)
+	h.expectResult("attempt after it", fleet.Completed)
+	h.endpoint.CancelUnsent(waiting)
 }
 
-// An attempt that is cancelled while it is written breaks off before its last byte, so that its server never runs it. For the
-// node it may have run, since the last byte could have been sent just then.
+// An attempt that is cancelled while it is being written stops before its last byte, so that the server does not execute it. The node
+// still treats it as possibly executed, since the last byte could have been sent at that moment.
 func TestCancelUnsentWhileWriting(t *testing.T) {
-	begun, on, all := make(chan struct{}), make(chan struct{}), make(chan int, 1)
-	value := bytes.Repeat([]byte("v"), 64<<20) // far more than the kernel buffers
-	r := newHarness(t, func(c net.Conn) {
+	begun, proceed, received := make(chan struct{}), make(chan struct{}), make(chan int, 1)
+	value := bytes.Repeat([]byte("v"), 64<<20) // much more than the kernel buffers
+	h := newHarness(t, func(c net.Conn) {
 		readBytes(c, 1)
 		close(begun)
-		<-on
+		<-proceed
 		n, _ := io.Copy(io.Discard, c)
-		all <- int(n) + 1
+		received <- int(n) + 1
 	})
-	e := r.endpoint.Send(&exchange.Exchange{Key: []byte("k"), Value: value}, 0, 4000, math.Inf(1))
+	attempt := h.endpoint.Send(&exchange.Exchange{Key: []byte("k"), Value: value}, 0, 4000, math.Inf(1))
 	<-begun
-	r.endpoint.CancelUnsent(e)
-	r.expect("cancelled while it is written", fleet.Cancelled)
-	close(on)
-	if n := <-all; n > len(value) {
+	h.endpoint.CancelUnsent(attempt)
+	h.expectResult("cancelled during the write", fleet.Cancelled)
+	close(proceed)
+	if n := <-received; n > len(value) {
 		t.Errorf("all %d bytes arrived", n)
 	}
 }
 
-// An attempt that has been sent goes on: its response is read, and its connection reused.
+// CancelUnsent does not end an attempt that has been sent: its response is read, and its connection reused.
 func TestCancelUnsentAfterSending(t *testing.T) {
-	on := make(chan struct{})
-	r := newHarness(t, func(c net.Conn) {
+	proceed := make(chan struct{})
+	h := newHarness(t, func(c net.Conn) {
 		for s := read(c); s != ""; s = read(c) {
-			<-on
+			<-proceed
 			write(c, s)
 		}
 	})
-	e := r.send("gone", 4000)
+	attempt := h.send("gone", 4000)
 	for sent := false; !sent; time.Sleep(time.Millisecond) {
-		r.endpoint.mu.Lock()
-		sent = e.lastByteSent
-		r.endpoint.mu.Unlock()
+		h.endpoint.mu.Lock()
+		sent = attempt.lastByteSent
+		h.endpoint.mu.Unlock()
 	}
-	r.endpoint.CancelUnsent(e)
-	close(on)
-	r.expect("cancelled after it was sent", fleet.Completed)
-	r.send("next", 4000)
-	r.expect("the next one", fleet.Completed)
-	if n := len(r.conns); n != 1 {
+	h.endpoint.CancelUnsent(attempt)
+	close(proceed)
+	h.expectResult("cancelled after sending", fleet.Completed)
+	h.send("next", 4000)
+	h.expectResult("next attempt", fleet.Completed)
+	if n := len(h.accepted); n != 1 {
 		t.Errorf("%d connections for two attempts in turn", n)
 	}
 }
 
-// An attempt is not sent after SendBy, whether it still waits for a connection then or is assigned one too late.
+// An attempt is not sent after SendBy, whether it is still waiting for a connection or is assigned one after that time.
 func TestNotSentAfterSendBy(t *testing.T) {
-	got, answer := make(chan string, 10), make(chan struct{}, 10)
-	r := newHarness(t, func(c net.Conn) {
+	received, respond := make(chan string, 10), make(chan struct{}, 10)
+	h := newHarness(t, func(c net.Conn) {
 		for s := read(c); s != ""; s = read(c) {
-			got <- s
-			<-answer
+			received <- s
+			<-respond
 			write(c, "done\n")
 		}
 	})
-	r.endpoint = New(r.endpoint.group, lineProtocol{}, "one", connpool.Config{IdleTimeout: 10_000, MaxConns: 1, Nodes: 1})
-	r.endpoint.SetTarget(r.ln.Addr().String(), true)
-	by := func(key string, in float64) {
-		r.endpoint.Send(&exchange.Exchange{Key: []byte(key)}, 0, 4000, r.endpoint.group.Clock.Now()+in)
+	h.endpoint = New(h.endpoint.group, lineProtocol{}, "one", connpool.Config{IdleTimeout: 10_000, MaxConns: 1, Nodes: 1})
+	h.endpoint.SetTarget(h.listener.Addr().String(), true)
+	sendWithin := func(key string, ms float64) {
+		h.endpoint.Send(&exchange.Exchange{Key: []byte(key)}, 0, 4000, h.endpoint.group.Clock.Now()+ms)
+	}
+	sendWithin("first", 4000)
+	<-received
+	sendWithin("waiting", 20)
+	h.expectResult("still waiting at SendBy", fleet.NotSent)
+	respond <- struct{}{}
+	h.expectResult("attempt before it", fleet.Completed)
+	// The connection's writer may get an attempt before its SendBy timer fires. This attempt has no such timer.
+	now := h.endpoint.group.Clock.Now()
+	late := &Attempt{
+		Request: &exchange.Exchange{Key: []byte("late")}, SentAt: now, Deadline: now + 4000, SendBy: now - 1, timer: time.NewTimer(time.Hour),
 	}
-	by("first", 4000)
-	<-got
-	by("waits", 20)
-	r.expect("waits for a connection past SendBy", fleet.NotSent)
-	answer <- struct{}{}
-	r.expect("the one before it", fleet.Completed)
-	// The connection's writer may get it before the timer fires, so there is no timer here.
-	now := r.endpoint.group.Clock.Now()
-	late := &Attempt{Request: &exchange.Exchange{Key: []byte("late")}, SentAt: now, Deadline: now + 4000, SendBy: now - 1, timer: time.NewTimer(time.Hour)}
-	r.endpoint.mu.Lock()
-	r.endpoint.handleAdmission(late, r.endpoint.pool.Acquire(now, late))
-	r.endpoint.mu.Unlock()
-	r.expect("assigned a connection after SendBy", fleet.NotSent)
-	answer <- struct{}{}
-	by("in time", 4000)
-	r.expect("in time", fleet.Completed)
-	if s := <-got; s != "in time\n" {
+	h.endpoint.mu.Lock()
+	h.endpoint.handleAdmission(late, h.endpoint.pool.Acquire(now, late))
+	h.endpoint.mu.Unlock()
+	h.expectResult("assigned a connection after SendBy", fleet.NotSent)
+	respond <- struct{}{}
+	sendWithin("in time", 4000)
+	h.expectResult("in time", fleet.Completed)
+	if s := <-received; s != "in time\n" {
 		t.Errorf("the server got %q", s)
 	}
 }
--- a/internal/node/upstream/group.go
+++ b/internal/node/upstream/group.go
@@ -19,9 +19,9 @@
 	Memory  *memlimit.Budget // for buffered values of unknown length
 
 	OnDone       func(*Attempt, Completion) // called once per attempt, from any goroutine; must not block
-	OnPanic      func(any)                  // a panic in a connection's goroutine, which closes that connection only
-	OnDuplicates func(*Endpoint)            // a server became suspected of duplicate responses; may be nil
-	Random       func() float64             // from [0,1), called from any goroutine; nil: always 0
+	OnPanic      func(any)                  // called after a panic in a connection's goroutine; only that connection is closed
+	OnDuplicates func(*Endpoint)            // called when a server becomes suspected of duplicate responses; may be nil
+	Random       func() float64             // returns a number from [0,1), called from any goroutine; nil: always 0
 
 	Dialer             net.Dialer // opens connections; the zero value is usable
 	ConnectTimeout     float64    // ms
@@ -36,7 +36,7 @@
 
 // Stats counts events of the node's pools since its start.
 type Stats struct {
-	Opened       int // connections
+	Opened       int // connections opened
 	Reused       int // attempts on a connection that had served another one
 	Waited       int // attempts that had to wait for a connection
 	WaitTimeouts int // attempts that gave up waiting
--- a/internal/node/upstream/harness_test.go
+++ b/internal/node/upstream/harness_test.go
@@ -20,7 +20,8 @@
 	"mintspring/internal/testbed/loopbacktest"
 )
 
-// lineProtocol is a protocol of one line each way. A response "boom" makes its parser panic.
+// lineProtocol is a protocol in which requests and responses are single lines. Some response lines have an effect: "panic" makes the
+// parser panic, "malformed" makes it fail, "last" ends the use of the connection, and "large N" announces a value of N bytes.
 type lineProtocol struct{}
 
 func (lineProtocol) AppendRequest(b []byte, request *exchange.Exchange, _ float64) []byte {
@@ -49,12 +50,12 @@
 		return 0, Response{}, nil
 	}
 	switch text := string(b[:i]); text {
-	case "boom":
+	case "panic":
 		panic(text)
-	case "bad":
-		return 0, Response{}, errors.New("bad")
+	case "malformed":
+		return 0, Response{}, errors.New("malformed response")
 	default:
-		if size, is := strings.CutPrefix(text, "large "); is {
+		if size, large := strings.CutPrefix(text, "large "); large {
 			n, _ := strconv.ParseInt(size, 10, 64)
 			return i + 1, Response{Result: fleet.Completed, LargeValueSize: n}, nil
 		}
@@ -62,69 +63,74 @@
 	}
 }
 
-// harness is an endpoint at a fake server that serves each connection with one function.
+// harness is an endpoint whose server is a fake.
 type harness struct {
-	t        *testing.T
-	endpoint *Endpoint
-	ended    chan Completion
-	panics   chan any
-	ln       net.Listener
-	conns    chan net.Conn
+	t           *testing.T
+	endpoint    *Endpoint
+	completions chan Completion
+	panics      chan any
+	listener    net.Listener  // of the fake server
+	accepted    chan net.Conn // the server's ends of its connections
 }
 
+// newHarness starts a fake server that calls serve for each connection, and an endpoint that sends attempts to it.
 func newHarness(t *testing.T, serve func(c net.Conn)) *harness {
 	t.Helper()
-	ln := loopbacktest.Listen(t)
-	r := &harness{t: t, ended: make(chan Completion, 100), panics: make(chan any, 10), ln: ln, conns: make(chan net.Conn, 100)}
-	t.Cleanup(func() { closeConn(ln) })
+	listener := loopbacktest.Listen(t)
+	h := &harness{
+		t: t, completions: make(chan Completion, 100), panics: make(chan any, 10),
+		listener: listener, accepted: make(chan net.Conn, 100),
+	}
+	t.Cleanup(func() { closeConn(listener) })
 	go func() {
 		for {
-			c, err := ln.Accept()
+			c, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			r.conns <- c
+			h.accepted <- c
 			go serve(c)
 		}
 	}()
-	r.endpoint = New(&Group{
+	h.endpoint = New(&Group{
 		Clock: clock.New(), Sockets: fdlimit.New(1000, 0), ConnectTimeout: 200,
-		OnDone:  func(_ *Attempt, end Completion) { r.ended <- end },
-		OnPanic: func(p any) { r.panics <- p }, Memory: memlimit.New(0),
+		OnDone:  func(_ *Attempt, completion Completion) { h.completions <- completion },
+		OnPanic: func(p any) { h.panics <- p }, Memory: memlimit.New(0),
 	}, lineProtocol{}, "s", connpool.Config{IdleTimeout: 300})
-	r.endpoint.SetTarget(ln.Addr().String(), true)
-	return r
+	h.endpoint.SetTarget(listener.Addr().String(), true)
+	return h
 }
 
-func (r *harness) send(key string, limit float64) *Attempt {
-	return r.endpoint.Send(&exchange.Exchange{Key: []byte(key)}, 0, limit, math.Inf(1))
+// send starts an attempt with a timeout in ms.
+func (h *harness) send(key string, timeout float64) *Attempt {
+	return h.endpoint.Send(&exchange.Exchange{Key: []byte(key)}, 0, timeout, math.Inf(1))
 }
 
-func (r *harness) end() Completion {
-	r.t.Helper()
+func (h *harness) nextCompletion() Completion {
+	h.t.Helper()
 	select {
-	case e := <-r.ended:
-		return e
+	case completion := <-h.completions:
+		return completion
 	case <-time.After(5 * time.Second):
-		r.t.Fatal("an attempt has no completion")
+		h.t.Fatal("no attempt was completed within 5 s")
 		return Completion{}
 	}
 }
 
-// expect waits for the next completion and checks its outcome.
-func (r *harness) expect(name string, want fleet.Result) {
-	r.t.Helper()
-	e := r.end()
-	got := e.Response.Result
-	if e.Failure != nil {
-		got = e.Failure.Outcome()
+// expectResult waits for the next completion and checks its outcome.
+func (h *harness) expectResult(name string, want fleet.Result) {
+	h.t.Helper()
+	completion := h.nextCompletion()
+	got := completion.Response.Result
+	if completion.Failure != nil {
+		got = completion.Failure.Outcome()
 	}
 	if got != want {
-		r.t.Errorf("%s: outcome %d (%v), want %d", name, got, e.Failure, want)
+		h.t.Errorf("%s: outcome %d (%v), want %d", name, got, completion.Failure, want)
 	}
 }
 
-// read reads once; an empty string is the end of the connection.
+// read reads once. It returns an empty string at the end of the connection.
 func read(c net.Conn) string {
 	b := make([]byte, 1000)
 	n, _ := c.Read(b)
@@ -134,12 +140,12 @@
 // readBytes reads at most n bytes.
 func readBytes(c net.Conn, n int) { _, _ = c.Read(make([]byte, n)) }
 
-// write writes to the endpoint. The attempts show whether it arrived.
+// write writes to the endpoint. It ignores errors, since the results of the attempts show whether the text arrived.
 func write(c net.Conn, text string) { _, _ = io.WriteString(c, text) }
 
 func closeConn(c io.Closer) { _ = c.Close() }
 
-// echo serves a connection by sending back what arrives.
+// echo serves a connection by sending back the bytes that it receives.
 func echo(c net.Conn) {
 	for {
 		s := read(c)
@@ -150,15 +156,15 @@
 	}
 }
 
-// piped adds a connection on which each byte waits until the far end reads it.
-func (r *harness) piped() net.Conn {
-	near, far := net.Pipe()
-	endpoint := r.endpoint
-	c := &conn{Conn: connpool.Conn{Addr: r.ln.Addr().String()}, endpoint: endpoint, net: near, attempts: make(chan *Attempt, 1)}
+// addPipeConn adds an unbuffered connection to the pool, on which a write blocks until the bytes are read. It returns the server's end.
+func (h *harness) addPipeConn() net.Conn {
+	clientEnd, serverEnd := net.Pipe()
+	endpoint := h.endpoint
+	c := &conn{Conn: connpool.Conn{Addr: h.listener.Addr().String()}, endpoint: endpoint, net: clientEnd, attempts: make(chan *Attempt, 1)}
 	go c.writeLoop()
 	go c.readLoop()
 	endpoint.mu.Lock()
 	endpoint.pool.Release(endpoint.group.Clock.Now(), c)
 	endpoint.mu.Unlock()
-	return far
+	return serverEnd
 }
--- a/internal/node/upstream/pooling_test.go
+++ b/internal/node/upstream/pooling_test.go
@@ -20,119 +20,119 @@
 	"mintspring/internal/node/fdlimit"
 )
 
-// Connections are reused until the server closes them, they are closed as unused, or they have been idle for too long.
+// A connection is reused until the server announces its end, CloseUnused closes it, or it has been idle for too long.
 func TestConnectionReuse(t *testing.T) {
-	r := newHarness(t, echo)
+	h := newHarness(t, echo)
 	for range 5 {
-		r.send("q", 1000)
-		r.expect("one after another", fleet.Completed)
+		h.send("q", 1000)
+		h.expectResult("one after another", fleet.Completed)
 	}
-	if k := r.endpoint.group.Stats().Opened; k != 1 {
-		t.Errorf("%d connections for five attempts in turn", k)
+	if opened := h.endpoint.group.Stats().Opened; opened != 1 {
+		t.Errorf("%d connections were opened for five attempts in turn", opened)
 	}
-	r.send("last", 1000)
-	r.end()
-	r.send("q", 1000)
-	r.expect("after the server's last", fleet.Completed)
-	if k := r.endpoint.group.Stats().Opened; k != 2 {
-		t.Errorf("%d connections", k)
+	h.send("last", 1000)
+	h.nextCompletion()
+	h.send("q", 1000)
+	h.expectResult("after the server's last response on a connection", fleet.Completed)
+	if opened := h.endpoint.group.Stats().Opened; opened != 2 {
+		t.Errorf("%d connections were opened, want 2", opened)
 	}
-	r.endpoint.CloseUnused()
-	r.send("q", 1000)
-	r.expect("after CloseUnused", fleet.Completed)
-	if k := r.endpoint.group.Stats().Opened; k != 3 {
-		t.Errorf("%d connections", k)
+	h.endpoint.CloseUnused()
+	h.send("q", 1000)
+	h.expectResult("after CloseUnused", fleet.Completed)
+	if opened := h.endpoint.group.Stats().Opened; opened != 3 {
+		t.Errorf("%d connections were opened, want 3", opened)
 	}
 	time.Sleep(350 * time.Millisecond)
-	r.send("q", 1000) // the server may be closing the connection that has been idle for long
-	r.expect("after a long idle time", fleet.Completed)
-	if k := r.endpoint.group.Stats().Opened; k != 4 {
-		t.Errorf("%d connections", k)
+	h.send("q", 1000) // the server may be about to close a connection that has been idle for this long
+	h.expectResult("after a long idle time", fleet.Completed)
+	if opened := h.endpoint.group.Stats().Opened; opened != 4 {
+		t.Errorf("%d connections were opened, want 4", opened)
 	}
 	time.Sleep(350 * time.Millisecond)
-	r.endpoint.Reap()
-	if r.endpoint.group.CloseOldestUnused() {
-		t.Error("a connection idle for long is open")
+	h.endpoint.Reap()
+	if h.endpoint.group.CloseOldestUnused() {
+		t.Error("a connection is open after the idle timeout")
 	}
 }
 
-// A waiting attempt takes whichever connection is released first, not only the one dialed for it.
+// A waiting attempt takes the first connection that becomes free, even if another one is being dialed for it.
 func TestWaitingAttemptTakesReleasedConnection(t *testing.T) {
-	r := newHarness(t, echo)
-	r.endpoint.mu.Lock()
-	r.endpoint.pool.Dialing = 1
-	r.endpoint.mu.Unlock()
-	r.send("q", 1000)
-	far := r.piped()
-	go echo(far)
-	r.expect("on the released connection", fleet.Completed)
+	h := newHarness(t, echo)
+	h.endpoint.mu.Lock()
+	h.endpoint.pool.Dialing = 1
+	h.endpoint.mu.Unlock()
+	h.send("q", 1000)
+	serverEnd := h.addPipeConn()
+	go echo(serverEnd)
+	h.expectResult("on the released connection", fleet.Completed)
 }
 
-// Bytes without a request must not be read as the response to the next attempt.
+// Bytes that follow a response must not be read as the response to the next attempt.
 func TestUnsolicitedBytesCloseConnection(t *testing.T) {
-	r := newHarness(t, func(c net.Conn) { read(c); write(c, "q\nmore\n"); echo(c) })
-	r.send("q", 1000)
-	r.expect("first", fleet.Completed)
-	r.send("q", 1000)
-	if v := string(r.end().Response.Value); v != "q" {
+	h := newHarness(t, func(c net.Conn) { read(c); write(c, "q\nmore\n"); echo(c) })
+	h.send("q", 1000)
+	h.expectResult("first", fleet.Completed)
+	h.send("q", 1000)
+	if v := string(h.nextCompletion().Response.Value); v != "q" {
 		t.Errorf("response %q", v)
 	}
-	if k := r.endpoint.group.Stats().Opened; k != 2 {
-		t.Errorf("%d connections", k)
+	if opened := h.endpoint.group.Stats().Opened; opened != 2 {
+		t.Errorf("%d connections were opened, want 2", opened)
 	}
 }
 
-// A duplicate that arrives after the response, when the next attempt has the connection already, is not read as the response
-// to that one. The attempt takes another connection, since nothing of it was sent.
+// A duplicate response that arrives after the connection was assigned to the next attempt is not read as that attempt's response. The
+// attempt takes another connection, since no byte of it was sent.
 func TestLateDuplicateResponse(t *testing.T) {
-	r := newHarness(t, func(c net.Conn) {
+	h := newHarness(t, func(c net.Conn) {
 		for s := read(c); s != ""; s = read(c) {
 			write(c, s)
 			write(c, s)
 		}
 	})
-	r.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{Cooldown: 20, DialAfterWait: 200, IdleTimeout: 300}, 1, 0)
+	h.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{Cooldown: 20, DialAfterWait: 200, IdleTimeout: 300}, 1, 0)
 	go func() {
-		for range r.conns {
+		for range h.accepted {
 		}
 	}()
 	for i := range 50 {
 		key := fmt.Sprint("q", i)
 		for range 3 {
-			r.send(key, 1000)
+			h.send(key, 1000)
 		}
 		for range 3 {
-			if e := r.end(); string(e.Response.Value) != key {
-				t.Fatalf("%s: response %q, %v", key, e.Response.Value, e.Failure)
+			if completion := h.nextCompletion(); string(completion.Response.Value) != key {
+				t.Fatalf("%s: response %q, %v", key, completion.Response.Value, completion.Failure)
 			}
 		}
 	}
 }
 
-// A connection that the server has closed while it was idle says nothing about the attempt that took it.
+// An attempt that is assigned a connection which the server has closed while it was idle takes another connection and does not fail.
 func TestIdleConnectionClosedByServer(t *testing.T) {
-	r := newHarness(t, echo)
+	h := newHarness(t, echo)
 	for i := range 100 {
-		r.send("q", 1000)
-		r.expect("on a fresh connection", fleet.Completed)
-		closeConn(<-r.conns)
+		h.send("q", 1000)
+		h.expectResult("after the server closed idle connections", fleet.Completed)
+		closeConn(<-h.accepted)
 		if i%2 == 0 {
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-// A server that forgets idle connections without closing them costs one attempt, not one for each idle connection, and the
-// failure says so.
-func TestForgottenConnectionsAreClosed(t *testing.T) {
-	r := newHarness(t, func(c net.Conn) {
-		for at := time.Now(); ; at = time.Now() {
+// If a server drops idle connections without closing them, only one attempt fails, not one for each idle connection. The failure is
+// marked as stale.
+func TestStaleConnectionsAreClosed(t *testing.T) {
+	h := newHarness(t, func(c net.Conn) {
+		for idleSince := time.Now(); ; idleSince = time.Now() {
 			s := read(c)
 			if s == "" {
 				return
 			}
-			if time.Since(at) > 100*time.Millisecond {
-				_ = c.(*net.TCPConn).SetLinger(0) // the server then resets it
+			if time.Since(idleSince) > 100*time.Millisecond {
+				_ = c.(*net.TCPConn).SetLinger(0) // closing then resets the connection
 				closeConn(c)
 				return
 			}
@@ -140,214 +140,215 @@
 		}
 	})
 	for range 5 {
-		r.send("q", 1000)
+		h.send("q", 1000)
 	}
 	for range 5 {
-		r.expect("on a connection each", fleet.Completed)
+		h.expectResult("each on its own connection", fleet.Completed)
 	}
 	time.Sleep(120 * time.Millisecond)
-	r.send("q", 1000)
-	if e := r.end(); e.Failure == nil || !e.Failure.Stale || e.Failure.Outcome() != fleet.Reset {
-		t.Errorf("on a forgotten connection: %+v", e)
+	h.send("q", 1000)
+	if completion := h.nextCompletion(); completion.Failure == nil || !completion.Failure.Stale ||
+		completion.Failure.Outcome() != fleet.Reset {
+		t.Errorf("on a stale connection: %+v", completion)
 	}
 	for range 3 {
-		r.send("q", 1000)
-		r.expect("after it", fleet.Completed)
+		h.send("q", 1000)
+		h.expectResult("after the stale connection", fleet.Completed)
 	}
 }
 
-// Of all endpoints the connection that has been unused longest is closed to free a descriptor.
+// CloseOldestUnused closes the connection that has been unused longest among all endpoints, in order to free a descriptor.
 func TestCloseOldestUnused(t *testing.T) {
-	r := newHarness(t, echo)
-	other := New(r.endpoint.group, lineProtocol{}, "other", connpool.Config{IdleTimeout: 300})
-	other.SetTarget(r.ln.Addr().String(), true)
-	for _, e := range []*Endpoint{other, r.endpoint} {
-		e.Send(&exchange.Exchange{Key: []byte("q")}, 0, 1000, math.Inf(1))
-		r.expect("one on each", fleet.Completed)
+	h := newHarness(t, echo)
+	other := New(h.endpoint.group, lineProtocol{}, "other", connpool.Config{IdleTimeout: 300})
+	other.SetTarget(h.listener.Addr().String(), true)
+	for _, endpoint := range []*Endpoint{other, h.endpoint} {
+		endpoint.Send(&exchange.Exchange{Key: []byte("q")}, 0, 1000, math.Inf(1))
+		h.expectResult("one connection per endpoint", fleet.Completed)
 	}
 	for i, want := range []int{1, 0, 0} {
-		if r.endpoint.group.CloseOldestUnused() != (i < 2) || r.endpoint.pool.State().Open != want || other.pool.State().Open != 0 {
-			t.Errorf("after %d: %d and %d idle", i+1, other.pool.State().Open, r.endpoint.pool.State().Open)
+		if h.endpoint.group.CloseOldestUnused() != (i < 2) || h.endpoint.pool.State().Open != want || other.pool.State().Open != 0 {
+			t.Errorf("after call %d: %d and %d connections are open", i+1, other.pool.State().Open, h.endpoint.pool.State().Open)
 		}
 	}
-	if other.Remove(); len(r.endpoint.group.endpoints) != 1 {
-		t.Errorf("%d endpoints after one was removed", len(r.endpoint.group.endpoints))
+	if other.Remove(); len(h.endpoint.group.endpoints) != 1 {
+		t.Errorf("%d endpoints after one was removed", len(h.endpoint.group.endpoints))
 	}
 }
 
-// Without a free descriptor an attempt is not sent.
+// An attempt is not sent if no file descriptor is free.
 func TestNoFreeDescriptor(t *testing.T) {
-	r := newHarness(t, echo)
-	r.endpoint.group.Sockets = fdlimit.New(1, 0)
-	r.send("q", 1000)
-	r.expect("without a descriptor", fleet.NotSent)
+	h := newHarness(t, echo)
+	h.endpoint.group.Sockets = fdlimit.New(1, 0)
+	h.send("q", 1000)
+	h.expectResult("without a descriptor", fleet.NotSent)
 }
 
-// A burst that needs more connections than allowed waits for the open ones, and attempts that wait too long, or would, fail
-// without having run.
+// If a burst needs more connections than are allowed, its attempts wait for the open ones. Attempts that wait too long, or find the
+// queue full, fail without having been executed.
 func TestBoundedPool(t *testing.T) {
-	r := newHarness(t, func(c net.Conn) {
+	h := newHarness(t, func(c net.Conn) {
 		for s := read(c); s != ""; s = read(c) {
 			time.Sleep(30 * time.Millisecond)
 			write(c, s)
 		}
 	})
-	r.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{MaxConns: 2, WaitTimeout: 100, MaxWaiting: 12, IdleTimeout: 300}, 1, 0)
+	h.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{MaxConns: 2, WaitTimeout: 100, MaxWaiting: 12, IdleTimeout: 300}, 1, 0)
 	for i := range 20 {
-		r.send(fmt.Sprint("q", i), 1000)
+		h.send(fmt.Sprint("q", i), 1000)
 	}
 	results := map[fleet.Result]int{}
 	for range 20 {
-		if e := r.end(); e.Failure != nil {
-			if results[e.Failure.Outcome()]++; !e.Failure.Outcome().NotExecuted() {
-				t.Errorf("%v", e.Failure)
+		if completion := h.nextCompletion(); completion.Failure != nil {
+			if results[completion.Failure.Outcome()]++; !completion.Failure.Outcome().NotExecuted() {
+				t.Errorf("%v", completion.Failure)
 			}
 		} else {
-			results[e.Response.Result]++
+			results[completion.Response.Result]++
 		}
 	}
-	c := r.endpoint.group.Stats()
-	if c.Opened != 2 || results[fleet.Completed] < 4 || results[fleet.Declined] != 20-results[fleet.Completed] ||
-		c.WaitTimeouts+c.QueueFull != results[fleet.Declined] || c.WaitTimeouts == 0 || c.QueueFull == 0 {
-		t.Errorf("outcomes %v, stats %+v", results, c)
+	stats := h.endpoint.group.Stats()
+	if stats.Opened != 2 || results[fleet.Completed] < 4 || results[fleet.Declined] != 20-results[fleet.Completed] ||
+		stats.WaitTimeouts+stats.QueueFull != results[fleet.Declined] || stats.WaitTimeouts == 0 || stats.QueueFull == 0 {
+		t.Errorf("outcomes %v, stats %+v", results, stats)
 	}
 }
 
-// Failed dials fail the waiting attempts, also where few dials may be in progress at a time.
+// If the server accepts no connections, all waiting attempts fail soon, even if only one dial at a time may be in progress.
 func TestBoundedPoolAtDeadServer(t *testing.T) {
-	r := newHarness(t, echo)
-	closeConn(r.ln)
-	r.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{MaxConns: 1, IdleTimeout: 300}, 1, 0)
+	h := newHarness(t, echo)
+	closeConn(h.listener)
+	h.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{MaxConns: 1, IdleTimeout: 300}, 1, 0)
 	for range 10 {
-		r.send("q", 2000)
+		h.send("q", 2000)
 	}
 	start := time.Now()
 	for range 10 {
-		r.expect("a dead server", fleet.ConnectFailed)
+		h.expectResult("a dead server", fleet.ConnectFailed)
 	}
 	if took := time.Since(start); took > time.Second {
-		t.Errorf("failed after %v", took)
+		t.Errorf("the attempts failed only after %v", took)
 	}
 }
 
 // A connection is not reused past its maximum age.
 func TestMaxAge(t *testing.T) {
-	r := newHarness(t, echo)
-	r.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{MaxAge: 50, IdleTimeout: 300}, 1, 0)
-	r.send("q", 1000)
-	r.expect("young", fleet.Completed)
+	h := newHarness(t, echo)
+	h.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{MaxAge: 50, IdleTimeout: 300}, 1, 0)
+	h.send("q", 1000)
+	h.expectResult("before the maximum age", fleet.Completed)
 	time.Sleep(60 * time.Millisecond)
-	r.send("q", 1000)
-	r.expect("old", fleet.Completed)
-	if c := r.endpoint.group.Stats(); c.Opened != 2 || c.Expired != 1 {
-		t.Errorf("stats %+v", c)
+	h.send("q", 1000)
+	h.expectResult("after the maximum age", fleet.Completed)
+	if stats := h.endpoint.group.Stats(); stats.Opened != 2 || stats.Expired != 1 {
+		t.Errorf("stats %+v", stats)
 	}
 }
 
-// The minimum of connections is opened ahead of need.
+// Reap opens the minimum number of connections before any attempt needs them.
 func TestMinConnsAreOpenedAhead(t *testing.T) {
-	r := newHarness(t, echo)
-	r.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{MinConns: 3, IdleTimeout: 300}, 1, 0)
-	r.endpoint.Reap()
-	for end := time.Now().Add(2 * time.Second); r.endpoint.group.Stats().Opened < 3; time.Sleep(time.Millisecond) {
+	h := newHarness(t, echo)
+	h.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{MinConns: 3, IdleTimeout: 300}, 1, 0)
+	h.endpoint.Reap()
+	for end := time.Now().Add(2 * time.Second); h.endpoint.group.Stats().Opened < 3; time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("not opened")
+			t.Fatal("the minimum number of connections was not opened within 2 s")
 		}
 	}
-	r.send("q", 1000)
-	r.expect("the first", fleet.Completed)
-	if c := r.endpoint.group.Stats(); c.Opened != 3 || c.Waited != 0 {
-		t.Errorf("stats %+v", c)
+	h.send("q", 1000)
+	h.expectResult("first attempt", fleet.Completed)
+	if stats := h.endpoint.group.Stats(); stats.Opened != 3 || stats.Waited != 0 {
+		t.Errorf("stats %+v", stats)
 	}
 }
 
-// duplicatesCooldown is the first cooldown of the pool, in milliseconds.
+// duplicatesCooldown is the pool's cooldown while the server is not suspected of duplicates, in ms.
 const duplicatesCooldown = 15.0
 
-// duplicatingServer responds to some requests a second time, whole or in halves, after a while.
+// duplicatingServer sends a duplicate of some responses after a delay, in one piece or in two halves.
 type duplicatingServer struct {
-	duplicates  sync.WaitGroup
-	connections sync.Map // the connection that each request arrived on
-	late        sync.Map // connections on which a duplicate was later than the cooldown
+	duplicates  sync.WaitGroup // duplicates that are still to be sent
+	connections sync.Map       // from each request to the connection on which it arrived
+	late        sync.Map       // set of connections on which a duplicate was sent after the cooldown
 }
 
 func (d *duplicatingServer) serve(c net.Conn) {
 	n := 0
 	for s := read(c); s != ""; s = read(c) {
 		d.connections.Store(strings.TrimSpace(s), c)
-		began := time.Now()
-		d.duplicates.Add(1) // before the response, after which the test may wait for all
+		receivedAt := time.Now()
+		d.duplicates.Add(1) // before the response, because the test may call Wait once it has the response
 		write(c, s)
-		behind := func(ms time.Duration, b string) {
+		sendLater := func(ms time.Duration, b string) {
 			d.duplicates.Add(1)
 			time.AfterFunc(ms*time.Millisecond, func() {
 				defer d.duplicates.Done()
-				if write(c, b); time.Since(began) > clock.Duration(duplicatesCooldown) {
+				if write(c, b); time.Since(receivedAt) > clock.Duration(duplicatesCooldown) {
 					d.late.Store(c, true)
 				}
 			})
 		}
 		switch n++; n % 5 {
 		case 0: // in halves
-			behind(2, s[:len(s)/2])
-			behind(4, s[len(s)/2:])
+			sendLater(2, s[:len(s)/2])
+			sendLater(4, s[len(s)/2:])
 		case 1:
-			behind(9, s)
+			sendLater(9, s)
 		}
 		d.duplicates.Done()
 	}
 }
 
-// What a server sends late after a response never reaches another request, at any rate of use, as long as it arrives within the
-// cooldown. On a busy machine the fake server itself may send it later than that, and records on which connection.
+// A duplicate response that arrives within the cooldown is never read as the response to another request, no matter how often
+// connections are reused. On a busy machine the fake server may send a duplicate after the cooldown; it records the connection then.
 func TestDuplicatesReachNoOtherRequest(t *testing.T) {
 	var server duplicatingServer
-	r := newHarness(t, server.serve)
-	r.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{Cooldown: duplicatesCooldown, DialAfterWait: 30, IdleTimeout: 60}, 1, 0)
+	h := newHarness(t, server.serve)
+	h.endpoint.pool.Policy = connpool.NewPolicy(connpool.Config{Cooldown: duplicatesCooldown, DialAfterWait: 30, IdleTimeout: 60}, 1, 0)
 	go func() {
-		for range r.conns {
+		for range h.accepted {
 		}
 	}()
 	wrong := map[string]string{}
 	for i := range 200 {
 		key := fmt.Sprint("q", i)
-		r.send(key, 1000)
+		h.send(key, 1000)
 		time.Sleep(500 * time.Microsecond) // so that some connections are reused
-		e := r.end()
-		if e.Failure == nil && string(e.Response.Value) != key {
-			wrong[key] = string(e.Response.Value)
+		completion := h.nextCompletion()
+		if completion.Failure == nil && string(completion.Response.Value) != key {
+			wrong[key] = string(completion.Response.Value)
 		}
-		if e.Failure != nil && !errors.Is(e.Failure, errDuplicatesSuspected) {
-			t.Errorf("%s: %v; %+v", key, e.Failure, r.endpoint.pool.State())
+		if completion.Failure != nil && !errors.Is(completion.Failure, errDuplicatesSuspected) {
+			t.Errorf("%s: %v; %+v", key, completion.Failure, h.endpoint.pool.State())
 		}
 	}
 	server.duplicates.Wait()
 	for key, value := range wrong {
 		c, _ := server.connections.Load(key)
-		if _, excused := server.late.Load(c); !excused {
-			t.Errorf("%s has the response %s", key, value)
+		if _, late := server.late.Load(c); !late {
+			t.Errorf("request %s got the response %s", key, value)
 		}
 	}
-	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && r.endpoint.group.Stats().Unsolicited < 20; {
+	for end := time.Now().Add(5 * time.Second); time.Now().Before(end) && h.endpoint.group.Stats().Unsolicited < 20; {
 		time.Sleep(time.Millisecond)
 	}
-	if c := r.endpoint.group.Stats(); c.Unsolicited < 20 || c.Suspected == 0 {
-		t.Errorf("stats %+v", c)
+	if stats := h.endpoint.group.Stats(); stats.Unsolicited < 20 || stats.Suspected == 0 {
+		t.Errorf("stats %+v", stats)
 	}
 }
 
-// Connections that are opened ahead of need, and fail at once, are not dialed again at once: a machine without ports or a server
-// that refuses kept a processor busy.
+// If connections opened ahead of need fail at once, they are not dialed again at once. Without this pause, a machine without free ports
+// or a server that refuses connections kept a processor busy.
 func TestFailedPrewarmingBacksOff(t *testing.T) {
-	r := newHarness(t, echo)
+	h := newHarness(t, echo)
 	var dials atomic.Int64
-	group := r.endpoint.group
+	group := h.endpoint.group
 	group.Dialer.Control = func(_, _ string, _ syscall.RawConn) error {
 		dials.Add(1)
 		return os.NewSyscallError("connect", syscall.EADDRNOTAVAIL)
 	}
-	e := New(group, lineProtocol{}, "prewarmed", connpool.Config{IdleTimeout: 300, MinConns: 2})
-	e.SetTarget(r.ln.Addr().String(), true)
+	endpoint := New(group, lineProtocol{}, "prewarmed", connpool.Config{IdleTimeout: 300, MinConns: 2})
+	endpoint.SetTarget(h.listener.Addr().String(), true)
 	time.Sleep(200 * time.Millisecond)
 	if n := dials.Load(); n < 2 || n > 20 {
 		t.Errorf("%d dials in 200 ms", n)
--- a/internal/node/upstream/stream_test.go
+++ b/internal/node/upstream/stream_test.go
@@ -15,7 +15,7 @@
 	"mintspring/internal/node/memlimit"
 )
 
-// readAll returns what a stream contains, and how it ends.
+// readAll returns the bytes of a stream and the error that ended it.
 func readAll(s exchange.Stream) ([]byte, error) {
 	var all []byte
 	for {
@@ -27,112 +27,114 @@
 	}
 }
 
-func (r *harness) stream() exchange.Stream {
-	r.t.Helper()
-	e := r.end()
-	if e.Response.Stream == nil {
-		r.t.Fatalf("no stream: %+v", e)
+// nextStream waits for the next completion and returns the stream in its response.
+func (h *harness) nextStream() exchange.Stream {
+	h.t.Helper()
+	completion := h.nextCompletion()
+	if completion.Response.Stream == nil {
+		h.t.Fatalf("no stream: %+v", completion)
 	}
-	return e.Response.Stream
+	return completion.Response.Stream
 }
 
-func value(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16+1)[:n] }
+// testValue returns a value of n bytes.
+func testValue(n int) []byte { return bytes.Repeat([]byte("0123456789abcdef"), n/16+1)[:n] }
 
-// A large value arrives completely in any pieces, and its connection is reused after it.
+// A large value arrives completely, whatever the size of the pieces in which it is sent, and its connection is reused.
 func TestLargeValueInPieces(t *testing.T) {
 	const size = 300_000
 	for _, piece := range []int{1 << 20, 4096, 997} {
-		r := newHarness(t, func(c net.Conn) {
+		h := newHarness(t, func(c net.Conn) {
 			for read(c) != "" {
-				all := append(append([]byte(fmt.Sprintf("large %d\n", size)), value(size)...), '\n')
-				for len(all) > 0 {
-					n := min(piece, len(all))
-					write(c, string(all[:n]))
-					all = all[n:]
+				unsent := append(append([]byte(fmt.Sprintf("large %d\n", size)), testValue(size)...), '\n')
+				for len(unsent) > 0 {
+					n := min(piece, len(unsent))
+					write(c, string(unsent[:n]))
+					unsent = unsent[n:]
 				}
 			}
 		})
 		for i := range 3 {
-			r.send("q", 1000)
-			got, err := readAll(r.stream())
-			if !errors.Is(err, io.EOF) || !bytes.Equal(got, value(size)) {
+			h.send("q", 1000)
+			got, err := readAll(h.nextStream())
+			if !errors.Is(err, io.EOF) || !bytes.Equal(got, testValue(size)) {
 				t.Fatalf("pieces of %d: %d bytes, %v", piece, len(got), err)
 			}
 			time.Sleep(5 * time.Millisecond)
-			if n := len(r.conns); n != 1 {
+			if n := len(h.accepted); n != 1 {
 				t.Errorf("value %d: %d connections were opened", i, n)
 			}
 		}
 	}
 }
 
-// The last byte is returned only if the value ends where it should; one that breaks off or ends elsewhere never passes for
-// complete. The connection is closed then.
+// Next returns the last byte of a value only if the terminator follows it. A value that is truncated or longer than announced is never
+// reported as complete, and its connection is closed.
 func TestIncompleteLargeValue(t *testing.T) {
 	const size = 100_000
 	for name, text := range map[string]string{
-		"cut":     string(value(size / 2)),
-		"unended": string(value(size)),
-		"longer":  string(value(size)) + "more\n",
+		"truncated":    string(testValue(size / 2)),
+		"unterminated": string(testValue(size)),
+		"longer":       string(testValue(size)) + "more\n",
 	} {
-		r := newHarness(t, func(c net.Conn) {
+		h := newHarness(t, func(c net.Conn) {
 			read(c)
 			write(c, fmt.Sprintf("large %d\n", size)+text)
 			if name != "longer" {
 				closeConn(c)
 			}
 		})
-		r.send("q", 1000)
-		got, err := readAll(r.stream())
+		h.send("q", 1000)
+		got, err := readAll(h.nextStream())
 		if err == nil || errors.Is(err, io.EOF) || len(got) >= size {
 			t.Errorf("%s: %d bytes, %v", name, len(got), err)
 		}
-		for deadline := time.Now().Add(time.Second); r.endpoint.group.Sockets.Held() > 0; time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(time.Second); h.endpoint.group.Sockets.Held() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatalf("%s: its connection is open", name)
+				t.Fatalf("%s: the connection was not closed", name)
 			}
 		}
 	}
 }
 
-// A value that stalls breaks off, a slow one does not; neither ends with the time limit of its attempt.
+// A large value that stalls fails, and one that arrives slowly does not. The attempt's timeout does not apply to either.
 func TestSlowLargeValue(t *testing.T) {
 	const size = 70_000
-	r := newHarness(t, func(c net.Conn) {
-		for q := read(c); q != ""; q = read(c) {
+	h := newHarness(t, func(c net.Conn) {
+		for request := read(c); request != ""; request = read(c) {
 			write(c, fmt.Sprintf("large %d\n", size))
 			for i := range 7 {
-				if strings.HasPrefix(q, "still") && i == 3 {
+				if strings.HasPrefix(request, "stalled") && i == 3 {
 					return
 				}
 				time.Sleep(40 * time.Millisecond)
-				write(c, string(value(10_000)))
+				write(c, string(testValue(10_000)))
 			}
 			write(c, "\n")
 		}
 	})
-	r.endpoint.group.StreamStallTimeout = 150
-	r.send("slow", 60)
-	if got, err := readAll(r.stream()); !errors.Is(err, io.EOF) || len(got) != size {
+	h.endpoint.group.StreamStallTimeout = 150
+	h.send("slow", 60)
+	if got, err := readAll(h.nextStream()); !errors.Is(err, io.EOF) || len(got) != size {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
-	r.send("still", 60)
-	if got, err := readAll(r.stream()); errors.Is(err, io.EOF) || len(got) != 30_000 {
+	h.send("stalled", 60)
+	if got, err := readAll(h.nextStream()); errors.Is(err, io.EOF) || len(got) != 30_000 {
 		t.Errorf("%d bytes, %v", len(got), err)
 	}
 }
 
-// A stream that is closed before its first piece or within one frees its connection.
+// Closing a stream before or while it is read closes its connection.
 func TestAbandonedLargeValue(t *testing.T) {
-	r := newHarness(t, func(c net.Conn) {
+	h := newHarness(t, func(c net.Conn) {
 		for read(c) != "" {
-			write(c, "large 4000000\n"+string(value(1000)))
+			write(c, "large 4000000\n"+string(testValue(1000)))
 		}
 	})
-	for _, first := range []bool{false, true} {
-		r.send("q", 1000)
-		s := r.stream()
-		if first {
+	for _, readSome := range []bool{false, true} {
+		h.send("q", 1000)
+		s := h.nextStream()
+		if readSome {
 			if _, err := s.Next(); err != nil {
 				t.Fatal(err)
 			}
@@ -143,15 +145,15 @@
 		}
 		s.Close()
 		s.Close()
-		for deadline := time.Now().Add(time.Second); r.endpoint.group.Sockets.Held() > 0; time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(time.Second); h.endpoint.group.Sockets.Held() > 0; time.Sleep(time.Millisecond) {
 			if time.Now().After(deadline) {
-				t.Fatal("its connection is open")
+				t.Fatal("the connection was not closed")
 			}
 		}
 	}
 }
 
-// unsizedProtocol has responses that end with the connection.
+// unsizedProtocol is a lineProtocol whose responses consist of a value and end with the connection.
 type unsizedProtocol struct{ lineProtocol }
 
 func (unsizedProtocol) ParseResponse([]byte) (int, Response, error) {
@@ -176,88 +178,88 @@
 	}
 }
 
-// A value of unknown length is buffered within the memory that there is, a small one as a value, a large one as a stream; and
-// one whose attempt times out is read to its end all the same.
+// A value of unknown length is buffered within the memory budget. A small value is returned as a whole, and a large one as a stream. If
+// the attempt times out, the response is still read to its end.
 func TestUnsizedValues(t *testing.T) {
-	size, cut := make(chan int, 10), make(chan error, 10)
-	r := newHarness(t, func(c net.Conn) {
+	sizes, writeErrs := make(chan int, 10), make(chan error, 10)
+	h := newHarness(t, func(c net.Conn) {
 		read(c)
-		n := <-size
+		n := <-sizes
 		var err error
-		for all := value(n); len(all) > 0 && err == nil; {
-			k := min(20_000, len(all))
-			_, err = c.Write(all[:k])
-			all = all[k:]
+		for unsent := testValue(n); len(unsent) > 0 && err == nil; {
+			piece := min(20_000, len(unsent))
+			_, err = c.Write(unsent[:piece])
+			unsent = unsent[piece:]
 			time.Sleep(time.Millisecond)
 		}
-		cut <- err
+		writeErrs <- err
 		closeConn(c)
 	})
-	r.endpoint.protocol = unsizedProtocol{}
-	r.endpoint.group.Memory = memlimit.New(600_000)
+	h.endpoint.protocol = unsizedProtocol{}
+	h.endpoint.group.Memory = memlimit.New(600_000)
 	for _, n := range []int{10, 60_000, 65_537, 400_000} {
-		size <- n
-		r.send("q", 5000)
-		e := r.end()
-		got := e.Response.Value
-		if e.Response.Stream != nil {
-			got, _ = readAll(e.Response.Stream)
-			e.Response.Stream.Close()
+		sizes <- n
+		h.send("q", 5000)
+		completion := h.nextCompletion()
+		got := completion.Response.Value
+		if completion.Response.Stream != nil {
+			got, _ = readAll(completion.Response.Stream)
+			completion.Response.Stream.Close()
 		}
-		if !bytes.Equal(got, value(n)) || (e.Response.Stream != nil) != (n > exchange.MaxBufferedValue) {
-			t.Errorf("%d bytes arrived of %d, %+v", len(got), n, e)
+		if !bytes.Equal(got, testValue(n)) || (completion.Response.Stream != nil) != (n > exchange.MaxBufferedValue) {
+			t.Errorf("%d bytes arrived of %d, %+v", len(got), n, completion)
 		}
-		<-cut //nolint:errcheck // the value is complete
+		<-writeErrs //nolint:errcheck // the value arrived completely
 	}
-	size <- 900_000
-	r.send("q", 5000)
-	r.expect("more than there is memory for", fleet.Reset)
-	<-cut //nolint:errcheck // all of it may have been written before the reset
-	size <- 400_000
-	r.send("q", 8)
-	r.expect("timed out", fleet.TimedOut)
-	if err := <-cut; err != nil {
+	sizes <- 900_000
+	h.send("q", 5000)
+	h.expectResult("value exceeds the memory budget", fleet.Reset)
+	<-writeErrs //nolint:errcheck // all of it may have been written before the reset
+	sizes <- 400_000
+	h.send("q", 8)
+	h.expectResult("timed out", fleet.TimedOut)
+	if err := <-writeErrs; err != nil {
 		t.Errorf("the server's connection was reset: %v", err)
 	}
 	time.Sleep(10 * time.Millisecond)
-	if n := r.endpoint.group.Memory.Used(); n != 0 {
-		t.Errorf("%d bytes of memory are not given back", n)
+	if n := h.endpoint.group.Memory.Used(); n != 0 {
+		t.Errorf("%d bytes of memory were not returned to the budget", n)
 	}
-	// One whose request may be attempted elsewhere is closed at once, since it would be in flight twice.
-	size <- 4_000_000
-	e := r.send("q", 5000)
+	// When an attempt is cancelled, its connection is closed at once: the request may be retried, and would be in flight twice.
+	sizes <- 4_000_000
+	attempt := h.send("q", 5000)
 	for begun := false; !begun; time.Sleep(time.Millisecond) {
-		r.endpoint.mu.Lock()
-		begun = e.conn != nil && e.conn.readingUnsized
-		r.endpoint.mu.Unlock()
+		h.endpoint.mu.Lock()
+		begun = attempt.conn != nil && attempt.conn.readingUnsized
+		h.endpoint.mu.Unlock()
 	}
-	r.endpoint.Cancel(e)
-	r.expect("cancelled", fleet.Cancelled)
-	if err := <-cut; err == nil {
+	h.endpoint.Cancel(attempt)
+	h.expectResult("cancelled", fleet.Cancelled)
+	if err := <-writeErrs; err == nil {
 		t.Error("a cancelled response was read to its end")
 	}
 }
 
-// A value of unknown length that never ends is not read for ever once its attempt has timed out, though bytes keep arriving.
+// After its attempt has timed out, a value of unknown length is read for a limited time only, even if bytes keep arriving.
 func TestEndlessUnsizedValue(t *testing.T) {
-	ended := make(chan error, 1)
-	r := newHarness(t, func(c net.Conn) {
+	writeErr := make(chan error, 1)
+	h := newHarness(t, func(c net.Conn) {
 		read(c)
 		for {
 			if _, err := c.Write([]byte("v")); err != nil {
-				ended <- err
+				writeErr <- err
 				return
 			}
 			time.Sleep(time.Millisecond)
 		}
 	})
-	r.endpoint.protocol = unsizedProtocol{}
-	r.endpoint.group.Memory, r.endpoint.group.StreamStallTimeout = memlimit.New(600_000), 100
-	r.send("q", 30)
-	r.expect("timed out", fleet.TimedOut)
+	h.endpoint.protocol = unsizedProtocol{}
+	h.endpoint.group.Memory, h.endpoint.group.StreamStallTimeout = memlimit.New(600_000), 100
+	h.send("q", 30)
+	h.expectResult("timed out", fleet.TimedOut)
 	select {
-	case <-ended: //nolint:errcheck // any error ends it
+	case <-writeErr: //nolint:errcheck // any error shows that the connection was closed
 	case <-time.After(5 * time.Second):
-		t.Error("it is still read")
+		t.Error("the response is still being read")
 	}
 }
--- a/internal/node/upstream/upstream.go
+++ b/internal/node/upstream/upstream.go
@@ -29,7 +29,7 @@
 
 // Tail is the part of a response after its large value, as far as it has arrived.
 type Tail struct {
-	ValueEnded bool     // the value's terminator has arrived and is well-formed
+	ValueEnded bool     // the value's terminator, if any, has arrived and is well-formed
 	Complete   bool     // all of the response has arrived
 	Length     int      // bytes of the tail; valid if Complete
 	Response   Response // the response without its value; valid if Complete
