--- a/internal/node/origin/protocol.go
+++ b/internal/node/origin/protocol.go
@@ -24,13 +24,13 @@
 
 const (
 	maxHead    = 8 << 10  // longest response head, in bytes
-	maxReparse = 16 << 10 // bytes of a chunked response up to which it is parsed anew after each read
+	maxReparse = 16 << 10 // bytes; an incomplete chunked response is parsed anew after each read up to this size, and as unsized beyond it
 
 	declinedHeader   = "Srv-Declined" // 1: the request was not executed
 	loadReportHeader = "Srv-Load"
 )
 
-// headEnd ends the head of a response.
+// headEnd ends the head of a request or response.
 var headEnd = []byte("\r\n\r\n")
 
 // readerPool reuses readers. Their size limits the trailer of a chunked response, because net/http reads a trailer only if all of it
--- a/internal/node/upstream/attempt.go
+++ b/internal/node/upstream/attempt.go
@@ -9,8 +9,8 @@
 	"mintspring/internal/node/exchange"
 )
 
-// Send starts an attempt of a request, which times out after timeout ms. The attempt is cancelled if it is not sent by sendBy: if
-// its connection is opened later than that, the server may no longer recognize a repeated request.
+// Send starts an attempt of a request, which times out after timeout ms. The attempt is cancelled if it is not sent by sendBy, because
+// the server may not recognize a repeated request after that time. An attempt may be late because its connection was opened late.
 func (e *Endpoint) Send(request *exchange.Exchange, number int, timeout, sendBy float64) *Attempt {
 	now := e.group.Clock.Now()
 	a := &Attempt{Request: request, Number: number, SentAt: now, Deadline: now + timeout, SendBy: sendBy}
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -194,7 +194,7 @@
 	}
 }
 
-// An attempt is not sent if its server becomes unavailable while it waits for a connection or for the writer (rule 3).
+// An attempt is not sent if its server becomes unavailable while it waits for a connection or for the writer (rule 3 of package invariants).
 func TestUnavailableWhileWaiting(t *testing.T) {
 	h := newHarness(t, echo)
 	endpoint := h.endpoint
