--- a/internal/node/connpool/conn.go
+++ b/internal/node/connpool/conn.go
@@ -8,14 +8,14 @@
 	Jitter float64 // from [0,1), so that connections opened together do not expire together
 
 	// Written by the pool.
-	OpenedAt   float64
-	IdleSince  float64 // when the connection was last released
-	ReadyAt    float64 // end of the cooldown
-	IdleBefore float64 // ms that it was unused before its current or latest attempt
-	Used       bool    // a response has arrived on it
-	Closed     bool
+	OpenedAt     float64
+	IdleSince    float64 // when the connection was last released
+	ReadyAt      float64 // end of the cooldown
+	IdleDuration float64 // ms that it was unused before its current or latest attempt
+	Responded    bool    // a response has arrived on it
+	Closed       bool
 
-	reusedEarly bool // IdleBefore was so short that a duplicate of the response before might still arrive
+	reusedEarly bool // IdleDuration was so short that a duplicate of the response before might still arrive
 	inUse       bool
 	position    int // in Pool.inUse
 }
--- a/internal/node/connpool/pool.go
+++ b/internal/node/connpool/pool.go
@@ -110,12 +110,12 @@
 	if now > since {
 		p.counters.Waited.Add(1)
 	}
-	if c.Used {
+	if c.Responded {
 		p.counters.Reused.Add(1)
 		p.Policy.recordWait(now - since)
 	}
-	c.IdleBefore, c.inUse, c.position = now-c.IdleSince, true, len(p.inUse)
-	c.reusedEarly = c.Used && c.IdleBefore < p.Policy.plausibleLateness()
+	c.IdleDuration, c.inUse, c.position = now-c.IdleSince, true, len(p.inUse)
+	c.reusedEarly = c.Responded && c.IdleDuration < p.Policy.plausibleLateness()
 	p.inUse = append(p.inUse, conn)
 	p.Policy.recordInUse(now, len(p.inUse))
 	p.owner.Assign(now, conn, attempt)
@@ -204,7 +204,7 @@
 		p.CloseConn(conn)
 	}
 	p.Detach(conn)
-	conn.PoolConn().Used = true
+	conn.PoolConn().Responded = true
 	p.Release(now, conn)
 }
 
@@ -212,7 +212,7 @@
 // too many.
 func (p *Pool[C, A]) overLimit(now float64, conn C, rejected bool) bool {
 	if rejected {
-		return p.Policy.recordRejection(now, !conn.PoolConn().Used, p.openConns()-1)
+		return p.Policy.recordRejection(now, !conn.PoolConn().Responded, p.openConns()-1)
 	}
 	p.lastResponseAt = now
 	p.Policy.recordResponse(now)
@@ -230,7 +230,7 @@
 		p.CloseConn(conn)
 	default:
 		c.IdleSince, c.ReadyAt = now, now
-		if c.Used {
+		if c.Responded {
 			p.coolDown(conn)
 		} else {
 			p.idle = append(p.idle, conn)
--- a/internal/node/connpool/pool_test.go
+++ b/internal/node/connpool/pool_test.go
@@ -41,16 +41,16 @@
 		o.t.Fatal("two attempts are in flight on one connection")
 	case a.ended || a.conn != nil:
 		o.t.Fatal("an attempt that has ended, or is in flight already, was assigned a connection")
-	case c.Used && o.now < c.ReadyAt:
+	case c.Responded && o.now < c.ReadyAt:
 		o.t.Fatal("a connection was used while it cools down")
-	case c.Used && o.pool.Policy.Suspected() && o.now-c.respondedAt < o.pool.Policy.suspicion.cooldown:
+	case c.Responded && o.pool.Policy.Suspected() && o.now-c.respondedAt < o.pool.Policy.suspicion.cooldown:
 		o.t.Fatal("a connection of a suspected server was reused while a duplicate may be on its way")
 	case !o.pool.Usable(c):
 		o.t.Fatal("an attempt goes to a closed server, or to an earlier address")
 	}
-	if c.Used && o.now-c.IdleSince < o.pool.Policy.safeIdle() {
+	if c.Responded && o.now-c.IdleSince < o.pool.Policy.safeIdle() {
 		for _, other := range o.pool.idle { // those left
-			if !other.Used || o.now-other.IdleSince >= o.pool.Policy.safeIdle() || other.IdleSince < c.IdleSince {
+			if !other.Responded || o.now-other.IdleSince >= o.pool.Policy.safeIdle() || other.IdleSince < c.IdleSince {
 				o.t.Fatal("a connection on which a duplicate may still arrive was used beside one that is safe, or idle longer")
 			}
 		}
@@ -97,18 +97,18 @@
 // duplicate has a duplicate response arrive on a connection without an attempt.
 func (o *testOwner) duplicate() {
 	inFlight := o.inFlight()
-	unused := o.selectConns(func(c *testConn) bool { return c.attempt == nil && c.Used && !c.Closed })
+	unused := o.selectConns(func(c *testConn) bool { return c.attempt == nil && c.Responded && !c.Closed })
 	if len(unused) == 0 {
 		return
 	}
 	c, was := rapid.SampledFrom(unused).Draw(o.t, "surplus"), o.pool.Policy.Suspected()
-	suspected := o.pool.Unsolicited(o.now, c)
+	suspected := o.pool.ReceivedUnsolicited(o.now, c)
 	o.pool.RemoveUnused(c)
 	o.pool.CloseConn(c)
 	for _, other := range inFlight {
-		risk := !was && o.pool.Policy.Suspected() && other.Used && other.IdleBefore < o.pool.Policy.cooldown()
+		risk := !was && o.pool.Policy.Suspected() && other.Responded && other.IdleDuration < o.pool.Policy.cooldown()
 		if risk != slices.Contains(suspected, other) {
-			o.t.Fatalf("handed back as suspected is %v for a connection reused after %v ms", !risk, other.IdleBefore)
+			o.t.Fatalf("handed back as suspected is %v for a connection reused after %v ms", !risk, other.IdleDuration)
 		}
 	}
 	o.pool.Dispatch(o.now)
--- a/internal/node/connpool/suspicion.go
+++ b/internal/node/connpool/suspicion.go
@@ -102,9 +102,9 @@
 	return false
 }
 
-// ReportedDuplicates records that another node has seen the server send duplicates, and reports whether the server
+// DuplicatesReported records that another node has seen the server send duplicates, and reports whether the server
 // becomes suspected by that.
-func (p *Policy) ReportedDuplicates() (begins bool) {
+func (p *Policy) DuplicatesReported() (begins bool) {
 	if p.Suspected() {
 		return false
 	}
--- a/internal/node/connpool/unused.go
+++ b/internal/node/connpool/unused.go
@@ -16,7 +16,7 @@
 // idle longest first: a late duplicate should find its connection without an attempt, where it is recognized.
 func (p *Pool[C, A]) pickIdle(now float64) int {
 	for k := len(p.idle) - 1; k >= 0; k-- {
-		if c := p.idle[k].PoolConn(); !c.Used || now-c.IdleSince >= p.Policy.safeIdle() {
+		if c := p.idle[k].PoolConn(); !c.Responded || now-c.IdleSince >= p.Policy.safeIdle() {
 			return k
 		}
 	}
@@ -132,10 +132,10 @@
 	}
 }
 
-// Unsolicited records that bytes arrived on a connection without a request. If the server becomes suspected by that, all
+// ReceivedUnsolicited records that bytes arrived on a connection without a request. If the server becomes suspected by that, all
 // unused connections cool down again, and it returns the connections in use on which a duplicate may yet arrive: nobody could tell
 // that from the response, so their attempts must be failed.
-func (p *Pool[C, A]) Unsolicited(now float64, conn C) (suspected []C) {
+func (p *Pool[C, A]) ReceivedUnsolicited(now float64, conn C) (suspected []C) {
 	c := conn.PoolConn()
 	if c.Closed {
 		return nil
@@ -147,9 +147,9 @@
 	return p.suspect(c)
 }
 
-// ReportedDuplicates records that another node has seen the server send duplicates, with the same effect.
-func (p *Pool[C, A]) ReportedDuplicates() (suspected []C) {
-	if !p.Policy.ReportedDuplicates() {
+// DuplicatesReported records that another node has seen the server send duplicates, with the same effect.
+func (p *Pool[C, A]) DuplicatesReported() (suspected []C) {
+	if !p.Policy.DuplicatesReported() {
 		return nil
 	}
 	return p.suspect(nil)
@@ -162,7 +162,7 @@
 	unused := slices.Concat(p.idle, p.coolingDown)
 	p.idle, p.coolingDown = nil, nil
 	for _, conn := range unused {
-		if conn.PoolConn().Used {
+		if conn.PoolConn().Responded {
 			p.coolDown(conn)
 		} else {
 			p.idle = append(p.idle, conn)
@@ -170,7 +170,7 @@
 	}
 	slices.SortStableFunc(p.coolingDown, func(a, b C) int { return cmp.Compare(a.PoolConn().ReadyAt, b.PoolConn().ReadyAt) })
 	for _, conn := range p.inUse {
-		if c := conn.PoolConn(); c != except && c.Used && c.IdleBefore < p.Policy.cooldown() && !c.Closed {
+		if c := conn.PoolConn(); c != except && c.Responded && c.IdleDuration < p.Policy.cooldown() && !c.Closed {
 			suspected = append(suspected, conn)
 		}
 	}
--- a/internal/node/upstream/conn.go
+++ b/internal/node/upstream/conn.go
@@ -61,7 +61,7 @@
 	e := c.endpoint
 	e.pool.RemoveUnused(c)
 	a := c.current
-	if c.Used && a != nil && a.progress == exchange.NotConnected {
+	if c.Responded && a != nil && a.progress == exchange.NotConnected {
 		e.requeue(c) // the server closed the connection while it was idle, which says nothing about the attempt
 		e.mu.Unlock()
 		return
@@ -101,10 +101,10 @@
 // idle, as some do without closing it. Connections idle for as long are closed, since the next attempts would fail alike. Called
 // with the mutex held.
 func (e *Endpoint) forgottenByServer(c *conn, a *Attempt) bool {
-	if a.progress == exchange.ResponseStarted || c.IdleBefore < e.group.ConnectTimeout/staleIdleDivisor {
+	if a.progress == exchange.ResponseStarted || c.IdleDuration < e.group.ConnectTimeout/staleIdleDivisor {
 		return false
 	}
-	e.pool.CloseIdleBefore(e.group.Clock.Now() - c.IdleBefore)
+	e.pool.CloseIdleBefore(e.group.Clock.Now() - c.IdleDuration)
 	return true
 }
 
--- a/internal/node/upstream/endpoint.go
+++ b/internal/node/upstream/endpoint.go
@@ -147,13 +147,13 @@
 func (e *Endpoint) ReportedDuplicates() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.resetSuspected(e.pool.ReportedDuplicates())
+	e.resetSuspected(e.pool.DuplicatesReported())
 }
 
 // unsolicited records that bytes arrived on a connection without a request. Called with the mutex held.
 func (e *Endpoint) unsolicited(now float64, c *conn) {
 	wasSuspected := e.pool.Policy.Suspected()
-	e.resetSuspected(e.pool.Unsolicited(now, c))
+	e.resetSuspected(e.pool.ReceivedUnsolicited(now, c))
 	if e.group.OnDuplicates != nil && !wasSuspected && e.pool.Policy.Suspected() {
 		go e.group.OnDuplicates(e)
 	}
--- a/internal/node/upstream/reader.go
+++ b/internal/node/upstream/reader.go
@@ -53,7 +53,7 @@
 		e.mu.Unlock()
 		e.fail(a, fleet.Declined, errEarlyResponse) // whatever it says: without its last byte the attempt has not run
 		return false
-	case c.Used && a.progress < exchange.FullyWritten:
+	case c.Responded && a.progress < exchange.FullyWritten:
 		e.unsolicited(at, c)
 		e.requeue(c) // the bytes arrived before the attempt was sent, so they are no response to it
 		e.mu.Unlock()
--- a/internal/node/upstream/writer.go
+++ b/internal/node/upstream/writer.go
@@ -68,7 +68,7 @@
 	// Whatever has arrived on an idle connection is its end, or bytes without a request. What is written now would be lost with the
 	// connection, or be taken for answered by those bytes.
 	unsolicited, ended := false, false
-	if c.Used {
+	if c.Responded {
 		unsolicited, ended = sockstate.Peek(c.net)
 	}
 	e := c.endpoint
--- a/internal/testbed/simulator/clustermember.go
+++ b/internal/testbed/simulator/clustermember.go
@@ -120,7 +120,7 @@
 // MarkDuplicating implements participant.Host.
 func (m *clusterMember) MarkDuplicating(_ float64, at fleet.ServerID) {
 	l := m.process.links[at]
-	l.failSuspects(l.pool.ReportedDuplicates())
+	l.failSuspects(l.pool.DuplicatesReported())
 }
 
 // NodeCounters implements participant.Host.
--- a/internal/testbed/simulator/conn.go
+++ b/internal/testbed/simulator/conn.go
@@ -76,8 +76,8 @@
 		l.pool.Dispatch(now)
 		return
 	}
-	if a.progress != exchange.ResponseStarted && c.IdleBefore >= node.ConnectTimeout(&l.process.node.deployment)/5 {
-		l.pool.CloseIdleBefore(now - c.IdleBefore) // the server seems to have forgotten it while it was idle
+	if a.progress != exchange.ResponseStarted && c.IdleDuration >= node.ConnectTimeout(&l.process.node.deployment)/5 {
+		l.pool.CloseIdleBefore(now - c.IdleDuration) // the server seems to have forgotten it while it was idle
 		a.stale = true
 	}
 	l.endAttempt(a, fleet.Reset)
--- a/internal/testbed/simulator/serverlink.go
+++ b/internal/testbed/simulator/serverlink.go
@@ -126,7 +126,7 @@
 // recordUnsolicited records that unsolicited bytes came on a connection.
 func (l *serverLink) recordUnsolicited(now float64, c *conn) {
 	wasSuspected := l.pool.Policy.Suspected()
-	l.failSuspects(l.pool.Unsolicited(now, c))
+	l.failSuspects(l.pool.ReceivedUnsolicited(now, c))
 	member := l.process.member
 	if member == nil || wasSuspected || !l.pool.Policy.Suspected() {
 		return
