--- a/internal/node/clients/commands_test.go
+++ b/internal/node/clients/commands_test.go
@@ -19,11 +19,11 @@
 	if string(x.Key) != "7f3a9c21e0b4d655" || string(x.ID) != "9b1f" || string(x.Extra) != testExtra || x.Value != nil || x.Write {
 		t.Errorf("parsed as %+v", x)
 	}
-	if x.KeyHash != 0x7f3a9c21e0b4d655 || x.Tenant != 1 || x.Work != 2.5 || x.Size != 70 || x.Deadline-x.Arrived != 475 {
+	if x.KeyHash != 0x7f3a9c21e0b4d655 || x.Tenant != 1 || x.Work != 2.5 || x.ValueSize != 70 || x.Deadline-x.ArrivedAt != 475 {
 		t.Errorf("parsed as %+v", x)
 	}
 	c.send(command("kv.set", "any key", "9b20", "c=put,d=9000,k=5c", ""))
-	if y := r.nextRequest(); !y.Write || y.Value == nil || len(y.Value) != 0 || y.Deadline-y.Arrived != 495 || y.KeyHash == 0 {
+	if y := r.nextRequest(); !y.Write || y.Value == nil || len(y.Value) != 0 || y.Deadline-y.ArrivedAt != 495 || y.KeyHash == 0 {
 		t.Errorf("parsed as %+v", y)
 	}
 }
--- a/internal/node/clients/conn.go
+++ b/internal/node/clients/conn.go
@@ -152,7 +152,7 @@
 // bufferedSize returns how many bytes a response takes until it is written.
 func bufferedSize(response *exchange.Response) int64 {
 	if response.Stream != nil {
-		return exchange.StreamWindow
+		return exchange.StreamBufferSize
 	}
 	return int64(len(response.Value))
 }
--- a/internal/node/clients/request.go
+++ b/internal/node/clients/request.go
@@ -61,7 +61,7 @@
 	}
 	request := &exchange.Exchange{
 		Command: copied.add(args[0]), Key: copied.add(args[1]), ID: copied.add(args[2]), Extra: copied.add(args[3]),
-		Write: write, Arrived: at,
+		Write: write, ArrivedAt: at,
 	}
 	if write {
 		request.Value = copied.add(args[4])
@@ -123,7 +123,7 @@
 		return errNoIdempotencyKey // without the key a server would run a repeated write again
 	}
 	request.Class = list.class.ID
-	request.Deadline = c.Deadline(&list.class.Class, request.Arrived, list.clientLimit)
+	request.Deadline = c.Deadline(&list.class.Class, request.ArrivedAt, list.clientLimit)
 	return nil
 }
 
@@ -150,7 +150,7 @@
 			request.Work = microseconds / 1000
 		}
 	case "size":
-		request.Size, _ = parseNumber(value)
+		request.ValueSize, _ = parseNumber(value)
 	}
 	return nil
 }
--- a/internal/node/clients/upload.go
+++ b/internal/node/clients/upload.go
@@ -110,7 +110,7 @@
 		return r.discard(size), true
 	}
 	request.Value, request.Body = nil, exchange.NewBody(int64(length))
-	request.Timeout = request.Deadline - request.Arrived
+	request.Timeout = request.Deadline - request.ArrivedAt
 	request.Deadline += float64(maxUploadTime / time.Millisecond)
 	if !c.submit(request, nil) {
 		return r.discard(size), true
@@ -138,7 +138,7 @@
 			length, size = length-n, size-n
 			continue
 		}
-		r.in.Grow(exchange.StreamWindow)
+		r.in.Grow(exchange.StreamBufferSize)
 		if _, err := c.readUpload(deadline, func() (int, error) { return r.in.ReadOnce(c.net) }); err != nil {
 			request.Body.CloseWriter(errTruncatedBody) // its attempt, and so its reply, may wait for the rest
 			c.uploadFailed(err)
--- a/internal/node/clients/upload_test.go
+++ b/internal/node/clients/upload_test.go
@@ -144,7 +144,7 @@
 		c := r.dial()
 		go c.writePieces(piece, text)
 		x := r.nextRequest()
-		if x.Body == nil || x.Body.Size != int64(len(value)) || x.Timeout < 300 || x.Deadline-x.Arrived < 20_000 || x.Body.Consumed() {
+		if x.Body == nil || x.Body.Size != int64(len(value)) || x.Timeout < 300 || x.Deadline-x.ArrivedAt < 20_000 || x.Body.Consumed() {
 			t.Fatalf("pieces of %d: %+v", piece, x)
 		}
 		b := make([]byte, len(value))
--- a/internal/node/exchange/attempterror.go
+++ b/internal/node/exchange/attempterror.go
@@ -35,13 +35,13 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// NeverRan reports whether the attempt is known to have had no effect: a server begins to execute a request with its last byte.
-func (e *AttemptError) NeverRan() bool { return e.Progress < FullyWritten }
+// NotExecuted reports whether the attempt is known to have had no effect: a server begins to execute a request with its last byte.
+func (e *AttemptError) NotExecuted() bool { return e.Progress < FullyWritten }
 
 // Outcome is what the failure means to the decision module. Before the last byte an attempt that the server or the network stopped could
 // not connect, one that got no connection from the server's pool in time found it full, and one that the node stopped was not sent.
 func (e *AttemptError) Outcome() fleet.Result {
-	if !e.NeverRan() {
+	if !e.NotExecuted() {
 		return e.Result
 	}
 	switch e.Result {
--- a/internal/node/exchange/exchange.go
+++ b/internal/node/exchange/exchange.go
@@ -15,8 +15,8 @@
 	MaxBufferedValue = 64 << 10
 	// MaxStreamedValue is the size of the largest value that is accepted (the operators' page of daily operation, "Less room").
 	MaxStreamedValue = 4 << 20
-	// StreamWindow is the most that is buffered of a value that is streamed.
-	StreamWindow = 24 << 10
+	// StreamBufferSize is the most that is buffered of a value that is streamed.
+	StreamBufferSize = 24 << 10
 )
 
 // Exchange is one request on its way through the node. All but the response is set before it is handed on, and is changed by the event
@@ -24,14 +24,14 @@
 type Exchange struct {
 	Command, Key, ID, Extra, Value []byte // as the client wrote them
 
-	Class    fleet.ClassID
-	Tenant   fleet.TenantID
-	KeyHash  fleet.Key
-	Write    bool
-	Work     float64 // stated by the client, in ms; 0: it states none
-	Size     float64 // of the value, as the client states it; 0: it states none
-	Arrived  float64 // when its last byte was read
-	Deadline float64 // of its client; +Inf while the value is still being read
+	Class     fleet.ClassID
+	Tenant    fleet.TenantID
+	KeyHash   fleet.Key
+	Write     bool
+	Work      float64 // stated by the client, in ms; 0: it states none
+	ValueSize float64 // of the value, as the client states it; 0: it states none
+	ArrivedAt float64 // when its last byte was read
+	Deadline  float64 // of its client; +Inf while the value is still being read
 
 	Body    *Body   // the value, in place of Value, while it is still being read
 	Timeout float64 // with a Body: how long the client waits from the last byte on
--- a/internal/node/exchange/exchange_test.go
+++ b/internal/node/exchange/exchange_test.go
@@ -43,7 +43,7 @@
 		{ResponseStarted, fleet.Failed, fleet.Failed},
 	} {
 		err := &AttemptError{Progress: c.progress, Result: c.result, Cause: io.ErrUnexpectedEOF}
-		if got := err.Outcome(); got != c.want || err.NeverRan() != (c.progress < FullyWritten) {
+		if got := err.Outcome(); got != c.want || err.NotExecuted() != (c.progress < FullyWritten) {
 			t.Errorf("%v, %v: outcome %v, want %v", c.progress, c.result, got, c.want)
 		}
 		if !errors.Is(err, io.ErrUnexpectedEOF) {
--- a/internal/node/inflight/inflight.go
+++ b/internal/node/inflight/inflight.go
@@ -57,7 +57,7 @@
 	t.lastID++
 	request.ID, request.Class, request.Tenant = t.lastID, x.Class, x.Tenant
 	request.Key, request.HasKey, request.Write = x.KeyHash, true, x.Write
-	request.ArrivedAt, request.Deadline, request.Work, request.ValueSize = x.Arrived, x.Deadline, x.Work, x.Size
+	request.ArrivedAt, request.Deadline, request.Work, request.ValueSize = x.ArrivedAt, x.Deadline, x.Work, x.ValueSize
 	request.Uploading = x.Body != nil
 	if t.OnAdmit != nil {
 		t.OnAdmit(request, x.Key)
--- a/internal/node/inflight/inflight_test.go
+++ b/internal/node/inflight/inflight_test.go
@@ -100,7 +100,7 @@
 func (s *scenario) admit() {
 	x := &exchange.Exchange{
 		Key: []byte("k"), KeyHash: fleet.Key(rapid.IntRange(0, 9).Draw(s.T, "key")), Write: rapid.Bool().Draw(s.T, "write"),
-		Arrived: s.now, Deadline: s.now + 900, Client: s.servers,
+		ArrivedAt: s.now, Deadline: s.now + 900, Client: s.servers,
 	}
 	if x.Write {
 		x.Class = 1
@@ -190,7 +190,7 @@
 	servers := &fakeServers{responses: map[*exchange.Exchange]int{}}
 	table := New(Dispatcher[*attempt](servers))
 	table.Policy = decide.New(1000, limits(), &table.Slab)
-	x := &exchange.Exchange{Deadline: 1900, Arrived: 1000, Client: servers}
+	x := &exchange.Exchange{Deadline: 1900, ArrivedAt: 1000, Client: servers}
 	table.Policy.UpdateEndpoints(1000, fleet.ListFull, []fleet.Endpoint{{ID: 0, Name: "s", State: fleet.Ready, NominalCapacity: 1}})
 	table.Admit(1000, x)
 	table.Fail(1001, x, "a fault")
--- a/internal/node/origin/protocol.go
+++ b/internal/node/origin/protocol.go
@@ -190,7 +190,7 @@
 	if err != nil {
 		return upstream.Response{}, err
 	}
-	piece := make([]byte, exchange.StreamWindow)
+	piece := make([]byte, exchange.StreamBufferSize)
 	for {
 		n, err := resp.Body.Read(piece)
 		if n > 0 {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -210,7 +210,7 @@
 		now := tc.node.clock.Now()
 		return &exchange.Exchange{
 			Command: []byte("KV.GET"), Key: []byte("k"), ID: []byte(id), Extra: []byte("c=read,d=9000"),
-			Arrived: now, Deadline: now + 9000, Client: client,
+			ArrivedAt: now, Deadline: now + 9000, Client: client,
 		}
 	}
 	now := tc.node.clock.Now()
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -87,8 +87,8 @@
 	}
 	for _, reach := range []exchange.Progress{exchange.NotConnected, exchange.PartiallyWritten, exchange.FullyWritten, exchange.ResponseStarted} {
 		b := exchange.AttemptError{Progress: reach, Result: fleet.Reset, Cause: errTimeout}
-		if want := reach < exchange.FullyWritten; b.NeverRan() != want || b.Outcome().NotExecuted() != want {
-			t.Errorf("%v: never ran is %v", reach, b.NeverRan())
+		if want := reach < exchange.FullyWritten; b.NotExecuted() != want || b.Outcome().NotExecuted() != want {
+			t.Errorf("%v: never ran is %v", reach, b.NotExecuted())
 		}
 		if !strings.HasPrefix(b.Error(), reach.String()) || !errors.Is(&b, errTimeout) {
 			t.Errorf("error %q", b.Error())
--- a/internal/node/upstream/stream.go
+++ b/internal/node/upstream/stream.go
@@ -87,7 +87,7 @@
 	if timeout := s.conn.endpoint.group.StreamStallTimeout; timeout > 0 {
 		s.conn.setReadTimeout(timeout)
 	}
-	s.in.Grow(exchange.StreamWindow)
+	s.in.Grow(exchange.StreamBufferSize)
 	_, err := s.in.ReadOnce(s.conn.net)
 	if errors.Is(err, io.EOF) {
 		err = io.ErrUnexpectedEOF // the connection's end must not pass for the end of the value
--- a/internal/node/upstream/writer.go
+++ b/internal/node/upstream/writer.go
@@ -143,7 +143,7 @@
 // writeBody writes a body that is still arriving, piece by piece. The attempt counts as sent just before the last piece.
 func (c *conn) writeBody(a *Attempt) error {
 	body := a.Request.Body
-	piece := make([]byte, exchange.StreamWindow)
+	piece := make([]byte, exchange.StreamBufferSize)
 	for remaining := body.Size; remaining > 0; {
 		n, err := body.Read(piece)
 		if err != nil {
--- a/internal/testbed/simulator/clientattempt.go
+++ b/internal/testbed/simulator/clientattempt.go
@@ -84,8 +84,8 @@
 	limits := &node.deployment.Limits.Classes[a.request.Class]
 	return &exchange.Exchange{
 		Key: []byte(a.request.Key), KeyHash: ringKey(a.request.Key), Class: node.names.Classes[class.Name].ID, Write: class.Write,
-		Tenant:  node.names.Tenants[x.Tenants[a.request.Tenant].Name],
-		Arrived: now, Deadline: node.names.Deadline(limits, now, math.Floor(x.AttemptTimeoutMs(a.request.Class))), Client: a,
+		Tenant:    node.names.Tenants[x.Tenants[a.request.Tenant].Name],
+		ArrivedAt: now, Deadline: node.names.Deadline(limits, now, math.Floor(x.AttemptTimeoutMs(a.request.Class))), Client: a,
 	}
 }
 
