--- a/internal/node/connpool/conn.go
+++ b/internal/node/connpool/conn.go
@@ -5,19 +5,19 @@
 // Conn is the pool's state of one connection. The owner embeds it in its own connection type and sets Addr and Jitter.
 type Conn struct {
 	Addr   string  // peer address
-	Jitter float64 // from [0,1), so that connections opened together do not expire together
+	Jitter float64 // random number from [0,1), so that connections opened together do not expire together
 
 	// Written by the pool.
 	OpenedAt     float64
 	IdleSince    float64 // when the connection was last released
 	ReadyAt      float64 // end of the cooldown
-	IdleDuration float64 // ms that it was unused before its current or latest attempt
+	IdleDuration float64 // ms for which it was unused before its current or latest attempt
 	Responded    bool    // a response has arrived on it
 	Closed       bool
 
-	reusedEarly bool // IdleDuration was so short that a duplicate of the response before might still arrive
+	reusedEarly bool // IdleDuration was so short that a duplicate of the previous response may still arrive
 	inUse       bool
-	position    int // in Pool.inUse
+	inUseIndex  int // index in Pool.inUse
 }
 
 // PoolConn returns the pool's state of a connection that embeds it.
@@ -25,7 +25,7 @@
 
 // Waiter is the pool's state of one attempt. The owner embeds it in its own attempt type.
 type Waiter struct {
-	since float64 // when it began to wait for a connection
+	waitingSince float64
 }
 
 // PoolWaiter returns the pool's state of an attempt that embeds it.
@@ -42,39 +42,39 @@
 	PoolWaiter() *Waiter
 }
 
-// Owner carries out what a Pool decides. Its methods are called from within calls of the Pool, so under the lock of these,
-// and must not call the Pool.
+// Owner executes the decisions of a Pool. The Pool calls it from within its own methods, with the lock held that guards the Pool;
+// an Owner must therefore not call the Pool.
 type Owner[C Connection, A Attempt] interface {
-	// Dial begins to open a connection, which ends in DialSucceeded or DialFailed.
+	// Dial starts to open a connection. The owner reports the result with DialSucceeded or DialFailed.
 	Dial(addr string)
-	// Assign sends an attempt on a connection without another one.
+	// Assign sends an attempt on a connection that has no other attempt in flight.
 	Assign(now float64, conn C, attempt A)
-	// CloseConn closes a connection, once. Its Closed is set already.
+	// CloseConn closes a connection. It is called once per connection, after Closed has been set.
 	CloseConn(conn C)
-	// TickAfter schedules one call of Tick, in place of an earlier schedule.
+	// TickAfter schedules one call of Tick and replaces the call scheduled before.
 	TickAfter(ms float64)
 }
 
-// Counters count events of pools since the start. Several pools may share one; reading is safe at any time.
+// Counters count events since the start. Several pools may share them. They are safe for concurrent use.
 type Counters struct {
 	Opened       atomic.Int64 // connections
-	Reused       atomic.Int64 // attempts on a connection that had served another one
+	Reused       atomic.Int64 // attempts on a connection that had served an earlier attempt
 	Waited       atomic.Int64 // attempts that had to wait for a connection
-	WaitTimeouts atomic.Int64 // attempts that gave up waiting
-	QueueFull    atomic.Int64 // attempts rejected because too many waited
-	Unsolicited  atomic.Int64 // connections closed because of bytes without a request
-	Expired      atomic.Int64 // connections closed for their age
-	Suspected    atomic.Int64 // times that a server became suspected of duplicate responses
+	WaitTimeouts atomic.Int64 // attempts whose wait timed out
+	QueueFull    atomic.Int64 // attempts rejected because the queue of waiting attempts was full
+	Unsolicited  atomic.Int64 // connections closed because bytes arrived without a request
+	Expired      atomic.Int64 // connections closed because of their age
+	Suspected    atomic.Int64 // times that a server became suspected of sending duplicate responses
 }
 
-// Admission is the pool's reply to an attempt that wants a connection.
+// Admission is the pool's reply to an attempt that needs a connection.
 type Admission uint8
 
 const (
 	// Admitted means that the attempt has been assigned a connection or waits for one.
 	Admitted Admission = iota
-	// Unavailable means that no attempt may go to the server.
+	// Unavailable means that no attempts may be sent to the server.
 	Unavailable
-	// Rejected means that too many attempts wait already.
+	// Rejected means that the queue of waiting attempts is full.
 	Rejected
 )
--- a/internal/node/connpool/example_test.go
+++ b/internal/node/connpool/example_test.go
@@ -18,7 +18,7 @@
 	name string
 }
 
-// owner carries out what the pool decides. A real one opens sockets and has a lock under which it calls the pool.
+// owner prints the decisions of the pool. A real owner opens sockets and has a lock under which it calls the pool.
 type owner struct{}
 
 func (owner) Dial(addr string) { fmt.Println("dial", addr) }
@@ -31,7 +31,7 @@
 
 func (owner) TickAfter(ms float64) { fmt.Printf("call Tick in %.0f ms\n", ms) }
 
-// Two attempts share one connection, one after the other. After a response the connection cools down before it is used again.
+// Two attempts use one connection, one after the other. After a response the connection cools down before it is reused.
 func Example() {
 	policy := connpool.NewPolicy(connpool.Config{Nodes: 1, Cooldown: 5, MaxConns: 1, WaitTimeout: 100}, 0, 0)
 	var counters connpool.Counters
@@ -57,7 +57,7 @@
 	// opened: 1 reused: 1
 }
 
-// An attempt for which no connection comes free in time is handed back: it was never sent, and may go elsewhere.
+// Tick returns an attempt that gets no connection within WaitTimeout. It was not sent, so another server may execute it.
 func ExamplePool_Tick() {
 	policy := connpool.NewPolicy(connpool.Config{Nodes: 1, MaxConns: 1, WaitTimeout: 100}, 0, 0)
 	pool := connpool.New[*conn, *attempt](policy, &connpool.Counters{}, owner{})
--- a/internal/node/connpool/policy.go
+++ b/internal/node/connpool/policy.go
@@ -1,7 +1,7 @@
-// Package connpool assigns the connections to one server to the attempts that want one, one attempt at a time on each.
+// Package connpool pools the connections to one server. Each connection serves one attempt at a time.
 //
 // Policy decides when a connection is opened, kept and closed, and how long an attempt may wait for one. Pool applies
-// it: it holds the connections and the waiting attempts, and calls its Owner to dial, assign and close. Both do no I/O and
+// the policy: it holds the connections and the waiting attempts, and calls its Owner to dial, assign and close. Both do no I/O and
 // read no clock; times are milliseconds, as float64, of the owner's clock. Neither is safe for concurrent use: an owner
 // calls them under a lock of its own.
 package connpool
@@ -17,63 +17,63 @@
 	Nodes     int // nodes that share each server
 	NodeIndex int // this node's index among them; negative if unknown
 
-	Cooldown        float64 // ms after a response in which a connection is not reused, since a duplicate may follow
-	DialAfterWait   float64 // ms of waiting for cooling connections that justify one more connection
+	Cooldown        float64 // ms after a response in which a connection is not reused, since a duplicate response may follow
+	DialAfterWait   float64 // ms that attempts wait, in total, for cooling connections before a new connection is dialed
 	IdleTimeout     float64 // ms after which an unused connection is closed, before the peer does so
 	MaxAge          float64 // ms after which a connection is not reused
-	MaxConns        int     // connections that one server accepts from all nodes together
+	MaxConns        int     // connections that a server accepts from all nodes together
 	MinConns        int     // connections that this node keeps open to each server
 	Prewarm         bool    // connections are opened ahead of need, and closed when no longer needed
-	DialRate        float64 // connections opened to one server per second by all nodes together
-	StartupDialRate float64 // the same while the server has just started
-	StartupWindow   float64 // ms for which a server counts as just started
+	DialRate        float64 // connections per second that all nodes together may open to one server
+	StartupDialRate float64 // upper bound of DialRate during the StartupWindow
+	StartupWindow   float64 // ms after the start of a server's process
 	LeasedRate      bool    // DialRate is divided by quotas leased among the nodes instead of time slots
 
 	InitialQuota quota.Allowance // with LeasedRate: this node's quota until SetQuota is called
 
 	WaitTimeout float64 // ms that an attempt may wait for a connection
-	MaxWaiting  int     // attempts that may wait at one server
+	MaxWaiting  int     // attempts that may wait for a connection to one server
 }
 
 const (
-	peakWindow        = 0.5 // fraction of IdleTimeout over which the peak of use is tracked
-	limitRegain       = 0.2 // fraction of IdleTimeout after which a learned limit grows by one
-	minAgeFraction    = 0.8 // connections expire between this fraction of MaxAge and MaxAge, by their jitter
-	tableFullRejected = 2   // first requests rejected per later one that show a full connection table
+	peakWindow          = 0.5 // fraction of IdleTimeout over which the peak of connections in use is tracked
+	limitGrowthInterval = 0.2 // fraction of IdleTimeout after which a learned connection limit grows by one
+	minAgeFraction      = 0.8 // connections expire between this fraction of MaxAge and MaxAge, depending on their jitter
+	tableFullRatio      = 2   // ratio of rejected first requests to rejected later ones above which the connection table counts as full
 )
 
-// Policy decides what the pool of one server holds. It is not safe for concurrent use.
+// Policy decides how many connections the pool of one server holds. It is not safe for concurrent use.
 type Policy struct {
 	config          Config
-	slotOffset      int64 // this node's place in the rotation of dial slots
+	slotOffset      int64 // this node's position in the rotation of dial slots
 	serverStartedAt float64
 
-	quota    quota.Allowance // share of the dials of all nodes
-	bucket   quota.Bucket
-	dialed   int // dials since Demand was called last
-	deferred int // dials that the rate did not allow when last wanted
-	demandAt float64
-	demand   float64 // smoothed dials per second
+	quota            quota.Allowance // this node's share of the dials of all nodes
+	bucket           quota.Bucket
+	recentDials      int // dials since the last call of Demand
+	deferredDials    int // wanted dials that the rate limit deferred at the last call of planDials
+	demandMeasuredAt float64
+	demandRate       float64 // smoothed dials per second
 
-	prewarmPause       float64 // ms, after the last failed dial; 0: none has failed since one succeeded
-	prewarmPausedUntil float64 // until then no connections are opened that no attempt waits for
+	prewarmPause       float64 // ms, after the last failed dial; 0: no dial has failed since the last successful one
+	prewarmPausedUntil float64 // no connections are prewarmed before this time
 
-	slotEnd        float64 // end of the last slot in which this node dialed
-	waitSinceDial  float64 // ms waited for cooling connections since the last dial
-	learnedLimit   int     // connections that the server seems to accept; 0: unknown
-	learnedLimitAt float64
-	firstRejected  float64 // fading count of rejected requests that were the first on their connection
-	laterRejected  float64 // fading count of the other rejected requests
-	fadedAt        float64
+	lastSlotEnd         float64 // end of the last dial slot that this node used
+	waitSinceDial       float64 // total ms that attempts have waited for cooling connections since the last dial
+	learnedLimit        int     // connections that the server seems to accept; 0: unknown
+	learnedLimitAt      float64
+	firstRejections     float64 // decaying count of rejected requests that were the first on their connection
+	laterRejections     float64 // decaying count of the other rejected requests
+	rejectionsDecayedAt float64
 
 	peakWindowStart float64
-	peakInUse       [2]int // most connections in use in the current window and in the one before
+	peakInUse       [2]int // most connections in use in the current and in the previous window
 	suspicion       suspicion
 }
 
-// State counts the connections and waiting attempts of one pool.
+// State counts the connections and waiting attempts of a pool.
 type State struct {
-	Open        int // connections, in use or not
+	Open        int // connections in use and unused
 	InUse       int // connections with an attempt in flight
 	CoolingDown int // unused connections that may not be reused yet
 	Dialing     int
@@ -81,7 +81,7 @@
 }
 
 // NewPolicy returns the policy for one server. The hash identifies the server, so that a node's dial slots differ
-// between servers. Where the node's index is unknown, random, from [0,1), chooses its slot.
+// between servers. If the node's index is unknown, the random number, from [0,1), selects its slots.
 func NewPolicy(config Config, hash uint64, random float64) *Policy {
 	p := &Policy{config: config, serverStartedAt: math.Inf(-1), quota: config.InitialQuota}
 	if n := int64(max(config.Nodes, 1)); config.NodeIndex >= 0 {
@@ -92,19 +92,19 @@
 	return p
 }
 
-// ServerStarted records when the server's process last started. What was learned about an earlier process is forgotten.
+// ServerStarted records when the server's process last started, and resets what was learned about an earlier process.
 func (p *Policy) ServerStarted(at float64) {
 	if at == p.serverStartedAt {
 		return
 	}
 	p.serverStartedAt, p.learnedLimit, p.waitSinceDial = at, 0, 0
-	p.firstRejected, p.laterRejected = 0, 0
+	p.firstRejections, p.laterRejections = 0, 0
 	p.peakInUse = [2]int{}
 	p.suspicion = suspicion{}
 }
 
-// limit returns how many connections this node may hold. All nodes together stay within MaxConns, except that a node
-// whose share would be none may hold one.
+// limit returns how many connections this node may hold. All nodes together stay within MaxConns, unless there are more nodes than
+// connections: each node may hold at least one.
 func (p *Policy) limit() int {
 	limit := math.MaxInt32
 	if p.config.MaxConns > 0 {
@@ -116,23 +116,24 @@
 	return limit
 }
 
-// prewarms reports whether connections are opened that no attempt waits for.
-func (p *Policy) prewarms() bool { return p.config.Prewarm || p.config.MinConns > 0 }
+// prewarmEnabled reports whether connections are opened before an attempt needs them.
+func (p *Policy) prewarmEnabled() bool { return p.config.Prewarm || p.config.MinConns > 0 }
 
-// Bounds, in ms, of the pause after a failed dial.
+// Bounds, in ms, of the backoff of prewarming after a failed dial.
 const (
 	minPrewarmPause = 50
 	maxPrewarmPause = 1000
 )
 
-// pausePrewarming records that a dial failed: the next one that no attempt waits for would fail as well, and at once.
+// pausePrewarming suspends prewarming after a failed dial, with exponential backoff. Otherwise the next prewarming dial would follow
+// at once, and probably fail as well.
 func (p *Policy) pausePrewarming(now float64) {
 	p.prewarmPause = min(max(2*p.prewarmPause, minPrewarmPause), maxPrewarmPause)
 	p.prewarmPausedUntil = now + p.prewarmPause
 }
 
-// target returns how many connections should be open before an attempt needs one.
-func (p *Policy) target(now float64, s State) int {
+// targetOpen returns how many connections should be open before an attempt needs one.
+func (p *Policy) targetOpen(now float64, s State) int {
 	want := p.config.MinConns
 	if !p.config.Prewarm {
 		return want
@@ -145,13 +146,13 @@
 	return want
 }
 
-// idleTarget returns how many unused connections are worth keeping.
+// idleTarget returns how many unused connections to keep.
 func (p *Policy) idleTarget(now float64, s State) int {
 	if !p.config.Prewarm {
 		return math.MaxInt32
 	}
 	p.recordInUse(now, s.InUse)
-	return max(0, max(p.target(now, s), 1)-s.InUse)
+	return max(0, max(p.targetOpen(now, s), 1)-s.InUse)
 }
 
 // recordInUse records how many connections are in use.
@@ -163,21 +164,21 @@
 		}
 		p.peakInUse[0], p.peakWindowStart = 0, now
 	}
-	if p.learnedLimit > 0 && now-p.learnedLimitAt > limitRegain*p.config.IdleTimeout {
-		p.learnedLimit, p.learnedLimitAt = p.learnedLimit+1, now // the server may accept more by now
+	if p.learnedLimit > 0 && now-p.learnedLimitAt > limitGrowthInterval*p.config.IdleTimeout {
+		p.learnedLimit, p.learnedLimitAt = p.learnedLimit+1, now // the server may accept more connections by now
 	}
 	p.peakInUse[0] = max(p.peakInUse[0], inUse)
 }
 
-// recordWait records that an attempt waited for ms until it got a reused connection.
+// recordWait records that an attempt waited for a reused connection for so many ms.
 func (p *Policy) recordWait(ms float64) { p.waitSinceDial += ms }
 
-// queueFull reports whether an attempt that wants a connection is rejected at once, with so many waiting already.
+// queueFull reports whether a new attempt is rejected, given the number of attempts that already wait.
 func (p *Policy) queueFull(waiting int) bool {
 	return p.config.MaxWaiting > 0 && waiting >= p.config.MaxWaiting
 }
 
-// waitDeadline returns when an attempt that has been waiting since then gives up; +Inf: never.
+// waitDeadline returns when the wait of an attempt that has been waiting since the given time ends; +Inf: never.
 func (p *Policy) waitDeadline(since float64) float64 {
 	if p.config.WaitTimeout <= 0 {
 		return math.Inf(1)
@@ -185,10 +186,10 @@
 	return since + p.config.WaitTimeout
 }
 
-// idleTimeout returns how long a connection may be unused, in ms; 0: for ever.
+// idleTimeout returns how long a connection may be unused, in ms; 0: without limit.
 func (p *Policy) idleTimeout() float64 { return p.config.IdleTimeout }
 
-// expired reports whether a connection is too old to be reused. The jitter, from [0,1), spreads the ends of connections
+// expired reports whether a connection is too old to be reused. The jitter, from [0,1), spreads the expiry of connections
 // that were opened together.
 func (p *Policy) expired(now, openedAt, jitter float64) bool {
 	return p.config.MaxAge > 0 && now-openedAt > p.config.MaxAge*(minAgeFraction+(1-minAgeFraction)*jitter)
@@ -196,39 +197,39 @@
 
 // recordResponse records a response other than a rejection.
 func (p *Policy) recordResponse(now float64) {
-	p.fadeRejections(now)
+	p.decayRejections(now)
 	p.suspicion.recordResponse(p.safeIdle())
 }
 
-// recordRejection records that the server rejected a request as full, and reports whether its connection is one too many
-// and should be closed. First says that the request was the first on its connection, others how many connections are
-// open besides. A server whose connection table is full rejects new connections and keeps serving the established ones; one
-// whose request queue is full rejects requests on both.
-func (p *Policy) recordRejection(now float64, first bool, others int) bool {
-	p.fadeRejections(now)
-	if !first {
-		p.laterRejected++
+// recordRejection records that the server rejected a request because it is full, and reports whether to close the connection because it
+// exceeds the server's limit. firstRequest means that the request was the first on its connection; otherConns is the number of other
+// open connections. A server whose connection table is full rejects requests on new connections and keeps serving the established ones;
+// a server whose request queue is full rejects requests on both.
+func (p *Policy) recordRejection(now float64, firstRequest bool, otherConns int) bool {
+	p.decayRejections(now)
+	if !firstRequest {
+		p.laterRejections++
 		return false
 	}
-	p.firstRejected++
-	if p.firstRejected > tableFullRejected*p.laterRejected && others > 0 {
-		p.learnLimit(now, others)
+	p.firstRejections++
+	if p.firstRejections > tableFullRatio*p.laterRejections && otherConns > 0 {
+		p.learnLimit(now, otherConns)
 		return true
 	}
 	return false
 }
 
-// recordDialFailure records that a dial failed while others connections were open. If one of them has had a response
-// since the dial began, the server is alive and accepts no more.
-func (p *Policy) recordDialFailure(now float64, others int, responding bool) {
-	if responding && others > 0 {
-		p.learnLimit(now, others)
+// recordDialFailure records that a dial failed while otherConns connections were open. responding means that the server has responded on
+// one of them since the dial started: it is alive and accepts no further connections.
+func (p *Policy) recordDialFailure(now float64, otherConns int, responding bool) {
+	if responding && otherConns > 0 {
+		p.learnLimit(now, otherConns)
 	}
 }
 
-func (p *Policy) fadeRejections(now float64) {
-	if window := max(p.config.IdleTimeout*peakWindow, 1); now-p.fadedAt > window {
-		p.firstRejected, p.laterRejected, p.fadedAt = p.firstRejected/2, p.laterRejected/2, now
+func (p *Policy) decayRejections(now float64) {
+	if window := max(p.config.IdleTimeout*peakWindow, 1); now-p.rejectionsDecayedAt > window {
+		p.firstRejections, p.laterRejections, p.rejectionsDecayedAt = p.firstRejections/2, p.laterRejections/2, now
 	}
 }
 
--- a/internal/node/connpool/policy_test.go
+++ b/internal/node/connpool/policy_test.go
@@ -16,28 +16,28 @@
 	return Config{Nodes: 1, NodeIndex: 0, Cooldown: 5, DialAfterWait: 50, IdleTimeout: 10000, StartupWindow: 4000}
 }
 
-// Attempts wait for a cooling connection until the waiting has cost as much as one more connection.
+// Attempts wait for a cooling connection until their total wait reaches DialAfterWait; then one more connection is dialed.
 func TestDialsOnceWaitingCostsMore(t *testing.T) {
 	p := NewPolicy(defaultConfig(), 1, 0)
 	s := State{Open: 1, CoolingDown: 1, Waiting: 1}
 	for i := range 10 {
-		if n, _ := p.dials(float64(i), s); n != 0 {
+		if n, _ := p.planDials(float64(i), s); n != 0 {
 			t.Fatalf("dials after %d waits", i)
 		}
 		p.recordWait(5)
 	}
-	if n, _ := p.dials(10, s); n != 1 {
-		t.Error("dials none though the waits have cost one")
+	if n, _ := p.planDials(10, s); n != 1 {
+		t.Error("no dial although the total wait has reached DialAfterWait")
 	}
-	if n, _ := p.dials(11, s); n != 0 {
-		t.Error("dials another at once")
+	if n, _ := p.planDials(11, s); n != 0 {
+		t.Error("a second dial without further waits")
 	}
-	if n, _ := p.dials(12, State{Open: 3, InUse: 3, Waiting: 2}); n != 2 {
-		t.Error("connections in use are waited for though more may be opened")
+	if n, _ := p.planDials(12, State{Open: 3, InUse: 3, Waiting: 2}); n != 2 {
+		t.Error("attempts wait for connections in use although more may be opened")
 	}
 }
 
-// The nodes together hold no more connections than the server accepts.
+// All nodes together hold no more connections than the server accepts, but each node may hold one.
 func TestLimitOfAllNodes(t *testing.T) {
 	for _, c := range []struct{ maxConns, nodes, want int }{{100, 20, 5}, {10, 3, 3}, {4, 20, 1}, {0, 20, math.MaxInt32}} {
 		config := defaultConfig()
@@ -46,29 +46,29 @@
 		if got := p.limit(); got != c.want {
 			t.Errorf("%+v: %d", c, got)
 		}
-		if n, _ := p.dials(0, State{Waiting: 50}); c.want < 50 && n != c.want {
+		if n, _ := p.planDials(0, State{Waiting: 50}); c.want < 50 && n != c.want {
 			t.Errorf("%+v: dials %d", c, n)
 		}
 	}
 }
 
-// dialFleet is the policies of all nodes for one server.
-type dialFleet struct {
-	t      *rapid.T
-	config Config
-	nodes  []*Policy
-	dials  []float64 // times of dials, in order
-	byNode []int
+// nodePolicies has the policies of all nodes for one server.
+type nodePolicies struct {
+	t           *rapid.T
+	config      Config
+	nodes       []*Policy
+	dialTimes   []float64 // in ascending order
+	dialsByNode []int
 }
 
-func drawDialFleet(t *rapid.T) (f *dialFleet, epoch float64) {
+func drawNodePolicies(t *rapid.T) (f *nodePolicies, epoch float64) {
 	config := defaultConfig()
 	config.Nodes = rapid.IntRange(1, 30).Draw(t, "nodes")
 	config.DialRate = rapid.Float64Range(2, 200).Draw(t, "dial rate")
 	config.StartupDialRate = rapid.Float64Range(1, 50).Draw(t, "startup dial rate")
-	epoch = rapid.SampledFrom([]float64{0, 1.78e12}).Draw(t, "epoch") // slots are counted from it, so there are many
+	epoch = rapid.SampledFrom([]float64{0, 1.78e12}).Draw(t, "epoch") // with the large value, slot numbers are large too
 	hash := rapid.Uint64().Draw(t, "server")
-	f = &dialFleet{t: t, config: config, byNode: make([]int, config.Nodes)}
+	f = &nodePolicies{t: t, config: config, dialsByNode: make([]int, config.Nodes)}
 	for i := range config.Nodes {
 		config.NodeIndex = i
 		p := NewPolicy(config, hash, 0)
@@ -78,78 +78,79 @@
 	return f, epoch
 }
 
-// dial has each node dial for three waiting attempts.
-func (f *dialFleet) dial(now float64) {
+// dial lets each node dial for three waiting attempts.
+func (f *nodePolicies) dial(now float64) {
 	for i, p := range f.nodes {
-		n, retryAt := p.dials(now, State{Waiting: 3})
+		n, retryAt := p.planDials(now, State{Waiting: 3})
 		for range n {
-			f.dials = append(f.dials, now)
+			f.dialTimes = append(f.dialTimes, now)
 		}
-		if f.byNode[i] += n; n < 3 && !(retryAt > now) {
+		if f.dialsByNode[i] += n; n < 3 && !(retryAt > now) {
 			f.t.Fatalf("node %d dials %d and retries at %v, now %v", i, n, retryAt, now)
 		}
 	}
 }
 
-// inSecond counts the dials in the second from the i-th.
-func (f *dialFleet) inSecond(i int) int {
+// dialsInSecond counts the dials in the second that begins with dial i.
+func (f *nodePolicies) dialsInSecond(i int) int {
 	n := 0
-	for _, at := range f.dials[i:] {
-		if at < f.dials[i]+1000 {
+	for _, at := range f.dialTimes[i:] {
+		if at < f.dialTimes[i]+1000 {
 			n++
 		}
 	}
 	return n
 }
 
-// Whatever the nodes want and whenever they ask, together they dial a server no more often in any second than configured, also
-// while it has just started, and each node gets its slots.
+// In any second, all nodes together dial a server at most as often as configured, also during the startup window, and every node gets
+// slots.
 func TestDialRateOfAllNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f, epoch := drawDialFleet(t)
+		f, epoch := drawNodePolicies(t)
 		step := rapid.Float64Range(0.3, 7).Draw(t, "step")
 		for now := epoch + 1000; now < epoch+9000; now += step {
 			f.dial(now)
 		}
-		for i, at := range f.dials {
+		for i, at := range f.dialTimes {
 			bound := f.config.DialRate
 			switch {
 			case at+1000 < epoch+5000:
 				bound = min(bound, f.config.StartupDialRate)
 			case at < epoch+5000:
-				bound += f.config.StartupDialRate // each rate holds in a part of that second
+				bound += f.config.StartupDialRate // the second contains the end of the startup window, so each rate holds in a part of it
 			}
-			if n := f.inSecond(i); float64(n) > max(1, bound) {
+			if n := f.dialsInSecond(i); float64(n) > max(1, bound) {
 				t.Fatalf("%d dials in the second from %v, where %v are allowed", n, at, bound)
 			}
 		}
-		if 3*min(f.config.DialRate, f.config.StartupDialRate) > float64(2*f.config.Nodes) && slices.Contains(f.byNode, 0) {
-			t.Fatalf("node %d never had a slot", slices.Index(f.byNode, 0))
+		if 3*min(f.config.DialRate, f.config.StartupDialRate) > float64(2*f.config.Nodes) && slices.Contains(f.dialsByNode, 0) {
+			t.Fatalf("node %d never had a slot", slices.Index(f.dialsByNode, 0))
 		}
 	})
 }
 
-// Connections are opened ahead of need, and closed once the peak of use is past.
+// Connections are opened ahead of need, and closed when the peak of use has left the window.
 func TestPrewarm(t *testing.T) {
 	config := defaultConfig()
 	config.Prewarm, config.MinConns = true, 2
 	p := NewPolicy(config, 1, 0)
-	if n, _ := p.dials(0, State{}); n != 2 {
-		t.Errorf("dials %d, with a minimum of two", n)
+	if n, _ := p.planDials(0, State{}); n != 2 {
+		t.Errorf("dials %d with MinConns 2", n)
 	}
 	p.recordInUse(0, 9)
-	if n, _ := p.dials(1, State{Open: 9, InUse: 9}); n != 3 {
-		t.Errorf("dials %d ahead of nine in use", n)
+	if n, _ := p.planDials(1, State{Open: 9, InUse: 9}); n != 3 {
+		t.Errorf("dials %d with a peak of nine in use", n)
 	}
 	if k := p.idleTarget(2, State{Open: 12, InUse: 4}); k != 8 {
-		t.Errorf("keeps %d beside four in use", k)
+		t.Errorf("keeps %d unused with four in use", k)
 	}
 	if k := p.idleTarget(30000, State{Open: 12}); k != 2 {
-		t.Errorf("keeps %d after a long idle time", k)
+		t.Errorf("keeps %d unused after a long idle time", k)
 	}
 }
 
-// A full connection table is distinguished from a full request queue, and the learned limit grows again.
+// Rejections from a full connection table are distinguished from those of a full request queue, and the learned limit grows again over
+// time.
 func TestLearnedLimit(t *testing.T) {
 	p := NewPolicy(defaultConfig(), 1, 0)
 	for range 5 {
@@ -163,22 +164,22 @@
 		t.Errorf("learned %d", p.limit())
 	}
 	p.recordDialFailure(11, 5, true)
-	p.recordDialFailure(12, 2, false) // it may be dead
+	p.recordDialFailure(12, 2, false) // the server may be dead
 	if p.limit() != 5 {
 		t.Errorf("learned %d", p.limit())
 	}
 	p.recordInUse(5000, 1)
 	if p.limit() != 6 {
-		t.Errorf("later %d", p.limit())
+		t.Errorf("grown to %d", p.limit())
 	}
 	p.ServerStarted(6000)
 	if p.limit() != math.MaxInt32 {
-		t.Error("a new process has the limit of the one before")
+		t.Error("the limit of the previous process applies to a new one")
 	}
 }
 
-// A server that sends late duplicates becomes suspected: its connections cool down for long, then for some times the lateness that
-// was seen, and the cooldown is halved after many times the responses that brought a duplicate.
+// A server that sends late duplicates becomes suspected. Its connections cool down for a long time at first, then for a multiple of the
+// measured lateness; the cooldown is halved after many responses without a duplicate.
 func TestDuplicatesRaiseCooldown(t *testing.T) {
 	config := defaultConfig()
 	p := NewPolicy(config, 1, 0)
@@ -193,7 +194,7 @@
 		}
 	}
 	p = NewPolicy(config, 1, 0)
-	for i := range minSamples + 1 { // the first was before the suspicion, and its lateness may be wrong
+	for i := range minSamples + 1 { // the first duplicate starts the suspicion and is no sample, since its lateness may be wrong
 		p.recordUnsolicited(40, false)
 		for range 100 {
 			p.recordResponse(0)
@@ -202,34 +203,34 @@
 			t.Errorf("after duplicate %d cools down for %v, want %v", i, p.cooldown(), want)
 		}
 	}
-	checkCalmHalvesCooldown(t, p)
+	checkCooldownIsHalved(t, p)
 	p.recordUnsolicited(40, false)
 	if p.ServerStarted(7); p.Suspected() {
-		t.Error("a new process is suspected for the one before")
+		t.Error("a new process is suspected because of the previous one")
 	}
 }
 
-// checkCalmHalvesCooldown records responses without a duplicate until the suspicion ends, and expects the cooldown to be halved on the way.
-func checkCalmHalvesCooldown(t *testing.T, p *Policy) {
+// checkCooldownIsHalved records responses without a duplicate until the suspicion ends, and checks that the cooldown is halved each time.
+func checkCooldownIsHalved(t *testing.T, p *Policy) {
 	t.Helper()
-	halves := 0
-	for was, n := p.cooldown(), 0; p.Suspected(); n++ {
+	halvings := 0
+	for before, n := p.cooldown(), 0; p.Suspected(); n++ {
 		if n > 1e6 {
 			t.Fatal("the suspicion never ends")
 		}
-		if p.recordResponse(0); p.cooldown() != was {
-			if halves++; p.cooldown() != was/2 && p.cooldown() != 5 || n+1 < calmFactor*minDuplicateInterval-100 {
-				t.Fatalf("cools down for %v after %v, after %d responses without a duplicate", p.cooldown(), was, n)
+		if p.recordResponse(0); p.cooldown() != before {
+			if halvings++; p.cooldown() != before/2 && p.cooldown() != 5 || n+1 < halvingFactor*minDuplicateInterval-100 {
+				t.Fatalf("cools down for %v after %v, after %d responses without a duplicate", p.cooldown(), before, n)
 			}
-			was, n = p.cooldown(), 0
+			before, n = p.cooldown(), 0
 		}
 	}
-	if halves != 4 || p.cooldown() != 5 {
-		t.Errorf("%d steps down to %v", halves, p.cooldown())
+	if halvings != 4 || p.cooldown() != 5 {
+		t.Errorf("halved %d times to %v", halvings, p.cooldown())
 	}
 }
 
-// A zero field sets no bound, and other bounds are kept.
+// Bounds with value zero do not apply; others are kept.
 func TestWaitAgeAndQueueBounds(t *testing.T) {
 	config := defaultConfig()
 	if p := NewPolicy(config, 1, 0); !math.IsInf(p.waitDeadline(3), 1) || p.queueFull(1e6) || p.expired(1e9, 0, 0) {
--- a/internal/node/connpool/pool.go
+++ b/internal/node/connpool/pool.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// Pool assigns the connections to one server to attempts. It owns neither sockets nor timers and is not safe for
-// concurrent use: its Owner, on real or on simulated connections, calls it under a lock.
+// Pool assigns the connections to one server to attempts. It owns neither sockets nor timers, so that its Owner can use real or
+// simulated connections. It is not safe for concurrent use: the Owner calls it under a lock.
 type Pool[C Connection, A Attempt] struct {
 	Policy  *Policy
 	Dialing int // dials in progress
@@ -15,40 +15,40 @@
 	owner    Owner[C, A]
 
 	addr        string
-	open        bool // attempts may go to the server
-	coolingDown []C  // unused, and not to be reused before ReadyAt; in the order of that
-	idle        []C  // unused and ready; the one used last stands last
+	available   bool // attempts may be sent to the server
+	coolingDown []C  // unused, and not to be reused before ReadyAt; in ascending order of ReadyAt
+	idle        []C  // unused and ready; the most recently used or opened last
 	inUse       []C  // with an attempt in flight; unordered
-	waiters     []A  // in the order in which they came
+	waiters     []A  // in order of arrival
 
 	lastResponseAt float64
-	tickAt         float64 // when the scheduled Tick is due; 0: none is scheduled
+	nextTickAt     float64 // when the scheduled Tick is due; 0: no Tick is scheduled
 }
 
-// New returns a pool without a target, in which no attempt is admitted.
+// New returns a pool without a target. It admits no attempts before SetTarget.
 func New[C Connection, A Attempt](policy *Policy, counters *Counters, owner Owner[C, A]) *Pool[C, A] {
 	return &Pool[C, A]{Policy: policy, counters: counters, owner: owner}
 }
 
-// SetTarget sets the server's address and whether attempts may go to it. Unused connections to an earlier address are
-// closed. Where attempts may not go any more, it returns those that waited.
-func (p *Pool[C, A]) SetTarget(now float64, addr string, open bool) (removed []A) {
+// SetTarget sets the server's address and whether attempts may be sent to it. It closes unused connections to an earlier address. If
+// the server is no longer available, it closes all unused connections, and removes and returns the waiting attempts.
+func (p *Pool[C, A]) SetTarget(now float64, addr string, available bool) (removed []A) {
 	moved := addr != p.addr
-	p.addr, p.open = addr, open
-	if !open {
+	p.addr, p.available = addr, available
+	if !available {
 		removed, p.waiters = p.waiters, nil
 	}
-	if moved || !open {
+	if moved || !available {
 		p.CloseUnused()
 	}
 	p.Dispatch(now)
 	return removed
 }
 
-// Usable reports whether attempts may be sent on a connection: its server is open and has not moved.
-func (p *Pool[C, A]) Usable(conn C) bool { return p.open && conn.PoolConn().Addr == p.addr }
+// Usable reports whether attempts may be sent on a connection: the server is available and still has the connection's address.
+func (p *Pool[C, A]) Usable(conn C) bool { return p.available && conn.PoolConn().Addr == p.addr }
 
-// State returns the present counts.
+// State returns the current counts.
 func (p *Pool[C, A]) State() State {
 	return State{
 		Open: p.openConns(), InUse: len(p.inUse), CoolingDown: len(p.coolingDown),
@@ -58,35 +58,35 @@
 
 func (p *Pool[C, A]) openConns() int { return p.unusedCount() + len(p.inUse) }
 
-// Acquire closes stale connections and then admits an attempt.
+// Acquire closes connections that have exceeded the idle timeout and then admits an attempt like Enqueue.
 func (p *Pool[C, A]) Acquire(now float64, attempt A) Admission {
 	p.reapStale(now)
 	return p.Enqueue(now, attempt)
 }
 
-// Enqueue admits an attempt: it is assigned a connection, now or later.
+// Enqueue admits an attempt, which is assigned a connection at once or later.
 func (p *Pool[C, A]) Enqueue(now float64, attempt A) Admission {
 	switch {
-	case !p.open:
+	case !p.available:
 		return Unavailable
 	case p.Policy.queueFull(len(p.waiters)):
 		p.counters.QueueFull.Add(1)
 		return Rejected
 	}
-	attempt.PoolWaiter().since = now
+	attempt.PoolWaiter().waitingSince = now
 	p.waiters = append(p.waiters, attempt)
 	p.Dispatch(now)
 	return Admitted
 }
 
-// CancelWait removes an attempt that waits no longer.
+// CancelWait removes an attempt from the waiting attempts.
 func (p *Pool[C, A]) CancelWait(attempt A) {
 	if i := slices.Index(p.waiters, attempt); i >= 0 {
 		p.waiters = slices.Delete(p.waiters, i, i+1)
 	}
 }
 
-// Dispatch assigns ready connections to waiting attempts, has further connections dialed, and schedules the next Tick.
+// Dispatch assigns ready connections to waiting attempts, dials more connections if needed, and schedules the next Tick.
 func (p *Pool[C, A]) Dispatch(now float64) {
 	p.promoteReady(now)
 	for len(p.waiters) > 0 && len(p.idle) > 0 {
@@ -106,7 +106,7 @@
 }
 
 func (p *Pool[C, A]) assign(now float64, conn C, attempt A) {
-	c, since := conn.PoolConn(), attempt.PoolWaiter().since
+	c, since := conn.PoolConn(), attempt.PoolWaiter().waitingSince
 	if now > since {
 		p.counters.Waited.Add(1)
 	}
@@ -114,20 +114,20 @@
 		p.counters.Reused.Add(1)
 		p.Policy.recordWait(now - since)
 	}
-	c.IdleDuration, c.inUse, c.position = now-c.IdleSince, true, len(p.inUse)
-	c.reusedEarly = c.Responded && c.IdleDuration < p.Policy.plausibleLateness()
+	c.IdleDuration, c.inUse, c.inUseIndex = now-c.IdleSince, true, len(p.inUse)
+	c.reusedEarly = c.Responded && c.IdleDuration < p.Policy.maxExpectedLateness()
 	p.inUse = append(p.inUse, conn)
 	p.Policy.recordInUse(now, len(p.inUse))
 	p.owner.Assign(now, conn, attempt)
 }
 
-// dial has connections opened as the policy says, and returns when it may open more; +Inf: not before something changes.
+// dial dials as many connections as the policy allows, and returns when it may dial more; +Inf: not before the pool's state changes.
 func (p *Pool[C, A]) dial(now float64) (retryAt float64) {
-	if !p.open || len(p.waiters) == 0 && !p.Policy.prewarms() {
+	if !p.available || len(p.waiters) == 0 && !p.Policy.prewarmEnabled() {
 		return math.Inf(1)
 	}
 	p.evictCoolingDown()
-	n, retryAt := p.Policy.dials(now, p.State())
+	n, retryAt := p.Policy.planDials(now, p.State())
 	for range n {
 		p.Dialing++
 		p.owner.Dial(p.addr)
@@ -135,12 +135,12 @@
 	return retryAt
 }
 
-// nextWaiterEvent returns when the first waiting attempt may be assigned a cooling connection, or gives up.
+// nextWaiterEvent returns when the first waiting attempt can be assigned a cooling connection, or when its wait times out; +Inf: never.
 func (p *Pool[C, A]) nextWaiterEvent() float64 {
 	if len(p.waiters) == 0 {
 		return math.Inf(1)
 	}
-	at := p.Policy.waitDeadline(p.waiters[0].PoolWaiter().since)
+	at := p.Policy.waitDeadline(p.waiters[0].PoolWaiter().waitingSince)
 	if len(p.coolingDown) > 0 {
 		at = min(at, p.coolingDown[0].PoolConn().ReadyAt)
 	}
@@ -151,16 +151,16 @@
 	if math.IsInf(at, 1) {
 		return
 	}
-	if p.tickAt == 0 || at < p.tickAt {
-		p.tickAt = at
+	if p.nextTickAt == 0 || at < p.nextTickAt {
+		p.nextTickAt = at
 		p.owner.TickAfter(max(0, at-now))
 	}
 }
 
-// Tick does what is due at the time given to Owner.TickAfter. It returns the attempts that have waited for too long.
+// Tick does the work for which the pool called Owner.TickAfter. It removes and returns the attempts whose wait has timed out.
 func (p *Pool[C, A]) Tick(now float64) (timedOut []A) {
-	p.tickAt = 0
-	for len(p.waiters) > 0 && p.Policy.waitDeadline(p.waiters[0].PoolWaiter().since) <= now {
+	p.nextTickAt = 0
+	for len(p.waiters) > 0 && p.Policy.waitDeadline(p.waiters[0].PoolWaiter().waitingSince) <= now {
 		timedOut = append(timedOut, p.waiters[0])
 		p.waiters = p.waiters[1:]
 	}
@@ -169,7 +169,7 @@
 	return timedOut
 }
 
-// DialSucceeded takes over a connection that has been opened.
+// DialSucceeded adds a connection that the owner has opened.
 func (p *Pool[C, A]) DialSucceeded(now float64, conn C) {
 	p.Dialing--
 	p.Policy.prewarmPause = 0
@@ -178,14 +178,14 @@
 	p.Release(now, conn)
 }
 
-// DialFailed records that a dial begun at a time has failed; attempted is false where the reason was this machine's, such as a want of
-// descriptors. It returns the attempts that fail with it: the one that has waited longest, or all if no connection is left that could
-// serve them.
-func (p *Pool[C, A]) DialFailed(now, began float64, attempted bool) (failed []A) {
+// DialFailed records that a dial has failed. attempted is false if the cause was on this machine, such as a lack of file descriptors. It
+// removes and returns the attempts that fail with the dial: the one that has waited longest, or all if the pool has no open connection
+// and no other dial in progress.
+func (p *Pool[C, A]) DialFailed(now, startedAt float64, attempted bool) (failed []A) {
 	p.Dialing--
 	p.Policy.pausePrewarming(now)
 	if attempted {
-		p.Policy.recordDialFailure(now, p.openConns(), p.lastResponseAt >= began)
+		p.Policy.recordDialFailure(now, p.openConns(), p.lastResponseAt >= startedAt)
 	}
 	n := min(1, len(p.waiters))
 	if p.openConns()+p.Dialing == 0 {
@@ -197,10 +197,10 @@
 	return failed
 }
 
-// Responded records the response to the attempt on a connection and releases the connection. Rejected says that the
-// server rejected the attempt as full, last that it accepts nothing more on this connection.
+// Responded records the response to the attempt on a connection and releases the connection. rejected means that the server rejected
+// the attempt because it is full, last that the connection accepts no further requests.
 func (p *Pool[C, A]) Responded(now float64, conn C, rejected, last bool) {
-	if last || p.overLimit(now, conn, rejected) {
+	if last || p.exceedsLimit(now, conn, rejected) {
 		p.CloseConn(conn)
 	}
 	p.Detach(conn)
@@ -208,9 +208,8 @@
 	p.Release(now, conn)
 }
 
-// overLimit records what a response tells of the connections that the server accepts, and reports whether this one is one
-// too many.
-func (p *Pool[C, A]) overLimit(now float64, conn C, rejected bool) bool {
+// exceedsLimit records what a response says about the server's connection limit, and reports whether its connection exceeds the limit.
+func (p *Pool[C, A]) exceedsLimit(now float64, conn C, rejected bool) bool {
 	if rejected {
 		return p.Policy.recordRejection(now, !conn.PoolConn().Responded, p.openConns()-1)
 	}
@@ -219,9 +218,9 @@
 	return false
 }
 
-// Release makes a connection without an attempt available. After a response it cools down first: a duplicate or stray bytes that
-// arrive meanwhile close it, while later they would be read as the response to the next attempt. A connection
-// whose server has moved or been closed since is closed.
+// Release makes a connection without an attempt available to other attempts. A connection that has had a response cools down first: a
+// duplicate response or other unsolicited bytes that arrive during the cooldown close the connection, but after the next attempt was
+// sent they would be read as its response. A connection that is no longer usable is closed.
 func (p *Pool[C, A]) Release(now float64, conn C) {
 	c := conn.PoolConn()
 	switch {
@@ -239,7 +238,7 @@
 	p.Dispatch(now)
 }
 
-// Detach removes the attempt from a connection, without releasing the connection.
+// Detach marks a connection as no longer in use by an attempt, without releasing the connection.
 func (p *Pool[C, A]) Detach(conn C) {
 	c := conn.PoolConn()
 	if !c.inUse {
@@ -247,8 +246,8 @@
 	}
 	c.inUse = false
 	last := len(p.inUse) - 1
-	p.inUse[c.position] = p.inUse[last]
-	p.inUse[c.position].PoolConn().position = c.position
+	p.inUse[c.inUseIndex] = p.inUse[last]
+	p.inUse[c.inUseIndex].PoolConn().inUseIndex = c.inUseIndex
 	p.inUse = slices.Delete(p.inUse, last, last+1)
 }
 
--- a/internal/node/connpool/pool_test.go
+++ b/internal/node/connpool/pool_test.go
@@ -19,7 +19,7 @@
 	ended bool
 }
 
-// testOwner is an owner whose connections open and break as drawn. It keeps its own account of what the pool does.
+// testOwner is an owner whose connections open and break at random. It tracks what the pool does independently of the pool's own state.
 type testOwner struct {
 	t        *rapid.T
 	now      float64
@@ -40,18 +40,18 @@
 	case c.attempt != nil:
 		o.t.Fatal("two attempts are in flight on one connection")
 	case a.ended || a.conn != nil:
-		o.t.Fatal("an attempt that has ended, or is in flight already, was assigned a connection")
+		o.t.Fatal("an attempt that has ended or is already in flight was assigned a connection")
 	case c.Responded && o.now < c.ReadyAt:
-		o.t.Fatal("a connection was used while it cools down")
+		o.t.Fatal("a connection was used during its cooldown")
 	case c.Responded && o.pool.Policy.Suspected() && o.now-c.respondedAt < o.pool.Policy.suspicion.cooldown:
-		o.t.Fatal("a connection of a suspected server was reused while a duplicate may be on its way")
+		o.t.Fatal("a connection of a suspected server was reused while a duplicate may still arrive")
 	case !o.pool.Usable(c):
-		o.t.Fatal("an attempt goes to a closed server, or to an earlier address")
+		o.t.Fatal("an attempt was assigned a connection to an unavailable server or to an earlier address")
 	}
 	if c.Responded && o.now-c.IdleSince < o.pool.Policy.safeIdle() {
-		for _, other := range o.pool.idle { // those left
+		for _, other := range o.pool.idle { // without c
 			if !other.Responded || o.now-other.IdleSince >= o.pool.Policy.safeIdle() || other.IdleSince < c.IdleSince {
-				o.t.Fatal("a connection on which a duplicate may still arrive was used beside one that is safe, or idle longer")
+				o.t.Fatal("a connection on which a duplicate may still arrive was used although another one is safe or idle longer")
 			}
 		}
 	}
@@ -62,11 +62,11 @@
 
 func (o *testOwner) TickAfter(ms float64) { o.ticks = append(o.ticks, o.now+ms) }
 
-// end records attempts that the pool has handed back.
-func (o *testOwner) end(attempts []*testAttempt) {
+// markEnded records that attempts ended because the pool returned them.
+func (o *testOwner) markEnded(attempts []*testAttempt) {
 	for _, a := range attempts {
 		if a.ended || a.conn != nil {
-			o.t.Fatal("an attempt was handed back that has ended, or is in flight")
+			o.t.Fatal("the pool returned an attempt that has ended or is in flight")
 		}
 		a.ended = true
 	}
@@ -75,7 +75,7 @@
 func (o *testOwner) runTicks() {
 	for len(o.ticks) > 0 && o.ticks[len(o.ticks)-1] <= o.now {
 		o.ticks = o.ticks[:len(o.ticks)-1]
-		o.end(o.pool.Tick(o.now))
+		o.markEnded(o.pool.Tick(o.now))
 	}
 }
 
@@ -94,21 +94,21 @@
 	return o.selectConns(func(c *testConn) bool { return c.attempt != nil })
 }
 
-// duplicate has a duplicate response arrive on a connection without an attempt.
+// duplicate lets a duplicate response arrive on a connection without an attempt.
 func (o *testOwner) duplicate() {
 	inFlight := o.inFlight()
 	unused := o.selectConns(func(c *testConn) bool { return c.attempt == nil && c.Responded && !c.Closed })
 	if len(unused) == 0 {
 		return
 	}
-	c, was := rapid.SampledFrom(unused).Draw(o.t, "surplus"), o.pool.Policy.Suspected()
+	c, wasSuspected := rapid.SampledFrom(unused).Draw(o.t, "duplicate on"), o.pool.Policy.Suspected()
 	suspected := o.pool.ReceivedUnsolicited(o.now, c)
 	o.pool.RemoveUnused(c)
 	o.pool.CloseConn(c)
 	for _, other := range inFlight {
-		risk := !was && o.pool.Policy.Suspected() && other.Responded && other.IdleDuration < o.pool.Policy.cooldown()
-		if risk != slices.Contains(suspected, other) {
-			o.t.Fatalf("handed back as suspected is %v for a connection reused after %v ms", !risk, other.IdleDuration)
+		want := !wasSuspected && o.pool.Policy.Suspected() && other.Responded && other.IdleDuration < o.pool.Policy.cooldown()
+		if want != slices.Contains(suspected, other) {
+			o.t.Fatalf("returned as suspected: %v for a connection reused after %v ms", !want, other.IdleDuration)
 		}
 	}
 	o.pool.Dispatch(o.now)
@@ -126,8 +126,8 @@
 		return
 	}
 	o.dialing--
-	if rapid.IntRange(0, 4).Draw(o.t, "up") == 0 {
-		o.end(o.pool.DialFailed(o.now, o.now-10, rapid.Bool().Draw(o.t, "attempted")))
+	if rapid.IntRange(0, 4).Draw(o.t, "dial fails") == 0 {
+		o.markEnded(o.pool.DialFailed(o.now, o.now-10, rapid.Bool().Draw(o.t, "attempted")))
 		return
 	}
 	c := &testConn{Conn: Conn{Addr: rapid.SampledFrom([]string{"a", "a", "b"}).Draw(o.t, "addr")}}
@@ -148,7 +148,7 @@
 	o.pool.Responded(o.now, c, rejected, last)
 }
 
-// breakConn has a connection break, or its attempt canceled.
+// breakConn breaks a connection, which fails or cancels its attempt.
 func (o *testOwner) breakConn() {
 	if len(o.conns) == 0 {
 		return
@@ -164,16 +164,16 @@
 }
 
 func (o *testOwner) reapOrRetarget() {
-	open := rapid.Bool().Draw(o.t, "open")
+	available := rapid.Bool().Draw(o.t, "available")
 	if rapid.Bool().Draw(o.t, "reap") {
 		o.pool.Reap(o.now)
 		return
 	}
-	o.end(o.pool.SetTarget(o.now, rapid.SampledFrom([]string{"a", "b"}).Draw(o.t, "to"), open))
+	o.markEnded(o.pool.SetTarget(o.now, rapid.SampledFrom([]string{"a", "b"}).Draw(o.t, "to"), available))
 }
 
 func (o *testOwner) step() {
-	switch rapid.IntRange(0, 10).Draw(o.t, "what") {
+	switch rapid.IntRange(0, 10).Draw(o.t, "step") {
 	case 0, 1, 2:
 		o.acquire()
 	case 3, 4:
@@ -189,7 +189,7 @@
 	}
 }
 
-// check compares the pool's state with the owner's account.
+// check compares the pool's state with what the owner tracked.
 func (o *testOwner) check() {
 	for c, n := range o.closed {
 		if n > 1 || !c.Closed {
@@ -206,12 +206,12 @@
 		o.t.Fatalf("%+v, but %d in use, %d waiting, %d dialing", state, inFlight, waiting, o.dialing)
 	}
 	if ready := state.Open - state.InUse - state.CoolingDown; waiting > 0 && ready > 0 {
-		o.t.Fatalf("%d attempts wait beside %d ready connections", waiting, ready)
+		o.t.Fatalf("%d attempts wait although %d connections are ready", waiting, ready)
 	}
 }
 
-// Whatever opens, breaks, waits or moves: one attempt at a time on a connection, none on a closed, cooling or wrong one, each
-// connection closed once, and no attempt waits while a connection is ready.
+// In any sequence of events, a connection serves one attempt at a time, and none while it is closed, cooling or connected to an earlier
+// address; each connection is closed once, and no attempt waits while a connection is ready.
 func TestPoolInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		config := Config{
--- a/internal/node/connpool/suspicion.go
+++ b/internal/node/connpool/suspicion.go
@@ -1,67 +1,67 @@
 package connpool
 
 const (
-	suspiciousLateness = 0.5 // fraction of Cooldown: a duplicate later than this makes its server suspected
-	safeIdle           = 4   // times Cooldown: connections unused for so long are preferred
+	suspiciousLateness = 0.5 // fraction of Cooldown; a duplicate that is later makes its server suspected
+	safeIdleFactor     = 4   // multiple of Cooldown; connections that were unused for this time are preferred
 
-	initialCooldown      = 200 // times Cooldown: the cooldown at first, while the lateness of duplicates is unknown
-	minSamples           = 8   // measured duplicates after which the cooldown follows their lateness
-	latenessMargin       = 4   // times the largest lateness: the cooldown then
-	calmFactor           = 30  // times duplicateInterval: responses without a duplicate that halve the cooldown
-	minDuplicateInterval = 200 // responses; a shorter interval between duplicates counts as this
+	initialCooldownFactor = 200 // multiple of Cooldown: cooldown of a newly suspected server, while the lateness of duplicates is unknown
+	minSamples            = 8   // duplicates with measured lateness that are enough to compute the cooldown from
+	latenessFactor        = 4   // multiple of the largest lateness: the cooldown computed from it
+	halvingFactor         = 30  // multiple of duplicateInterval: responses without a duplicate after which the cooldown is halved
+	minDuplicateInterval  = 200 // responses; lower bound of duplicateInterval
 )
 
-// suspicion is the state of a server that was seen to send duplicate responses. The protocols have nothing that tells a
-// response from a duplicate of the one before, so a duplicate that arrives while the next attempt is in flight passes for its
-// response: the value of another key. From the first duplicate on, a connection is therefore not reused until it has been unused
-// for longer than any duplicate is expected to take. Where too few such connections are left, others are opened, if necessary in
-// place of cooling ones, so that in the worst case each connection serves one attempt.
+// suspicion tracks whether a server is suspected of sending duplicate responses. The protocols cannot distinguish a response from a
+// duplicate of the previous one, so a duplicate that arrives while the next attempt is in flight is taken for the response to that
+// attempt and returns the value of another key. From the first duplicate on, a connection is therefore reused only after it has been
+// unused for longer than any duplicate is expected to take. If too few connections are ready, new ones are opened, if necessary in
+// place of cooling ones; in the worst case each connection serves one attempt.
 type suspicion struct {
-	cooldown          float64 // ms after a response; 0: the server is not suspected
-	responses         float64 // since the server was last not suspected, or has started
-	duplicates        float64 // among these responses
-	duplicateInterval float64 // responses per duplicate, as of the last duplicate
-	sinceDuplicate    float64 // responses since the last duplicate, or since the cooldown was halved
-	samples           int     // duplicates whose lateness was measured while suspected, at most minSamples
-	maxLateness       float64 // ms, of these samples
+	cooldown                float64 // ms after a response in which its connection is not reused; 0: the server is not suspected
+	responses               float64 // since the last suspicion ended or the server started
+	duplicates              float64 // counted over the same period as responses
+	duplicateInterval       float64 // responses per duplicate, computed at the last duplicate
+	responsesSinceDuplicate float64 // restarts from 0 when the cooldown is halved
+	samples                 int     // duplicates whose lateness was measured while the server was suspected, at most minSamples
+	maxLateness             float64 // ms, largest lateness of the samples
 }
 
-// begin records the first duplicate. Its lateness is only a lower bound: it may have been taken for the response of an
-// attempt, whose own response was then what looked like the duplicate.
+// begin records the first duplicate. Its lateness is only a lower bound: an attempt may have received the duplicate as its response, so
+// that its own response was then counted as the duplicate.
 func (s *suspicion) begin(baseCooldown, lateness, idleTimeout float64) {
-	s.cooldown = capCooldown(max(initialCooldown*baseCooldown, latenessMargin*lateness), idleTimeout)
+	s.cooldown = capCooldown(max(initialCooldownFactor*baseCooldown, latenessFactor*lateness), idleTimeout)
 	s.samples, s.maxLateness = 0, 0
 	s.countDuplicate()
 }
 
 func (s *suspicion) countDuplicate() {
-	s.duplicates, s.sinceDuplicate = s.duplicates+1, 0
+	s.duplicates, s.responsesSinceDuplicate = s.duplicates+1, 0
 	s.duplicateInterval = max(minDuplicateInterval, s.responses/s.duplicates)
 }
 
-// recordDuplicate records one more duplicate of a suspected server. Connections cool down for long meanwhile, so the
-// lateness is what was measured.
-func (s *suspicion) recordDuplicate(lateness, safe, idleTimeout float64) {
+// recordDuplicate records a further duplicate from a suspected server. Connections to it cool down for so long that the measured lateness
+// is correct.
+func (s *suspicion) recordDuplicate(lateness, safeIdle, idleTimeout float64) {
 	s.countDuplicate()
 	s.samples, s.maxLateness = min(s.samples+1, minSamples), max(s.maxLateness, lateness)
-	if need := latenessMargin * s.maxLateness; s.samples >= minSamples || need > s.cooldown {
-		s.cooldown = capCooldown(max(need, safe), idleTimeout)
+	if required := latenessFactor * s.maxLateness; s.samples >= minSamples || required > s.cooldown {
+		s.cooldown = capCooldown(max(required, safeIdle), idleTimeout)
 	}
 }
 
-// recordResponse records a response. The cooldown is halved after many times the responses that brought a duplicate
-// before, and the suspicion ends below a safe cooldown.
-func (s *suspicion) recordResponse(safe float64) {
+// recordResponse records a response. After halvingFactor duplicate intervals without a duplicate the cooldown is halved. The suspicion
+// ends when the cooldown falls below safeIdle.
+func (s *suspicion) recordResponse(safeIdle float64) {
 	s.responses++
 	if s.cooldown == 0 {
 		return
 	}
-	s.sinceDuplicate++
-	if s.sinceDuplicate < calmFactor*s.duplicateInterval {
+	s.responsesSinceDuplicate++
+	if s.responsesSinceDuplicate < halvingFactor*s.duplicateInterval {
 		return
 	}
-	s.sinceDuplicate, s.cooldown = 0, s.cooldown/2
-	if s.cooldown < safe {
+	s.responsesSinceDuplicate, s.cooldown = 0, s.cooldown/2
+	if s.cooldown < safeIdle {
 		*s = suspicion{}
 	}
 }
@@ -77,21 +77,21 @@
 // cooldown returns how long a connection is not reused after a response, in ms.
 func (p *Policy) cooldown() float64 { return max(p.config.Cooldown, p.suspicion.cooldown) }
 
-// safeIdle returns how long after a response hardly any duplicate arrives from a server that is not suspected, in ms.
-func (p *Policy) safeIdle() float64 { return safeIdle * p.config.Cooldown }
+// safeIdle returns the time after a response, in ms, after which a server that is not suspected hardly ever sends a duplicate.
+func (p *Policy) safeIdle() float64 { return safeIdleFactor * p.config.Cooldown }
 
-// plausibleLateness returns how late a duplicate may be that this node reckons with before it has seen a later one, in ms.
-func (p *Policy) plausibleLateness() float64 { return initialCooldown * p.config.Cooldown }
+// maxExpectedLateness returns the largest lateness of duplicates, in ms, to expect of a server before it is suspected.
+func (p *Policy) maxExpectedLateness() float64 { return initialCooldownFactor * p.config.Cooldown }
 
-// Suspected reports whether the server was seen to send duplicate responses.
+// Suspected reports whether the server is suspected of sending duplicate responses.
 func (p *Policy) Suspected() bool { return p.suspicion.cooldown > 0 }
 
-// recordUnsolicited records that bytes arrived on a connection without a request, so many ms after its last response, and
-// reports whether the server becomes suspected by that. A duplicate that arrives at once is handled by the usual cooldown. Where
-// the connection was reused early, the bytes may belong to the response before the last one, or an attempt may have received
-// the duplicate and this is its own response: then the lateness is unknown. A duplicate 20 ms late that arrived 0.3 ms after
-// the next response was once taken for a prompt one.
-func (p *Policy) recordUnsolicited(lateness float64, reusedEarly bool) (begins bool) {
+// recordUnsolicited records that bytes arrived on a connection without a request, lateness ms after its last response, and reports
+// whether the server becomes suspected. The configured cooldown is enough for a duplicate that follows its response at once. If the
+// connection was reused early, the lateness is unknown: the bytes may be a duplicate of the response before the last one, or an attempt
+// may have received the duplicate and the bytes are its own response. Without this rule, a duplicate that was 20 ms late but arrived
+// 0.3 ms after the next response did not make the server suspected.
+func (p *Policy) recordUnsolicited(lateness float64, reusedEarly bool) (newlySuspected bool) {
 	switch {
 	case p.Suspected():
 		p.suspicion.recordDuplicate(lateness, p.safeIdle(), p.config.IdleTimeout)
@@ -102,9 +102,9 @@
 	return false
 }
 
-// DuplicatesReported records that another node has seen the server send duplicates, and reports whether the server
-// becomes suspected by that.
-func (p *Policy) DuplicatesReported() (begins bool) {
+// DuplicatesReported records that another node has received duplicate responses from the server, and reports whether the server becomes
+// suspected.
+func (p *Policy) DuplicatesReported() (newlySuspected bool) {
 	if p.Suspected() {
 		return false
 	}
--- a/internal/node/connpool/unused.go
+++ b/internal/node/connpool/unused.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// maxCoolingDown is how many connections cool down at a suspected server. More would cost the server more than opening new
-// ones, and the node its descriptors.
+// maxCoolingDown is how many connections to a suspected server may cool down at a time. More of them would cost the server more than
+// opening new connections does, and would exhaust the node's file descriptors.
 const maxCoolingDown = 128
 
 func (p *Pool[C, A]) unusedCount() int { return len(p.idle) + len(p.coolingDown) }
 
-// pickIdle returns the index of the idle connection to use next. It is the one used last, so that connections in excess stay
-// unused and are closed in time. Connections used so recently that a duplicate might still arrive come after all others, the one
-// idle longest first: a late duplicate should find its connection without an attempt, where it is recognized.
+// pickIdle returns the index of the idle connection to use next. It prefers the most recently used one, so that surplus connections stay
+// unused and are eventually closed. Connections used so recently that a duplicate may still arrive are chosen only if there is no other,
+// the one idle longest first: a duplicate is recognized only if it arrives on a connection without an attempt.
 func (p *Pool[C, A]) pickIdle(now float64) int {
 	for k := len(p.idle) - 1; k >= 0; k-- {
 		if c := p.idle[k].PoolConn(); !c.Responded || now-c.IdleSince >= p.Policy.safeIdle() {
@@ -23,7 +23,7 @@
 	return 0
 }
 
-// promoteReady moves the connections whose cooldown is over to the idle ones.
+// promoteReady moves the connections whose cooldown has ended to the idle ones.
 func (p *Pool[C, A]) promoteReady(now float64) {
 	n := 0
 	for n < len(p.coolingDown) && p.coolingDown[n].PoolConn().ReadyAt <= now {
@@ -35,23 +35,25 @@
 	}
 }
 
-// coolDown begins the cooldown of a connection after its response. At a suspected server only so many may cool down.
+// coolDown starts the cooldown of a connection after its response. It keeps the number of cooling connections to a suspected server
+// within maxCoolingDown.
 func (p *Pool[C, A]) coolDown(conn C) {
 	c := conn.PoolConn()
 	c.ReadyAt = c.IdleSince + p.Policy.cooldown()
 	p.coolingDown = append(p.coolingDown, conn)
 	if p.Policy.Suspected() && len(p.coolingDown) > maxCoolingDown {
-		p.closeFirstCooling()
+		p.closeNextReady()
 	}
 }
 
-func (p *Pool[C, A]) closeFirstCooling() {
+// closeNextReady closes the cooling connection that would become ready first.
+func (p *Pool[C, A]) closeNextReady() {
 	p.CloseConn(p.coolingDown[0])
 	p.coolingDown = slices.Delete(p.coolingDown, 0, 1)
 }
 
-// evictCoolingDown closes cooling connections to a suspected server where attempts wait and no more connections may be
-// open: a new one can be used at once.
+// evictCoolingDown closes cooling connections to a suspected server if attempts wait and the connection limit is reached: unlike them, new
+// connections can be used at once.
 func (p *Pool[C, A]) evictCoolingDown() {
 	if !p.Policy.Suspected() {
 		return
@@ -59,21 +61,22 @@
 	want := len(p.waiters) - p.Dialing
 	excess := p.openConns() + p.Dialing + want - p.Policy.limit()
 	for range min(excess, want, len(p.coolingDown)) {
-		p.closeFirstCooling()
+		p.closeNextReady()
 	}
 }
 
-// RemoveUnused removes a connection from the unused ones.
+// RemoveUnused removes a connection from the pool if it is unused, without closing it.
 func (p *Pool[C, A]) RemoveUnused(conn C) {
-	same := func(other C) bool { return other.PoolConn() == conn.PoolConn() }
+	isConn := func(other C) bool { return other.PoolConn() == conn.PoolConn() }
 	for _, unused := range []*[]C{&p.idle, &p.coolingDown} {
-		if i := slices.IndexFunc(*unused, same); i >= 0 {
+		if i := slices.IndexFunc(*unused, isConn); i >= 0 {
 			*unused = slices.Delete(*unused, i, i+1)
 		}
 	}
 }
 
-// OldestUnused returns since when the connection has been unused that has been so longest; false: all are in use.
+// OldestUnused returns since when the longest unused connection has been unused, preferring idle over cooling connections. found is false
+// if the pool has no unused connection.
 func (p *Pool[C, A]) OldestUnused() (since float64, found bool) {
 	switch {
 	case len(p.idle) > 0:
@@ -84,7 +87,7 @@
 	return 0, false
 }
 
-// CloseOldestUnused closes that connection and reports whether there was one.
+// CloseOldestUnused closes the connection of which OldestUnused returns the time, and reports whether there was one.
 func (p *Pool[C, A]) CloseOldestUnused() bool {
 	found := p.unusedCount() > 0
 	p.closeOldest(min(1, p.unusedCount()))
@@ -94,9 +97,9 @@
 // CloseUnused closes all unused connections.
 func (p *Pool[C, A]) CloseUnused() { p.closeOldest(p.unusedCount()) }
 
-// Reap closes connections that have been unused for so long that the server may close them at any time, and those that are
-// not needed any more. A request written as the server closes could be lost in a way that cannot be told from one that has run. It
-// opens what the policy keeps open.
+// Reap closes connections that the policy no longer needs and connections that have been unused for so long that the server may close
+// them at any time: if the server closes a connection while a request is being written, the node cannot tell whether the request was
+// executed. It also opens the connections that the policy keeps open.
 func (p *Pool[C, A]) Reap(now float64) {
 	p.reapStale(now)
 	if excess := p.unusedCount() - p.Policy.idleTarget(now, p.State()); excess > 0 {
@@ -111,7 +114,7 @@
 	}
 }
 
-// CloseIdleBefore closes the idle connections that were last used before a time.
+// CloseIdleBefore closes the idle connections that were last used before the given time.
 func (p *Pool[C, A]) CloseIdleBefore(at float64) {
 	n := 0
 	for n < len(p.idle) && p.idle[n].PoolConn().IdleSince < at {
@@ -120,7 +123,7 @@
 	p.closeOldest(n)
 }
 
-// closeOldest closes the n connections that have been unused longest; idle ones before cooling ones.
+// closeOldest closes the n connections that have been unused longest, idle ones before cooling ones.
 func (p *Pool[C, A]) closeOldest(n int) {
 	for range n {
 		unused := &p.idle
@@ -132,9 +135,9 @@
 	}
 }
 
-// ReceivedUnsolicited records that bytes arrived on a connection without a request. If the server becomes suspected by that, all
-// unused connections cool down again, and it returns the connections in use on which a duplicate may yet arrive: nobody could tell
-// that from the response, so their attempts must be failed.
+// ReceivedUnsolicited records that bytes arrived on a connection without a request. If this makes the server suspected, all unused
+// connections that have had a response cool down again, and the connections in use on which a duplicate may still arrive are returned:
+// the caller must fail their attempts, because the duplicate would be indistinguishable from the response.
 func (p *Pool[C, A]) ReceivedUnsolicited(now float64, conn C) (suspected []C) {
 	c := conn.PoolConn()
 	if c.Closed {
@@ -147,7 +150,8 @@
 	return p.suspect(c)
 }
 
-// DuplicatesReported records that another node has seen the server send duplicates, with the same effect.
+// DuplicatesReported records that another node has received duplicate responses from the server. It has the same effect as
+// ReceivedUnsolicited.
 func (p *Pool[C, A]) DuplicatesReported() (suspected []C) {
 	if !p.Policy.DuplicatesReported() {
 		return nil
@@ -155,9 +159,9 @@
 	return p.suspect(nil)
 }
 
-// suspect applies the longer cooldown of a suspected server to all connections. It leaves out the connection on which the
-// duplicate arrived, which is closed anyway.
-func (p *Pool[C, A]) suspect(except *Conn) (suspected []C) {
+// suspect applies the longer cooldown of a suspected server to all connections, and returns the connections in use on which a duplicate
+// may still arrive, except the one on which the duplicate has arrived: the caller closes that one.
+func (p *Pool[C, A]) suspect(duplicateConn *Conn) (suspected []C) {
 	p.counters.Suspected.Add(1)
 	unused := slices.Concat(p.idle, p.coolingDown)
 	p.idle, p.coolingDown = nil, nil
@@ -170,7 +174,7 @@
 	}
 	slices.SortStableFunc(p.coolingDown, func(a, b C) int { return cmp.Compare(a.PoolConn().ReadyAt, b.PoolConn().ReadyAt) })
 	for _, conn := range p.inUse {
-		if c := conn.PoolConn(); c != except && c.Responded && c.IdleDuration < p.Policy.cooldown() && !c.Closed {
+		if c := conn.PoolConn(); c != duplicateConn && c.Responded && c.IdleDuration < p.Policy.cooldown() && !c.Closed {
 			suspected = append(suspected, conn)
 		}
 	}
