--- a/internal/node/exchange/attempterror.go
+++ b/internal/node/exchange/attempterror.go
@@ -2,10 +2,10 @@
 
 import "mintspring/internal/fleet"
 
-// Progress is how far an attempt came before it failed.
+// Progress is how far an attempt got before it failed.
 type Progress uint8
 
-// An attempt goes through these in order.
+// Stages of an attempt, in the order in which it passes them.
 const (
 	NotConnected     Progress = iota
 	PartiallyWritten          // some bytes may have been sent, but not the last one
@@ -22,11 +22,11 @@
 
 func (p Progress) String() string { return progressNames[p] }
 
-// AttemptError is the failure of an attempt that got no response. Whether it may have been executed follows from its progress alone.
+// AttemptError is the error of an attempt that got no response. Its progress alone tells whether the attempt may have been executed.
 type AttemptError struct {
 	Progress Progress
-	Result   fleet.Result // of the attempt, if it may have been executed
-	Stale    bool         // its connection had been idle, and the server seems to have dropped it meanwhile
+	Result   fleet.Result // result of the attempt if it may have been executed; otherwise Outcome derives the result from it
+	Stale    bool         // its connection had been idle, and the server seems to have dropped the connection meanwhile
 	Cause    error
 }
 
@@ -35,11 +35,13 @@
 // Unwrap returns the cause.
 func (e *AttemptError) Unwrap() error { return e.Cause }
 
-// NotExecuted reports whether the attempt is known to have had no effect: a server begins to execute a request with its last byte.
+// NotExecuted reports whether the attempt is known to have had no effect: a server executes a request only after it has received the last
+// byte.
 func (e *AttemptError) NotExecuted() bool { return e.Progress < FullyWritten }
 
-// Outcome is what the failure means to the decision module. Before the last byte an attempt that the server or the network stopped could
-// not connect, one that got no connection from the server's pool in time found it full, and one that the node stopped was not sent.
+// Outcome returns the result to report to the decision module. An attempt whose last byte was not sent is reported as ConnectFailed if
+// the server or the network ended it, as Declined if it got no connection from the server's pool in time, and as NotSent if the node
+// stopped it.
 func (e *AttemptError) Outcome() fleet.Result {
 	if !e.NotExecuted() {
 		return e.Result
--- a/internal/node/exchange/body.go
+++ b/internal/node/exchange/body.go
@@ -5,8 +5,8 @@
 	"sync/atomic"
 )
 
-// Body is a large value that is streamed from a client to a server, of which one piece is buffered. It can be read once: an attempt that
-// has read some of it cannot be followed by another. One goroutine writes, another one reads.
+// Body is a large value that is streamed from a client to a server, without being buffered as a whole. It can be read only once, so no
+// further attempt is possible after an attempt has read any of it. One goroutine writes to it while another one reads.
 type Body struct {
 	Size     int64 // bytes
 	reader   *io.PipeReader
@@ -14,17 +14,17 @@
 	consumed atomic.Bool
 }
 
-// NewBody makes a body for a value of size bytes.
+// NewBody returns a body for a value of size bytes.
 func NewBody(size int64) *Body {
 	b := &Body{Size: size}
 	b.reader, b.writer = io.Pipe()
 	return b
 }
 
-// Write passes bytes on, and returns when they have been read. It fails once the reader is closed.
+// Write passes bytes to the reader and returns when they have been read. It fails after CloseReader.
 func (b *Body) Write(p []byte) (int, error) { return b.writer.Write(p) }
 
-// Read reads what was written.
+// Read implements io.Reader.
 func (b *Body) Read(p []byte) (int, error) {
 	b.consumed.Store(true)
 	return b.reader.Read(p)
@@ -33,12 +33,12 @@
 // Consumed reports whether an attempt has begun to read the value.
 func (b *Body) Consumed() bool { return b.consumed.Load() }
 
-// CloseReader says that nobody reads any more: Write returns the cause. Only the first call counts.
+// CloseReader stops reading: from then on, Write fails with the cause. Only the first call has an effect.
 func (b *Body) CloseReader(cause error) {
-	_ = b.reader.CloseWithError(cause) // it never fails
+	_ = b.reader.CloseWithError(cause) // always returns nil
 }
 
-// CloseWriter says that the value ends here, or with an error that the rest never comes: Read returns it.
+// CloseWriter ends the value: after the bytes written so far, Read returns io.EOF, or the cause if the value is incomplete.
 func (b *Body) CloseWriter(cause error) {
-	_ = b.writer.CloseWithError(cause) // it never fails
+	_ = b.writer.CloseWithError(cause) // always returns nil
 }
--- a/internal/node/exchange/exchange_test.go
+++ b/internal/node/exchange/exchange_test.go
@@ -8,19 +8,19 @@
 	"mintspring/internal/fleet"
 )
 
-// client counts responses.
-type client int
+// countingClient counts responses.
+type countingClient int
 
-func (c *client) ResponseReady(*Exchange) { *c++ }
+func (c *countingClient) ResponseReady(*Exchange) { *c++ }
 
 func TestFirstResponseIsFinal(t *testing.T) {
-	var c client
+	var c countingClient
 	x := &Exchange{Client: &c}
 	if x.Response() != nil {
-		t.Error("a response before any was set")
+		t.Error("there is a response before one was set")
 	}
 	if !x.Respond(Response{Kind: Rejected, RetryAfter: 7}) || x.Respond(Response{Kind: Completed}) {
-		t.Error("the first response does not count, or the second one does")
+		t.Error("the first response is not accepted, or the second one is")
 	}
 	if r := x.Response(); r == nil || r.Kind != Rejected || r.RetryAfter != 7 || c != 1 {
 		t.Errorf("response %+v, the client was notified %d times", r, c)
@@ -61,7 +61,7 @@
 		written <- err
 	}()
 	if b.Consumed() {
-		t.Error("consumed before it was read")
+		t.Error("consumed before the first read")
 	}
 	got, err := io.ReadAll(b)
 	if err != nil || string(got) != "value" || !b.Consumed() {
@@ -74,6 +74,6 @@
 	b = NewBody(5)
 	b.CloseReader(cause)
 	if _, err := b.Write([]byte("value")); !errors.Is(err, cause) {
-		t.Errorf("written to a closed reader: %v", err)
+		t.Errorf("write after CloseReader: %v", err)
 	}
 }
--- a/internal/node/inflight/policy.go
+++ b/internal/node/inflight/policy.go
@@ -63,7 +63,7 @@
 
 // Counters are totals since they were set to zero.
 type Counters struct {
-	Responses   [exchange.Kinds]int   // by exchange.Kind
+	Responses   [exchange.NumResponseKinds]int   // by exchange.Kind
 	Results     [fleet.Missed + 1]int // of attempts, by fleet.Result
 	ClientsGone int                   // before their response
 }
