--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -27,8 +27,8 @@
 	d.endpoint(at).Cancel(attempt)
 }
 
-// Withdraw stops an attempt unless its last byte is sent.
-func (d dispatcher) Withdraw(_ float64, at fleet.ServerID, attempt *upstream.Attempt) {
+// CancelUnsent stops an attempt unless its last byte is sent.
+func (d dispatcher) CancelUnsent(_ float64, at fleet.ServerID, attempt *upstream.Attempt) {
 	d.endpoint(at).CancelUnsent(attempt)
 }
 
--- a/internal/node/inflight/inflight.go
+++ b/internal/node/inflight/inflight.go
@@ -246,7 +246,7 @@
 	entry.withdrawn = true
 	for i := range entry.Request.Attempts[:entry.Request.NumAttempts] {
 		if a := &entry.Request.Attempts[i]; a.Result == fleet.Pending && !a.Cancelled {
-			t.dispatcher.Withdraw(now, a.Server, entry.attempts[i])
+			t.dispatcher.CancelUnsent(now, a.Server, entry.attempts[i])
 		}
 	}
 }
--- a/internal/node/inflight/inflight_test.go
+++ b/internal/node/inflight/inflight_test.go
@@ -39,7 +39,7 @@
 
 func (f *fakeServers) Cancel(_ float64, _ fleet.ServerID, a *attempt) { a.cancelled = true }
 
-func (f *fakeServers) Withdraw(_ float64, _ fleet.ServerID, a *attempt)        { a.cancelled = true }
+func (f *fakeServers) CancelUnsent(_ float64, _ fleet.ServerID, a *attempt)    { a.cancelled = true }
 func (f *fakeServers) BodyComplete(float64, fleet.ServerID, *attempt, float64) {}
 func (f *fakeServers) CloseIdle(fleet.ServerID)                                {}
 func (f *fakeServers) WatchList()                                              { f.watches++ }
--- a/internal/node/inflight/policy.go
+++ b/internal/node/inflight/policy.go
@@ -27,8 +27,8 @@
 	Send(now float64, to fleet.ServerID, x *exchange.Exchange, number int, timeout, notAfter float64) A
 	// Cancel stops an attempt, sent or not.
 	Cancel(now float64, at fleet.ServerID, attempt A)
-	// Withdraw stops an attempt unless its last byte is sent.
-	Withdraw(now float64, at fleet.ServerID, attempt A)
+	// CancelUnsent stops an attempt unless its last byte is sent.
+	CancelUnsent(now float64, at fleet.ServerID, attempt A)
 	// BodyComplete sets the deadline of an attempt whose streamed value is complete.
 	BodyComplete(now float64, at fleet.ServerID, attempt A, deadline float64)
 	// CloseIdle closes the unused connections to a server.
@@ -63,7 +63,7 @@
 
 // Counters are totals since they were set to zero.
 type Counters struct {
-	Responses   [exchange.NumResponseKinds]int   // by exchange.Kind
-	Results     [fleet.Missed + 1]int // of attempts, by fleet.Result
-	ClientsGone int                   // before their response
+	Responses   [exchange.NumResponseKinds]int // by exchange.Kind
+	Results     [fleet.Missed + 1]int          // of attempts, by fleet.Result
+	ClientsGone int                            // before their response
 }
--- a/internal/testbed/simulator/process.go
+++ b/internal/testbed/simulator/process.go
@@ -278,8 +278,8 @@
 	p.links[at].endAttemptLater(a, fleet.Cancelled)
 }
 
-// Withdraw implements inflight.Dispatcher.
-func (p *process) Withdraw(_ float64, at fleet.ServerID, a *attempt) {
+// CancelUnsent implements inflight.Dispatcher.
+func (p *process) CancelUnsent(_ float64, at fleet.ServerID, a *attempt) {
 	if a.progress == exchange.NotConnected {
 		p.links[at].endAttemptLater(a, fleet.Cancelled)
 	}
