--- a/internal/node/inflight/inflight.go
+++ b/internal/node/inflight/inflight.go
@@ -1,6 +1,6 @@
-// Package inflight keeps the requests in flight of a node, between the sockets and the decision module: each event becomes a call
-// of the policy, and each decision of the policy a call of the dispatcher. It does no I/O and reads no clock, so that a node on
-// sockets and a simulated one share it.
+// Package inflight tracks a node's requests in flight and connects the sockets with the decision module: it passes each event to the
+// policy, and each decision of the policy to the dispatcher. It does no I/O and reads no clock, so that nodes with sockets and simulated
+// nodes can share it.
 //
 // Times of type float64 are ms on the caller's clock. One goroutine owns a table.
 package inflight
@@ -17,21 +17,23 @@
 // Entry is a request in flight.
 type Entry[A comparable] struct {
 	Exchange *exchange.Exchange
-	Request  *fleet.Request // as the policy knows it
-	Receipt  []byte         // of an attempt that was completed; nil: none was, or its value is streamed
+	Request  *fleet.Request // the policy's view of the request
+	Receipt  []byte         // receipt of the completed attempt; nil: no attempt has completed, or its value is streamed
 
-	attempts  [fleet.MaxAttempts]A // by number, as those of Request
-	withdrawn bool                 // attempts that were not sent yet when the request was closed
+	attempts        [fleet.MaxAttempts]A // same indexes as Request.Attempts
+	unsentCancelled bool                 // cancelUnsent has been called
 }
 
-// Table is the requests in flight of one node.
+// Table holds the requests in flight of one node.
 type Table[A comparable] struct {
-	Policy   Policy // set before the first call: it is made with the table's slab
+	Policy   Policy // set by the caller before the first call, since the policy is created with the table's Slab
 	Slab     fleet.Slab
 	Counters Counters
 
-	OnAdmit  func(request *fleet.Request, key []byte)                  // called for each new request; nil: nothing is
-	OnResult func(now float64, at fleet.ServerID, result fleet.Result) // called for each attempt that has ended, but for stale ones; nil: nothing is
+	// OnAdmit is called for each new request. It may be nil.
+	OnAdmit func(request *fleet.Request, key []byte)
+	// OnResult is called when an attempt has ended, unless it ended on a stale connection. It may be nil.
+	OnResult func(now float64, server fleet.ServerID, result fleet.Result)
 
 	dispatcher Dispatcher[A]
 	byExchange map[*exchange.Exchange]*Entry[A]
@@ -39,7 +41,7 @@
 	lastID     fleet.RequestID
 }
 
-// New makes an empty table. Its policy is still to be set.
+// New returns an empty table. The caller must set its Policy.
 func New[A comparable](dispatcher Dispatcher[A]) *Table[A] {
 	return &Table[A]{
 		dispatcher: dispatcher,
@@ -48,10 +50,10 @@
 	}
 }
 
-// Len is the number of requests in flight. Requests that are answered stay while an attempt is out.
+// Len returns the number of requests in flight. An answered request counts until none of its attempts is in flight.
 func (t *Table[A]) Len() int { return len(t.byExchange) }
 
-// Admit takes a new request, and carries out the first decision for it.
+// Admit adds a new request and executes the first decision for it.
 func (t *Table[A]) Admit(now float64, x *exchange.Exchange) {
 	request := t.Slab.Alloc()
 	t.lastID++
@@ -68,7 +70,7 @@
 	t.apply(now, entry, t.Policy.Route(now, request))
 }
 
-// BodyComplete says that the last byte of a streamed value was read at the given time. The client's timeout runs from there.
+// BodyComplete records that the last byte of a streamed value was read at the given time, at which the client's timeout starts.
 func (t *Table[A]) BodyComplete(now float64, x *exchange.Exchange, at float64) {
 	entry := t.byExchange[x]
 	if entry == nil || entry.Request.Closed {
@@ -85,7 +87,7 @@
 	}
 }
 
-// ClientGone says that the client of a request is gone.
+// ClientGone records that the client of a request has disconnected.
 func (t *Table[A]) ClientGone(now float64, x *exchange.Exchange) {
 	entry := t.byExchange[x]
 	if entry == nil || entry.Request.Closed {
@@ -96,7 +98,7 @@
 	t.release(now, entry)
 }
 
-// AttemptDone takes the end of an attempt, by its number, and carries out the next decision.
+// AttemptDone records the end of the attempt with the given number and executes the next decision for the request.
 func (t *Table[A]) AttemptDone(now float64, x *exchange.Exchange, number int, completion Completion) {
 	entry := t.byExchange[x]
 	if entry == nil {
@@ -122,7 +124,7 @@
 		Report:          completion.Report,
 	}
 	if completion.Result == fleet.Completed && !request.Closed {
-		// The rest of a streamed value is between its server and its client: to the policy the request is closed.
+		// The policy takes no part in streaming the rest of the value, so for the policy the request is closed.
 		outcome.Closed = true
 		t.Respond(x, exchange.Response{Kind: exchange.Completed, Value: completion.Value, Stream: completion.Stream})
 	} else {
@@ -131,7 +133,8 @@
 	t.apply(now, entry, t.Policy.AttemptDone(now, request, outcome))
 }
 
-// NextDue returns what is due: a request to call Decide for, nil for the upkeep of the node, or nothing for wait ms.
+// NextDue returns the entry to pass to Decide now, where nil stands for the node's own maintenance, or the time in ms to wait until
+// something is due.
 func (t *Table[A]) NextDue(now float64) (entry *Entry[A], wait float64) {
 	ref, wait := t.Policy.NextDue(now)
 	if wait > 0 {
@@ -140,7 +143,7 @@
 	return t.byRef[ref], 0
 }
 
-// Decide carries out the policy's decision for a request, or with nil that for the node itself.
+// Decide executes the policy's decision for a request, or for the node itself if entry is nil.
 func (t *Table[A]) Decide(now float64, entry *Entry[A]) {
 	if entry == nil {
 		t.apply(now, nil, t.Policy.Route(now, nil))
@@ -149,7 +152,7 @@
 	t.apply(now, entry, t.Policy.Route(now, entry.Request))
 }
 
-// Fail aborts a request whose handling has failed within the node.
+// Fail aborts a request because of an internal error of the node.
 func (t *Table[A]) Fail(now float64, x *exchange.Exchange, reason string) {
 	t.Respond(x, exchange.Response{Kind: exchange.Aborted, Reason: reason})
 	if entry := t.byExchange[x]; entry != nil {
@@ -158,7 +161,7 @@
 	}
 }
 
-// HasUnanswered reports whether a request waits for its response. Attempts of answered ones may still be out.
+// HasUnanswered reports whether any client still waits for a response. Answered requests with attempts in flight do not count.
 func (t *Table[A]) HasUnanswered() bool {
 	for _, entry := range t.byExchange {
 		if !entry.Request.Closed {
@@ -168,23 +171,23 @@
 	return false
 }
 
-// AbortAll aborts all requests without a response, in the order of their arrival.
+// AbortAll aborts all unanswered requests, in order of arrival.
 func (t *Table[A]) AbortAll(now float64, reason string) {
-	var open []*Entry[A]
+	var unanswered []*Entry[A]
 	for _, entry := range t.byExchange {
 		if !entry.Request.Closed {
-			open = append(open, entry)
+			unanswered = append(unanswered, entry)
 		}
 	}
-	slices.SortFunc(open, func(a, b *Entry[A]) int { return cmp.Compare(a.Request.ID, b.Request.ID) })
-	for _, entry := range open {
+	slices.SortFunc(unanswered, func(a, b *Entry[A]) int { return cmp.Compare(a.Request.ID, b.Request.ID) })
+	for _, entry := range unanswered {
 		t.Respond(entry.Exchange, exchange.Response{Kind: exchange.Aborted, Reason: reason})
 		t.Policy.ClientGone(now, entry.Request)
 		t.release(now, entry)
 	}
 }
 
-// Respond sends a request its final response, unless it has one. The request may be one that was never admitted.
+// Respond sends the final response to a request unless the request already has one. The request need not have been admitted.
 func (t *Table[A]) Respond(x *exchange.Exchange, response exchange.Response) {
 	if x.Respond(response) {
 		t.Counters.Responses[response.Kind]++
@@ -193,12 +196,12 @@
 	}
 }
 
-// apply carries out a decision. entry is nil for a decision about the node itself.
+// apply executes a decision. entry is nil for a decision about the node itself.
 func (t *Table[A]) apply(now float64, entry *Entry[A], d fleet.Decision) {
 	switch d.Action {
 	case fleet.Send:
-		notAfter := cmp.Or(d.SendBy, math.Inf(1))
-		entry.attempts[d.Attempt] = t.dispatcher.Send(now, d.Server, entry.Exchange, d.Attempt, d.Timeout, notAfter)
+		sendBy := cmp.Or(d.SendBy, math.Inf(1))
+		entry.attempts[d.Attempt] = t.dispatcher.Send(now, d.Server, entry.Exchange, d.Attempt, d.Timeout, sendBy)
 	case fleet.Cancel:
 		t.dispatcher.Cancel(now, entry.Request.Attempts[d.Attempt].Server, entry.attempts[d.Attempt])
 	case fleet.Reject:
@@ -218,17 +221,17 @@
 	}
 }
 
-// release removes a request that is closed once no attempt is out.
+// release removes a closed request when it has no attempt in flight.
 //
-// Attempts of a closed request that are not sent yet are withdrawn. Otherwise the request of a client that is gone, while connections
-// are slow to be established, would be executed long after.
+// It cancels the unsent attempts of a closed request. Otherwise a request whose client has disconnected could be executed long afterwards
+// if connections are slow to be established.
 func (t *Table[A]) release(now float64, entry *Entry[A]) {
 	request := entry.Request
 	if !request.Closed {
 		return
 	}
 	if request.InFlight > 0 {
-		t.withdraw(now, entry)
+		t.cancelUnsent(now, entry)
 	}
 	if request.InFlight == 0 && t.byExchange[entry.Exchange] == entry {
 		t.dispatcher.Released(now, entry)
@@ -238,12 +241,12 @@
 	}
 }
 
-// withdraw stops, once, the attempts of a request that are not sent yet.
-func (t *Table[A]) withdraw(now float64, entry *Entry[A]) {
-	if entry.withdrawn {
+// cancelUnsent cancels the unsent attempts of a request. Only the first call has an effect.
+func (t *Table[A]) cancelUnsent(now float64, entry *Entry[A]) {
+	if entry.unsentCancelled {
 		return
 	}
-	entry.withdrawn = true
+	entry.unsentCancelled = true
 	for i := range entry.Request.Attempts[:entry.Request.NumAttempts] {
 		if a := &entry.Request.Attempts[i]; a.Result == fleet.Pending && !a.Cancelled {
 			t.dispatcher.CancelUnsent(now, a.Server, entry.attempts[i])
--- a/internal/node/inflight/inflight_test.go
+++ b/internal/node/inflight/inflight_test.go
@@ -14,41 +14,41 @@
 
 func TestMain(m *testing.M) { seededtest.Main(m) }
 
-// attempt is an attempt as the fake servers know it.
+// attempt is the fake dispatcher's record of an attempt.
 type attempt struct {
 	exchange  *exchange.Exchange
 	number    int
 	ended     bool
-	cancelled bool // or withdrawn
+	cancelled bool // by Cancel or CancelUnsent
 }
 
-// fakeServers is a dispatcher and the client of all requests. It counts its calls.
-type fakeServers struct {
+// fakeDispatcher is a dispatcher and the client of all requests. It records the calls.
+type fakeDispatcher struct {
 	attempts  []*attempt
 	responses map[*exchange.Exchange]int
 	admitted  int
 	released  int
-	watches   int
+	watches   int // calls of WatchList
 }
 
-func (f *fakeServers) Send(_ float64, _ fleet.ServerID, x *exchange.Exchange, number int, _, _ float64) *attempt {
+func (f *fakeDispatcher) Send(_ float64, _ fleet.ServerID, x *exchange.Exchange, number int, _, _ float64) *attempt {
 	a := &attempt{exchange: x, number: number}
 	f.attempts = append(f.attempts, a)
 	return a
 }
 
-func (f *fakeServers) Cancel(_ float64, _ fleet.ServerID, a *attempt) { a.cancelled = true }
+func (f *fakeDispatcher) Cancel(_ float64, _ fleet.ServerID, a *attempt) { a.cancelled = true }
 
-func (f *fakeServers) CancelUnsent(_ float64, _ fleet.ServerID, a *attempt)    { a.cancelled = true }
-func (f *fakeServers) BodyComplete(float64, fleet.ServerID, *attempt, float64) {}
-func (f *fakeServers) CloseIdle(fleet.ServerID)                                {}
-func (f *fakeServers) WatchList()                                              { f.watches++ }
-func (f *fakeServers) PollList()                                               {}
-func (f *fakeServers) Admitted(*Entry[*attempt])                               { f.admitted++ }
-func (f *fakeServers) Released(float64, *Entry[*attempt])                      { f.released++ }
-func (f *fakeServers) ResponseReady(x *exchange.Exchange)                      { f.responses[x]++ }
+func (f *fakeDispatcher) CancelUnsent(_ float64, _ fleet.ServerID, a *attempt)    { a.cancelled = true }
+func (f *fakeDispatcher) BodyComplete(float64, fleet.ServerID, *attempt, float64) {}
+func (f *fakeDispatcher) CloseIdle(fleet.ServerID)                                {}
+func (f *fakeDispatcher) WatchList()                                              { f.watches++ }
+func (f *fakeDispatcher) PollList()                                               {}
+func (f *fakeDispatcher) Admitted(*Entry[*attempt])                               { f.admitted++ }
+func (f *fakeDispatcher) Released(float64, *Entry[*attempt])                      { f.released++ }
+func (f *fakeDispatcher) ResponseReady(x *exchange.Exchange)                      { f.responses[x]++ }
 
-func limits() fleet.Limits {
+func testLimits() fleet.Limits {
 	return fleet.Limits{
 		Seed: 1, Nodes: 1, OriginKind: 1, MaxAttempts: 4, Hedging: true, Cancellation: true, SendRetryAfter: true, MaxRetryAfter: 1000,
 		Subscribe: true, PollWithin: 10000, StopSendingWithin: 500, Quantum: 5, Classes: []fleet.Class{
@@ -58,23 +58,23 @@
 	}
 }
 
-// scenario is a table with servers and clients that act in any order.
+// scenario is a table with servers and clients that act in random order.
 type scenario struct {
 	*rapid.T
-	servers  *fakeServers
-	table    *Table[*attempt]
-	now      float64
-	requests []*exchange.Exchange
-	gone     map[*exchange.Exchange]bool // their clients
+	dispatcher   *fakeDispatcher
+	table        *Table[*attempt]
+	now          float64
+	requests     []*exchange.Exchange
+	disconnected map[*exchange.Exchange]bool // requests whose clients have disconnected
 }
 
 func newScenario(t *rapid.T) *scenario {
-	servers := &fakeServers{responses: map[*exchange.Exchange]int{}}
+	dispatcher := &fakeDispatcher{responses: map[*exchange.Exchange]int{}}
 	s := &scenario{
-		T: t, servers: servers, table: New(Dispatcher[*attempt](servers)), now: 1000, gone: map[*exchange.Exchange]bool{},
+		T: t, dispatcher: dispatcher, table: New(Dispatcher[*attempt](dispatcher)), now: 1000, disconnected: map[*exchange.Exchange]bool{},
 	}
-	s.table.Policy = decide.New(s.now, limits(), &s.table.Slab)
-	s.runDue()
+	s.table.Policy = decide.New(s.now, testLimits(), &s.table.Slab)
+	s.decideDue()
 	var list []fleet.Endpoint
 	for i := range 4 {
 		list = append(list, fleet.Endpoint{
@@ -85,8 +85,8 @@
 	return s
 }
 
-// runDue carries out all that is due.
-func (s *scenario) runDue() {
+// decideDue calls Decide until nothing is due.
+func (s *scenario) decideDue() {
 	for range 1000 {
 		entry, wait := s.table.NextDue(s.now)
 		if wait > 0 {
@@ -100,7 +100,7 @@
 func (s *scenario) admit() {
 	x := &exchange.Exchange{
 		Key: []byte("k"), KeyHash: fleet.Key(rapid.IntRange(0, 9).Draw(s.T, "key")), Write: rapid.Bool().Draw(s.T, "write"),
-		ArrivedAt: s.now, Deadline: s.now + 900, Client: s.servers,
+		ArrivedAt: s.now, Deadline: s.now + 900, Client: s.dispatcher,
 	}
 	if x.Write {
 		x.Class = 1
@@ -109,19 +109,19 @@
 	s.table.Admit(s.now, x)
 }
 
-func (s *scenario) loseClient() {
+func (s *scenario) disconnectClient() {
 	if len(s.requests) > 0 {
 		x := rapid.SampledFrom(s.requests).Draw(s.T, "client")
-		s.gone[x] = true
+		s.disconnected[x] = true
 		s.table.ClientGone(s.now, x)
 	}
 }
 
-func (s *scenario) endAttempt() {
-	if len(s.servers.attempts) == 0 {
+func (s *scenario) completeAttempt() {
+	if len(s.dispatcher.attempts) == 0 {
 		return
 	}
-	a := rapid.SampledFrom(s.servers.attempts).Draw(s.T, "attempt")
+	a := rapid.SampledFrom(s.dispatcher.attempts).Draw(s.T, "attempt")
 	result := rapid.SampledFrom([]fleet.Result{
 		fleet.Completed, fleet.Failed, fleet.Declined, fleet.Missed, fleet.Reset, fleet.NotSent,
 	}).Draw(s.T, "result")
@@ -131,31 +131,31 @@
 	}
 }
 
-// expectWithdrawn expects every attempt that nobody waits for to be withdrawn.
-func (s *scenario) expectWithdrawn() {
-	for _, a := range s.servers.attempts {
-		if answered := s.servers.responses[a.exchange] > 0; (answered || s.gone[a.exchange]) && !a.ended && !a.cancelled {
+// checkUnneededCancelled checks that the pending attempts of answered requests and of disconnected clients are cancelled.
+func (s *scenario) checkUnneededCancelled() {
+	for _, a := range s.dispatcher.attempts {
+		if answered := s.dispatcher.responses[a.exchange] > 0; (answered || s.disconnected[a.exchange]) && !a.ended && !a.cancelled {
 			s.Fatalf("attempt %d of a request that nobody waits for (answered: %v) may still be sent", a.number, answered)
 		}
 	}
 }
 
-// step lets time pass, and something drawn happen.
+// step advances the time and runs a random event.
 func (s *scenario) step() {
 	s.now += rapid.Float64Range(0, 80).Draw(s.T, "ms")
-	s.runDue()
-	switch rapid.IntRange(0, 4).Draw(s.T, "what") {
+	s.decideDue()
+	switch rapid.IntRange(0, 4).Draw(s.T, "event") {
 	case 0, 1:
 		s.admit()
 	case 2:
-		s.loseClient()
+		s.disconnectClient()
 	default:
-		s.endAttempt()
+		s.completeAttempt()
 	}
 }
 
-// Whatever happens in whatever order, each request has one response and its slot is free again once no attempt is out, and what ends twice,
-// late, or for a request that is gone changes nothing.
+// In any sequence of events, each request gets one response, and is released when it has no attempt in flight. The end of an attempt whose
+// request is already closed or released changes nothing.
 func TestEachRequestIsAnsweredOnceAndReleased(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		s := newScenario(r)
@@ -163,41 +163,43 @@
 			s.step()
 		}
 		unanswered := s.table.HasUnanswered()
-		s.expectWithdrawn()
+		s.checkUnneededCancelled()
 		s.table.AbortAll(s.now, "the end")
-		s.expectWithdrawn()
+		s.checkUnneededCancelled()
 		if s.table.HasUnanswered() {
-			r.Fatal("a request has no response after all were aborted")
+			r.Fatal("a request has no response after AbortAll")
 		}
-		for _, a := range s.servers.attempts {
+		for _, a := range s.dispatcher.attempts {
 			if !a.ended {
 				s.table.AttemptDone(s.now, a.exchange, a.number, Completion{Result: fleet.TimedOut, Took: 900, Report: fleet.NewLoadReport()})
 			}
 		}
 		for i, x := range s.requests {
-			if n := s.servers.responses[x]; n > 1 || n == 0 && !s.gone[x] {
+			if n := s.dispatcher.responses[x]; n > 1 || n == 0 && !s.disconnected[x] {
 				r.Fatalf("request %d of %d has %d responses (unanswered before the abort: %v)", i, len(s.requests), n, unanswered)
 			}
 		}
-		if n := len(s.requests); s.table.Len() != 0 || s.servers.admitted != n || s.servers.released != n || s.servers.watches != 1 {
-			r.Fatalf("%d in flight, %d admitted, %d released of %d; %d watches", s.table.Len(), s.servers.admitted, s.servers.released, n, s.servers.watches)
+		if n := len(s.requests); s.table.Len() != 0 || s.dispatcher.admitted != n || s.dispatcher.released != n || s.dispatcher.watches != 1 {
+			r.Fatalf("%d in flight, %d admitted, %d released of %d; %d watches",
+				s.table.Len(), s.dispatcher.admitted, s.dispatcher.released, n, s.dispatcher.watches)
 		}
 	})
 }
 
-// A request whose handling fails is aborted and released, and one that is not in flight is left alone.
+// Fail aborts and releases a request. Calls for a request that is no longer in flight have no effect.
 func TestFailedRequestIsAborted(t *testing.T) {
-	servers := &fakeServers{responses: map[*exchange.Exchange]int{}}
-	table := New(Dispatcher[*attempt](servers))
-	table.Policy = decide.New(1000, limits(), &table.Slab)
-	x := &exchange.Exchange{Deadline: 1900, ArrivedAt: 1000, Client: servers}
+	dispatcher := &fakeDispatcher{responses: map[*exchange.Exchange]int{}}
+	table := New(Dispatcher[*attempt](dispatcher))
+	table.Policy = decide.New(1000, testLimits(), &table.Slab)
+	x := &exchange.Exchange{Deadline: 1900, ArrivedAt: 1000, Client: dispatcher}
 	table.Policy.UpdateEndpoints(1000, fleet.ListFull, []fleet.Endpoint{{ID: 0, Name: "s", State: fleet.Ready, NominalCapacity: 1}})
 	table.Admit(1000, x)
 	table.Fail(1001, x, "a fault")
 	table.Fail(1002, x, "another")
 	table.AttemptDone(1003, x, 0, Completion{Result: fleet.Completed, Report: fleet.NewLoadReport()})
 	response := x.Response()
-	if response == nil || response.Kind != exchange.Aborted || response.Reason != "a fault" || table.Len() != 0 || servers.responses[x] != 1 {
+	if response == nil || response.Kind != exchange.Aborted || response.Reason != "a fault" ||
+		table.Len() != 0 || dispatcher.responses[x] != 1 {
 		t.Errorf("%+v, %d in flight", response, table.Len())
 	}
 	if n := table.Counters.Responses; n[exchange.Aborted] != 1 {
