--- a/internal/node/requestclass/requestclass.go
+++ b/internal/node/requestclass/requestclass.go
@@ -1,7 +1,7 @@
-// Package requestclass numbers the request classes of a node over the changes of its settings.
+// Package requestclass assigns ids to the request classes of a node, across changes of its settings.
 //
-// A request keeps the class under which it arrived, and refers to it by an id. So an id means the same for as long as a request may hold
-// it, a class whose settings change has another id, and ids are reused so that a node that is reconfigured every day does not grow.
+// A request refers by id to the class under which it arrived. An id therefore keeps its meaning while any request may hold it, and a class
+// whose settings change gets another id. Ids are reused, so that the table does not grow with every change of the settings.
 //
 // The package does no I/O and reads no clock. Times of type float64 are ms on the caller's clock. One goroutine owns a table.
 package requestclass
@@ -13,22 +13,22 @@
 	"mintspring/internal/fleet"
 )
 
-// reuseDelay is how long an id is left alone after the class was replaced and its last request has ended, in ms: a request that is just
-// being read holds the id before it is counted. Reading takes far less than a millisecond.
+// reuseDelay is the time in ms for which an id is not reused after its class was replaced and its last request ended: a request that is
+// being read holds the id before Acquire counts it. Reading takes far less than a millisecond.
 const reuseDelay = 10_000.0
 
 type entry struct {
 	name        string
 	class       fleet.Class
-	current     bool    // it is a class of the present settings
-	inFlight    int     // requests
-	unusedSince float64 // when it had been replaced and had no request; of entries that are not current
+	current     bool    // it is a class of the current settings
+	inFlight    int     // requests in flight that hold the id
+	unusedSince float64 // if not current: when the class was replaced or its last request ended, whichever was later
 }
 
-// Table is the request classes by id.
+// Table holds the request classes by id.
 type Table struct{ entries []entry }
 
-// Update takes over the classes of new settings. Classes that have not changed keep their ids. On an error nothing has changed.
+// Update applies the classes of new settings. Unchanged classes keep their ids. If it returns an error, the table is unchanged.
 func (t *Table) Update(now float64, names []string, classes []fleet.Class) error {
 	for i, name := range names {
 		if slices.Contains(names[:i], name) {
@@ -38,10 +38,10 @@
 	ids := make([]int, len(names))
 	kept := make([]bool, len(t.entries))
 	for i, name := range names {
-		ids[i] = t.same(name, &classes[i])
+		ids[i] = t.findUnchanged(name, &classes[i])
 		if ids[i] >= 0 {
 			kept[ids[i]] = true
-			t.entries[ids[i]].current = true // before others look for an unused id
+			t.entries[ids[i]].current = true // so that allocID does not reuse the id
 		}
 	}
 	for i := range t.entries {
@@ -51,7 +51,7 @@
 	}
 	for i, id := range ids {
 		if id < 0 {
-			id = t.unusedID(now)
+			id = t.allocID(now)
 		}
 		e := &t.entries[id]
 		e.name, e.class, e.current = names[i], classes[i], true
@@ -59,13 +59,13 @@
 	return nil
 }
 
-// same returns the id of a class that has not changed, also of one that earlier settings had; -1 for none.
-func (t *Table) same(name string, class *fleet.Class) int {
+// findUnchanged returns the id under which the table has the same class, from the current or from earlier settings; -1 if there is none.
+func (t *Table) findUnchanged(name string, class *fleet.Class) int {
 	return slices.IndexFunc(t.entries, func(e entry) bool { return e.name == name && e.class == *class })
 }
 
-// unusedID returns an id that no request can hold, if need be a new one.
-func (t *Table) unusedID(now float64) int {
+// allocID returns an id that no request can hold. It adds a new one if none can be reused.
+func (t *Table) allocID(now float64) int {
 	id := slices.IndexFunc(t.entries, func(e entry) bool {
 		return !e.current && e.inFlight == 0 && now-e.unusedSince > reuseDelay
 	})
@@ -76,16 +76,16 @@
 	return id
 }
 
-// ID returns the id of a class of the present settings.
+// ID returns the id of a class of the current settings.
 func (t *Table) ID(name string) (fleet.ClassID, bool) {
 	id := slices.IndexFunc(t.entries, func(e entry) bool { return e.current && e.name == name })
 	return fleet.ClassID(id), id >= 0
 }
 
-// Acquire counts a request that holds an id.
+// Acquire counts a request that holds an id. The id is not reused before Release.
 func (t *Table) Acquire(id fleet.ClassID) { t.entries[id].inFlight++ }
 
-// Release ends what Acquire began.
+// Release stops counting a request that Acquire has counted.
 func (t *Table) Release(now float64, id fleet.ClassID) {
 	e := &t.entries[id]
 	e.inFlight--
@@ -94,7 +94,7 @@
 	}
 }
 
-// Classes returns the classes by id. Under an id that is not used now it has the last class of that id.
+// Classes returns the classes by id. For an id that is not in use it has the last class with that id.
 func (t *Table) Classes() []fleet.Class {
 	classes := make([]fleet.Class, len(t.entries))
 	for i := range t.entries {
--- a/internal/node/requestclass/requestclass_test.go
+++ b/internal/node/requestclass/requestclass_test.go
@@ -10,17 +10,17 @@
 
 var classNames = []string{"a", "b", "c", "d"}
 
-// tableModel is a table, with what its users expect of it. It is a state machine of rapid.
+// tableModel is a table together with its expected state. It is a rapid state machine.
 type tableModel struct {
 	table    Table
 	now      float64
 	inFlight []request
-	current  map[string]fleet.Class // of the last settings
+	current  map[string]fleet.Class // classes of the latest settings
 }
 
 type request struct {
 	id    fleet.ClassID
-	class fleet.Class // under which it arrived
+	class fleet.Class // class under which the request arrived
 }
 
 func (m *tableModel) Update(t *rapid.T) {
@@ -41,7 +41,7 @@
 
 func (m *tableModel) Acquire(*rapid.T) {
 	for _, name := range classNames {
-		if id, known := m.table.ID(name); known {
+		if id, found := m.table.ID(name); found {
 			m.table.Acquire(id)
 			m.inFlight = append(m.inFlight, request{id, m.current[name]})
 		}
@@ -52,7 +52,7 @@
 	if len(m.inFlight) == 0 {
 		return
 	}
-	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "which")
+	i := rapid.IntRange(0, len(m.inFlight)-1).Draw(t, "request")
 	m.table.Release(m.now, m.inFlight[i].id)
 	m.inFlight = append(m.inFlight[:i], m.inFlight[i+1:]...)
 }
@@ -67,15 +67,15 @@
 		}
 	}
 	for _, name := range classNames {
-		id, known := m.table.ID(name)
-		if class, want := m.current[name]; known != want || known && classes[id] != class {
-			t.Fatalf("%q is known: %v, want %v", name, known, want)
+		id, found := m.table.ID(name)
+		if class, want := m.current[name]; found != want || found && classes[id] != class {
+			t.Fatalf("%q is found: %v, want %v", name, found, want)
 		}
 	}
 }
 
-// Settings follow one another while requests are in flight: each request finds under its id the class under which it arrived, and names
-// lead to the classes of the last settings.
+// While the settings change, the id of each request in flight keeps the class under which the request arrived, and names refer to the
+// classes of the latest settings.
 func TestTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { t.Repeat(rapid.StateMachineActions(&tableModel{})) })
 }
@@ -92,9 +92,9 @@
 		t.Errorf("%d ids for two classes", n)
 	}
 	if err := table.Update(0, []string{"a", "b", "a"}, make([]fleet.Class, 3)); err == nil {
-		t.Error("one name twice is accepted")
+		t.Error("a duplicate name is accepted")
 	}
-	if _, known := table.ID("a"); known {
-		t.Error("settings that were refused are taken over in part")
+	if _, found := table.ID("a"); found {
+		t.Error("rejected settings are partly applied")
 	}
 }
--- a/internal/node/ringbuf/ring.go
+++ b/internal/node/ringbuf/ring.go
@@ -1,6 +1,6 @@
-// Package ringbuf has the ring buffer that each connection uses in each direction. A ring is small until it is used and
-// gives its memory back to a shared pool when its connection is idle, so that thousands of idle connections cost little while a few
-// busy ones carry large values.
+// Package ringbuf implements the ring buffer that each connection uses in each direction. A ring grows as needed and returns its memory to
+// a shared pool when its connection is idle, so that thousands of idle connections need little memory while a few busy ones carry large
+// values.
 package ringbuf
 
 import (
@@ -9,25 +9,25 @@
 	"sync"
 )
 
-// MaxSize is the largest size of a ring in bytes: one value of 64 KiB with what stands around it.
+// MaxSize is the largest size of a ring in bytes: enough for a value of 64 KiB with its protocol framing.
 const MaxSize = 72 << 10
 
-// ErrFull is returned where a ring would exceed MaxSize.
+// ErrFull is returned if a ring would exceed MaxSize.
 var ErrFull = errors.New("ring buffer is full")
 
-// classSizes are the sizes of buffers, in ascending order.
-var classSizes = [...]int{512, 2 << 10, 8 << 10, 24 << 10, MaxSize}
+// sizeClasses are the sizes of buffers in bytes, in ascending order.
+var sizeClasses = [...]int{512, 2 << 10, 8 << 10, 24 << 10, MaxSize}
 
-// classPools hold unused buffers by their size.
-var classPools [len(classSizes)]sync.Pool
+// bufferPools hold unused buffers by size class.
+var bufferPools [len(sizeClasses)]sync.Pool
 
-// getBuffer returns a buffer of the smallest class with at least so many bytes.
-func getBuffer(least int) []byte {
-	for i, size := range classSizes {
-		if size < least {
+// getBuffer returns a buffer of the smallest size class with at least minSize bytes.
+func getBuffer(minSize int) []byte {
+	for i, size := range sizeClasses {
+		if size < minSize {
 			continue
 		}
-		if b, ok := classPools[i].Get().(*[]byte); ok {
+		if b, ok := bufferPools[i].Get().(*[]byte); ok {
 			return *b
 		}
 		return make([]byte, size)
@@ -36,23 +36,24 @@
 }
 
 func putBuffer(b []byte) {
-	for i, size := range classSizes {
+	for i, size := range sizeClasses {
 		if len(b) == size {
-			classPools[i].Put(&b)
+			bufferPools[i].Put(&b)
 		}
 	}
 }
 
 // Ring is a ring buffer. The zero value is empty and holds no memory. It is not safe for concurrent use.
 type Ring struct {
-	buf         []byte
-	start, size int
+	buf   []byte
+	start int // index of the first unread byte
+	size  int // number of unread bytes
 }
 
 // Len returns the number of unread bytes.
 func (r *Ring) Len() int { return r.size }
 
-// Peek returns all unread bytes in one piece, valid until the ring is written to.
+// Peek returns all unread bytes in one slice, which is valid until the ring is written to or its memory is released.
 func (r *Ring) Peek() []byte {
 	if r.start+r.size > len(r.buf) {
 		r.realloc(len(r.buf))
@@ -60,7 +61,7 @@
 	return r.buf[r.start : r.start+r.size]
 }
 
-// Discard drops the first n unread bytes, or all if there are fewer.
+// Discard drops the first n unread bytes, or all of them if there are fewer.
 func (r *Ring) Discard(n int) {
 	n = min(n, r.size)
 	r.size -= n
@@ -71,7 +72,7 @@
 	r.start = (r.start + n) % len(r.buf)
 }
 
-// Writable returns n free bytes in one piece, to be written and then added with Commit. It fails with ErrFull.
+// Writable returns a slice of n free bytes. The caller writes to it and then calls Commit. The error is ErrFull if there is no room.
 func (r *Ring) Writable(n int) ([]byte, error) {
 	if r.size+n > MaxSize {
 		return nil, ErrFull
@@ -86,7 +87,7 @@
 	return r.buf[at : at+n : at+n], nil
 }
 
-// hasWritable reports whether n free bytes follow the unread ones in one piece.
+// hasWritable reports whether n contiguous free bytes follow the unread bytes.
 func (r *Ring) hasWritable(n int) bool {
 	end := r.start + r.size
 	if end < len(r.buf) {
@@ -95,11 +96,11 @@
 	return end-len(r.buf)+n <= r.start
 }
 
-// Commit adds n bytes that were written to what Writable returned.
+// Commit adds the first n bytes of the slice returned by Writable to the unread bytes.
 func (r *Ring) Commit(n int) { r.size += n }
 
-// ReadOnce reads once from src into the free space, and grows the ring if there is none. It fails with ErrFull, or with the
-// error of src.
+// ReadOnce calls src.Read once to fill free space, and grows the ring first if it is full. It returns ErrFull if the ring cannot grow, or
+// the error of src.
 func (r *Ring) ReadOnce(src io.Reader) (int, error) {
 	if r.size == len(r.buf) {
 		if r.size == MaxSize {
@@ -116,7 +117,7 @@
 	return n, err
 }
 
-// Grow has the ring hold at least n bytes, up to MaxSize, without growing again.
+// Grow ensures that the ring can hold at least n bytes without growing again. It has no effect if n exceeds MaxSize.
 func (r *Ring) Grow(n int) {
 	if len(r.buf) < n && n <= MaxSize {
 		r.realloc(n)
@@ -136,7 +137,7 @@
 	return written, nil
 }
 
-// ReleaseIfEmpty gives the memory back if there are no unread bytes.
+// ReleaseIfEmpty returns the ring's memory to the pool if there are no unread bytes.
 func (r *Ring) ReleaseIfEmpty() {
 	if r.size == 0 && r.buf != nil {
 		putBuffer(r.buf)
@@ -144,15 +145,15 @@
 	}
 }
 
-// Release drops all unread bytes and gives the memory back.
+// Release drops all unread bytes and returns the ring's memory to the pool.
 func (r *Ring) Release() {
 	r.size = 0
 	r.ReleaseIfEmpty()
 }
 
-// realloc moves the unread bytes to the beginning of a buffer of at least so many bytes.
-func (r *Ring) realloc(least int) {
-	b := getBuffer(least)
+// realloc moves the unread bytes to the beginning of a new buffer of at least minSize bytes.
+func (r *Ring) realloc(minSize int) {
+	b := getBuffer(minSize)
 	n := copy(b, r.buf[r.start:min(r.start+r.size, len(r.buf))])
 	copy(b[n:], r.buf[:r.size-n])
 	if r.buf != nil {
--- a/internal/node/ringbuf/ring_test.go
+++ b/internal/node/ringbuf/ring_test.go
@@ -7,14 +7,14 @@
 	"pgregory.net/rapid"
 )
 
-// ringModel is a ring with the slice that it is to hold.
+// ringModel is a ring together with the unread bytes that it is expected to hold.
 type ringModel struct {
-	ring  Ring
-	slice []byte
-	next  byte // of the bytes that are written
+	ring Ring
+	want []byte
+	next byte // next byte to write
 }
 
-// A ring holds what a slice would, however it wraps, grows and gives its memory back.
+// In any sequence of operations, a ring holds the same unread bytes as a slice.
 func TestRingAgainstSlice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var m ringModel
@@ -25,23 +25,23 @@
 			case 1:
 				m.read(t)
 			case 2:
-				n := rapid.IntRange(0, len(m.slice)).Draw(t, "discard")
+				n := rapid.IntRange(0, len(m.want)).Draw(t, "discard")
 				m.ring.Discard(n)
-				m.slice = m.slice[n:]
+				m.want = m.want[n:]
 			case 3:
 				m.flush(t)
 			case 4:
 				m.ring.ReleaseIfEmpty()
 			}
-			if m.ring.Len() != len(m.slice) || !bytes.Equal(m.ring.Peek(), m.slice) {
-				t.Fatalf("holds %d bytes, want %d", m.ring.Len(), len(m.slice))
+			if m.ring.Len() != len(m.want) || !bytes.Equal(m.ring.Peek(), m.want) {
+				t.Fatalf("holds %d bytes, want %d", m.ring.Len(), len(m.want))
 			}
 		}
 	})
 }
 
-// fresh returns the next bytes to be written.
-func (m *ringModel) fresh(n int) []byte {
+// nextBytes returns the next n bytes to write.
+func (m *ringModel) nextBytes(n int) []byte {
 	b := make([]byte, n)
 	for i := range b {
 		b[i], m.next = m.next, m.next+1
@@ -49,52 +49,52 @@
 	return b
 }
 
-// write writes into the ring's memory.
+// write writes to the ring with Writable and Commit.
 func (m *ringModel) write(t *rapid.T) {
 	n := rapid.IntRange(1, 9000).Draw(t, "writable")
 	b, err := m.ring.Writable(n)
-	if (err != nil) != (len(m.slice)+n > MaxSize) {
-		t.Fatalf("writable %d after %d: %v", n, len(m.slice), err)
+	if (err != nil) != (len(m.want)+n > MaxSize) {
+		t.Fatalf("Writable(%d) with %d unread bytes: %v", n, len(m.want), err)
 	}
 	if err != nil {
 		return
 	}
-	copy(b, m.fresh(n))
+	copy(b, m.nextBytes(n))
 	m.ring.Commit(n)
-	m.slice = append(m.slice, b...)
+	m.want = append(m.want, b...)
 }
 
-// read has the ring read from a reader.
+// read fills the ring with ReadOnce.
 func (m *ringModel) read(t *rapid.T) {
-	src := m.fresh(rapid.IntRange(1, 3000).Draw(t, "read"))
+	src := m.nextBytes(rapid.IntRange(1, 3000).Draw(t, "read"))
 	n, err := m.ring.ReadOnce(bytes.NewReader(src))
-	if err != nil && len(m.slice) < MaxSize {
+	if err != nil && len(m.want) < MaxSize {
 		t.Fatal(err)
 	}
-	m.slice = append(m.slice, src[:n]...)
+	m.want = append(m.want, src[:n]...)
 	m.next -= byte(len(src) - n)
 }
 
-// flush has the ring write all it holds to a writer.
+// flush writes all unread bytes to a writer with FlushTo.
 func (m *ringModel) flush(t *rapid.T) {
 	var out bytes.Buffer
-	if n, err := m.ring.FlushTo(&out); err != nil || n != len(m.slice) || !bytes.Equal(out.Bytes(), m.slice) {
-		t.Fatalf("flushed %d of %d, %v", n, len(m.slice), err)
+	if n, err := m.ring.FlushTo(&out); err != nil || n != len(m.want) || !bytes.Equal(out.Bytes(), m.want) {
+		t.Fatalf("flushed %d of %d, %v", n, len(m.want), err)
 	}
-	m.slice = nil
+	m.want = nil
 }
 
-// An empty ring gives its memory back, and keeps unread bytes.
+// ReleaseIfEmpty releases the memory of an empty ring, and keeps that of a ring with unread bytes.
 func TestReleaseIfEmpty(t *testing.T) {
 	var r Ring
 	b, _ := r.Writable(60000)
 	r.Commit(len(b))
 	r.ReleaseIfEmpty()
 	if r.buf == nil {
-		t.Fatal("released unread bytes")
+		t.Fatal("a ring with unread bytes was released")
 	}
 	r.Discard(60000)
 	if r.ReleaseIfEmpty(); r.buf != nil {
-		t.Fatal("an empty ring holds memory")
+		t.Fatal("an empty ring was not released")
 	}
 }
