--- a/internal/node/connpool/pool.go
+++ b/internal/node/connpool/pool.go
@@ -16,7 +16,7 @@
 
 	addr        string
 	available   bool // attempts may be sent to the server
-	coolingDown []C  // unused, and not to be reused before ReadyAt; in ascending order of ReadyAt
+	coolingDown []C  // unused, and not to be reused before ReadyAt; by ascending ReadyAt, unless the cooldown was lowered meanwhile
 	idle        []C  // unused and ready; the most recently used or opened last
 	inUse       []C  // with an attempt in flight; unordered
 	waiters     []A  // in order of arrival
@@ -58,13 +58,14 @@
 
 func (p *Pool[C, A]) openConns() int { return p.unusedCount() + len(p.inUse) }
 
-// Acquire closes connections that have exceeded the idle timeout and then admits an attempt like Enqueue.
+// Acquire closes connections that have exceeded the idle timeout, and then calls Enqueue.
 func (p *Pool[C, A]) Acquire(now float64, attempt A) Admission {
 	p.reapStale(now)
 	return p.Enqueue(now, attempt)
 }
 
-// Enqueue admits an attempt, which is assigned a connection at once or later.
+// Enqueue admits an attempt unless the server is unavailable or too many attempts wait. An admitted attempt is assigned a connection at
+// once or later.
 func (p *Pool[C, A]) Enqueue(now float64, attempt A) Admission {
 	switch {
 	case !p.available:
--- a/internal/node/connpool/pool_test.go
+++ b/internal/node/connpool/pool_test.go
@@ -49,7 +49,7 @@
 		o.t.Fatal("an attempt was assigned a connection to an unavailable server or to an earlier address")
 	}
 	if c.Responded && o.now-c.IdleSince < o.pool.Policy.safeIdle() {
-		for _, other := range o.pool.idle { // without c
+		for _, other := range o.pool.idle { // no longer contains c
 			if !other.Responded || o.now-other.IdleSince >= o.pool.Policy.safeIdle() || other.IdleSince < c.IdleSince {
 				o.t.Fatal("a connection on which a duplicate may still arrive was used although another one is safe or idle longer")
 			}
--- a/internal/node/connpool/unused.go
+++ b/internal/node/connpool/unused.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// closeNextReady closes the cooling connection that would become ready first.
+// closeNextReady closes the first of the cooling connections, which would usually become ready first.
 func (p *Pool[C, A]) closeNextReady() {
 	p.CloseConn(p.coolingDown[0])
 	p.coolingDown = slices.Delete(p.coolingDown, 0, 1)
