--- a/internal/node/clients/request.go
+++ b/internal/node/clients/request.go
@@ -61,7 +61,7 @@
 	}
 	request := &exchange.Exchange{
 		Command: copied.add(args[0]), Key: copied.add(args[1]), ID: copied.add(args[2]), Extra: copied.add(args[3]),
-		Write: write, Arrived: arrivedAt,
+		Write: write, ArrivedAt: arrivedAt,
 	}
 	if write {
 		request.Value = copied.add(args[4])
@@ -123,7 +123,7 @@
 		return errNoIdempotencyKey // without the key a server would execute a repeated write again
 	}
 	request.Class = extra.class.ID
-	request.Deadline = c.Deadline(&extra.class.Class, request.Arrived, extra.clientLimit)
+	request.Deadline = c.Deadline(&extra.class.Class, request.ArrivedAt, extra.clientLimit)
 	return nil
 }
 
@@ -150,7 +150,7 @@
 			request.Work = microseconds / 1000
 		}
 	case "size":
-		request.Size, _ = parseNumber(value)
+		request.ValueSize, _ = parseNumber(value)
 	}
 	return nil
 }
--- a/internal/node/clients/upload.go
+++ b/internal/node/clients/upload.go
@@ -111,7 +111,7 @@
 		return r.discardCommand(size), true
 	}
 	request.Value, request.Body = nil, exchange.NewBody(int64(length))
-	request.Timeout = request.Deadline - request.Arrived
+	request.Timeout = request.Deadline - request.ArrivedAt
 	request.Deadline += float64(maxUploadTime / time.Millisecond)
 	if !c.submit(request, nil) {
 		return r.discardCommand(size), true
@@ -140,7 +140,7 @@
 			bodyLength, remaining = bodyLength-n, remaining-n
 			continue
 		}
-		r.in.Grow(exchange.StreamWindow)
+		r.in.Grow(exchange.StreamBufferSize)
 		if _, err := c.readUpload(deadline, func() (int, error) { return r.in.ReadOnce(c.net) }); err != nil {
 			request.Body.CloseWriter(errTruncatedBody) // an attempt of the request may wait for the rest, and the reply for the attempt
 			c.uploadFailed(err)
--- a/internal/node/clients/upload_test.go
+++ b/internal/node/clients/upload_test.go
@@ -144,7 +144,7 @@
 		c := h.dial()
 		go c.sendChunks(chunkSize, text)
 		x := h.nextRequest()
-		if x.Body == nil || x.Body.Size != int64(len(value)) || x.Timeout < 300 || x.Deadline-x.Arrived < 20_000 || x.Body.Consumed() {
+		if x.Body == nil || x.Body.Size != int64(len(value)) || x.Timeout < 300 || x.Deadline-x.ArrivedAt < 20_000 || x.Body.Consumed() {
 			t.Fatalf("chunks of %d: %+v", chunkSize, x)
 		}
 		b := make([]byte, len(value))
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -209,7 +209,9 @@
 		TakenAt: now, PolicyFingerprint: k.snapshots.trust.PolicyFingerprint, Node: "n0", Zone: k.snapshots.trust.Zone,
 		Servers: []snapshot.Server{
 			{Name: "s0", ServerSnapshot: fleet.ServerSnapshot{ResponseTime: 700, TimePerQueued: 700, QueuePeak: 1, LastResponseAt: now}},
-			{Name: "s1"}, {Name: "s2"}, {Name: "o"},
+			{Name: "s1"},
+			{Name: "s2"},
+			{Name: "o"},
 		},
 	}})
 	if with := took(); own == 0 || with < own+100 {
--- a/internal/node/upstream/attempt_test.go
+++ b/internal/node/upstream/attempt_test.go
@@ -90,8 +90,8 @@
 		exchange.NotConnected, exchange.PartiallyWritten, exchange.FullyWritten, exchange.ResponseStarted,
 	} {
 		failure := exchange.AttemptError{Progress: progress, Result: fleet.Reset, Cause: errTimeout}
-		if want := progress < exchange.FullyWritten; failure.NeverRan() != want || failure.Outcome().NotExecuted() != want {
-			t.Errorf("%v: NeverRan returned %v", progress, failure.NeverRan())
+		if want := progress < exchange.FullyWritten; failure.NotExecuted() != want || failure.Outcome().NotExecuted() != want {
+			t.Errorf("%v: NeverRan returned %v", progress, failure.NotExecuted())
 		}
 		if !strings.HasPrefix(failure.Error(), progress.String()) || !errors.Is(&failure, errTimeout) {
 			t.Errorf("error %q", failure.Error())
--- a/internal/node/upstream/conn.go
+++ b/internal/node/upstream/conn.go
@@ -61,7 +61,7 @@
 	e := c.endpoint
 	e.pool.RemoveUnused(c)
 	a := c.current
-	if c.Used && a != nil && a.progress == exchange.NotConnected {
+	if c.Responded && a != nil && a.progress == exchange.NotConnected {
 		e.requeue(c) // the server closed the idle connection before the attempt was sent
 		e.mu.Unlock()
 		return
@@ -101,10 +101,10 @@
 // without closing it. If so, it also closes the other connections that have been idle for as long, on which the next attempts
 // would fail in the same way. Called with the mutex held.
 func (e *Endpoint) handleStale(c *conn, a *Attempt) bool {
-	if a.progress == exchange.ResponseStarted || c.IdleBefore < e.group.ConnectTimeout/staleIdleDivisor {
+	if a.progress == exchange.ResponseStarted || c.IdleDuration < e.group.ConnectTimeout/staleIdleDivisor {
 		return false
 	}
-	e.pool.CloseIdleBefore(e.group.Clock.Now() - c.IdleBefore)
+	e.pool.CloseIdleBefore(e.group.Clock.Now() - c.IdleDuration)
 	return true
 }
 
--- a/internal/node/upstream/endpoint.go
+++ b/internal/node/upstream/endpoint.go
@@ -148,13 +148,13 @@
 func (e *Endpoint) ReportedDuplicates() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failOnSuspectedConns(e.pool.ReportedDuplicates())
+	e.failOnSuspectedConns(e.pool.DuplicatesReported())
 }
 
 // recordUnsolicited records that bytes arrived on a connection without a request. Called with the mutex held.
 func (e *Endpoint) recordUnsolicited(now float64, c *conn) {
 	wasSuspected := e.pool.Policy.Suspected()
-	e.failOnSuspectedConns(e.pool.Unsolicited(now, c))
+	e.failOnSuspectedConns(e.pool.ReceivedUnsolicited(now, c))
 	if e.group.OnDuplicates != nil && !wasSuspected && e.pool.Policy.Suspected() {
 		go e.group.OnDuplicates(e)
 	}
--- a/internal/node/upstream/reader.go
+++ b/internal/node/upstream/reader.go
@@ -53,7 +53,7 @@
 		e.mu.Unlock()
 		e.fail(a, fleet.Declined, errEarlyResponse) // regardless of its content: without its last byte the request was not executed
 		return false
-	case c.Used && a.progress < exchange.FullyWritten:
+	case c.Responded && a.progress < exchange.FullyWritten:
 		e.recordUnsolicited(at, c)
 		e.requeue(c) // the bytes arrived before the attempt was sent, so they are not its response
 		e.mu.Unlock()
--- a/internal/node/upstream/writer.go
+++ b/internal/node/upstream/writer.go
@@ -71,7 +71,7 @@
 	// On an idle connection, either the server's close or unsolicited bytes may have arrived. A request written now would be lost with
 	// the connection, or those bytes would be read as its response.
 	unsolicited, closed := false, false
-	if c.Used {
+	if c.Responded {
 		unsolicited, closed = sockstate.Peek(c.net)
 	}
 	e := c.endpoint
@@ -147,7 +147,7 @@
 // piece.
 func (c *conn) writeBody(a *Attempt) error {
 	body := a.Request.Body
-	piece := make([]byte, exchange.StreamWindow)
+	piece := make([]byte, exchange.StreamBufferSize)
 	for remaining := body.Size; remaining > 0; {
 		n, err := body.Read(piece)
 		if err != nil {
