--- a/internal/controlplane/controller/endpoints.go
+++ b/internal/controlplane/controller/endpoints.go
@@ -29,7 +29,7 @@
 	if update.Complete {
 		mode = fleet.ListFull
 	}
-	confirmedAt := serverstart.Never()
+	confirmedAt := serverstart.NeverConfirmed()
 	if update.ConfirmedAgo >= 0 {
 		confirmedAt = now - float64(update.ConfirmedAgo)/float64(time.Millisecond)
 	}
@@ -78,7 +78,7 @@
 	}
 	previous := c.slots[id].entry
 	c.slots[id].entry = entry
-	endpoint := entry.Member(id, &c.config.Deployment)
+	endpoint := entry.Endpoint(id, &c.config.Deployment)
 	endpoint.StartedAt = c.starts.Observe(now, entry.ID, entry.UpSince, confirmedAt)
 	c.slots[id].startedMs = endpoint.StartedAt
 	// The same ID at another address, or of a process that has started since, is another server to whoever holds connections.
--- a/internal/node/clients/closing_test.go
+++ b/internal/node/clients/closing_test.go
@@ -43,7 +43,7 @@
 func TestStandbyAndBack(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := &lifecycle.State{}
-		state.MarkListed()
+		state.MarkEndpointsKnown()
 		h := newPipeHarness(t, state)
 		serve := func(c *client, id string) {
 			t.Helper()
@@ -133,7 +133,7 @@
 // connections.
 func TestRequestsCrossingClose(t *testing.T) {
 	for range 150 {
-		h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
+		h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkEndpointsKnown() })
 		arrived := h.answerAll()
 		clients := []*client{h.dial(), h.dial(), h.dial(), h.dial()}
 		for i, c := range clients {
@@ -168,7 +168,7 @@
 // A client that always has commands in flight would be served forever. Near the end of a shutdown, commands that were read are answered,
 // later ones are rejected without being handled, and the connection ends in order.
 func TestPipelineEndsAtShutdown(t *testing.T) {
-	h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
+	h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkEndpointsKnown() })
 	arrived := h.answerAll()
 	c := h.dial()
 	sent := make(chan int, 1)
@@ -220,7 +220,7 @@
 // At shutdown, the server waits for the rest of a command that has begun, replies to it, and then closes the connection.
 func TestPartialCommandAtShutdown(t *testing.T) {
 	for _, finishing := range []bool{false, true} {
-		h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
+		h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkEndpointsKnown() })
 		h.answerAll()
 		c := h.dial()
 		text := command("KV.GET", "k", "1", "c=read,d=400")
@@ -263,7 +263,7 @@
 
 // A connection with an unread request is not closed as idle at shutdown: the request is served first.
 func TestUnreadRequestPreventsDrain(t *testing.T) {
-	h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkListed() })
+	h := newHarness(t, func(s *Server) { s.Lifecycle = &lifecycle.State{}; s.Lifecycle.MarkEndpointsKnown() })
 	c, _ := unreadConn(h)
 	h.server.Lifecycle.FinishStop()
 	if c.tryDrain() || c.state.phase != phaseOpen {
--- a/internal/node/clients/eviction_test.go
+++ b/internal/node/clients/eviction_test.go
@@ -79,7 +79,7 @@
 func TestSingleUseConnectionsAreEvicted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := &lifecycle.State{}
-		state.MarkListed()
+		state.MarkEndpointsKnown()
 		h := newPipeHarness(t, state)
 		h.server.Sockets = fdlimit.New(120, 0)
 		waiting := h.dial()
--- a/internal/node/clients/harness_test.go
+++ b/internal/node/clients/harness_test.go
@@ -51,7 +51,7 @@
 		bodies: make(chan *exchange.Exchange, 1000),
 	}
 	state := &lifecycle.State{}
-	state.MarkListed()
+	state.MarkEndpointsKnown()
 	s := &Server{
 		Handler: handler, Lifecycle: state, Clock: clock.New(), Sockets: fdlimit.New(1000, 0), CommandTimeout: 1000,
 		OnPanic: func(p any) { t.Errorf("panic: %v", p) }, LogError: func(string, error) {},
--- a/internal/node/clients/limits_test.go
+++ b/internal/node/clients/limits_test.go
@@ -131,7 +131,7 @@
 func TestBufferedBytesAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := &lifecycle.State{}
-		state.MarkListed()
+		state.MarkEndpointsKnown()
 		h := newPipeHarness(t, state)
 		h.server.MaxBuffered, h.server.Config().RetryAfter = 1500, 70
 		c := h.dial()
@@ -197,7 +197,7 @@
 func TestSlowCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := &lifecycle.State{}
-		state.MarkListed()
+		state.MarkEndpointsKnown()
 		h := newPipeHarness(t, state)
 		h.server.CommandTimeout = 2500
 		text := command("KV.GET", "k", "1", testExtra)
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -111,7 +111,7 @@
 // exclusionChanged gives the policy a server whose exclusion has changed.
 func (n *Node) exclusionChanged(now float64, serverID string) {
 	n.log.WithField("server", serverID).WithField("excluded", strings.Join(n.exclusions.ExcludedIDs(), ",")).Info("maintenance exclusions changed")
-	if id, listed := n.serverTable.IDs[serverID]; listed {
+	if id, listed := n.serverTable.SlotByID[serverID]; listed {
 		n.inflight.Policy.UpdateEndpoints(now, fleet.ListLocal, []fleet.Endpoint{n.effectiveEndpoint(now, id)})
 	}
 }
--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -64,7 +64,7 @@
 	}
 	// It is warming up from the command on, though the list names no new start.
 	tc.onLoop(func(now float64) {
-		if m := tc.node.effectiveEndpoint(now, tc.node.serverTable.IDs["s0"]); m.State != fleet.Ready || now-m.StartedAt > 10000 {
+		if m := tc.node.effectiveEndpoint(now, tc.node.serverTable.SlotByID["s0"]); m.State != fleet.Ready || now-m.StartedAt > 10000 {
 			t.Errorf("it is %+v", m)
 		}
 	})
@@ -78,7 +78,7 @@
 	}
 	tc.onLoop(func(now float64) {
 		n := tc.node
-		s0, err := json.Marshal(n.servers[n.serverTable.IDs["s0"]].entry)
+		s0, err := json.Marshal(n.servers[n.serverTable.SlotByID["s0"]].entry)
 		if err != nil {
 			t.Error(err)
 			return
@@ -88,11 +88,11 @@
 			later := now + float64(i+1)*(n.serverTable.Retention+1000)
 			listChanged{mode: fleet.ListDelta, entries: []json.RawMessage{json.RawMessage(entry(fmt.Sprint("n", i), tc.cacheAddrs[1], "box"))}}.handle(n, later)
 		}
-		if _, known := n.serverTable.IDs["s0"]; known {
+		if _, known := n.serverTable.SlotByID["s0"]; known {
 			t.Error("its slot was not used again")
 		}
 		listChanged{mode: fleet.ListDelta, entries: []json.RawMessage{s0}}.handle(n, now+1e6)
-		if state := n.serverTable.State(n.serverTable.IDs["s0"]); state != fleet.Draining {
+		if state := n.serverTable.State(n.serverTable.SlotByID["s0"]); state != fleet.Draining {
 			t.Errorf("back on the list it is in state %v", state)
 		}
 	})
--- a/internal/node/discovery/entry.go
+++ b/internal/node/discovery/entry.go
@@ -31,9 +31,9 @@
 	UpSince  float64 `json:"up_since_ms"` // Unix ms
 }
 
-// Member returns the entry as the decision module takes it. An endpoint without an address, or in a phase that is not
+// Endpoint returns the entry as the decision module takes it. An endpoint without an address, or in a phase that is not
 // known, is draining.
-func (e *Entry) Member(id fleet.ServerID, deployment *settings.Deployment) fleet.Endpoint {
+func (e *Entry) Endpoint(id fleet.ServerID, deployment *settings.Deployment) fleet.Endpoint {
 	m := fleet.Endpoint{
 		ID:              id,
 		Name:            e.ID,
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -46,7 +46,7 @@
 	if n.snapshots != nil && e.mode != fleet.ListCached {
 		n.snapshots.listReceived(now)
 	}
-	if n.hasReadyServer() && n.life.MarkListed() {
+	if n.hasReadyServer() && n.life.MarkEndpointsKnown() {
 		n.log.WithField("servers", len(endpoints)).Info("serving")
 	}
 }
@@ -75,7 +75,7 @@
 // that knew another one at its start brings starts since then, at any time: one so long ago that its server would be warm is not
 // believed, for the clocks may be apart.
 func (n *Node) startsConfirmedAt(now float64, e listChanged) float64 {
-	if e.mode == fleet.ListFull && e.confirmedAt == serverstart.Never() && len(n.servers) > 0 {
+	if e.mode == fleet.ListFull && e.confirmedAt == serverstart.NeverConfirmed() && len(n.servers) > 0 {
 		return now - n.deployment.Limits.WarmUpTime
 	}
 	return e.confirmedAt
@@ -101,7 +101,7 @@
 // addServer makes the connections to a new server. Its slot is a new one, or that of a server that is long gone, named replaced.
 func (n *Node) addServer(id fleet.ServerID, entry *discovery.Entry, replaced string) {
 	if replaced != "" {
-		n.exclusions.Forget(replaced)
+		n.exclusions.ForgetReadmission(replaced)
 		n.serverStarts.Forget(replaced)
 		n.servers[id].endpoint.Remove()
 	} else {
@@ -125,7 +125,7 @@
 // the rolling maintenance have excluded. It applies the state to the server's connections.
 func (n *Node) effectiveEndpoint(now float64, id fleet.ServerID) fleet.Endpoint {
 	s := n.servers[id]
-	endpoint := s.entry.Member(id, &n.deployment)
+	endpoint := s.entry.Endpoint(id, &n.deployment)
 	endpoint.StartedAt = n.exclusions.StartedAt(s.entry.ID, s.started)
 	if s.entry.Flavor != discovery.OriginFlavor {
 		endpoint.State = n.exclusions.EffectiveState(s.entry.ID, endpoint.State)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -98,14 +98,14 @@
 		}
 		now += n.serverTable.Retention / 4
 	}
-	if slots := len(n.servers); slots > 16 || len(n.serverTable.IDs) > slots {
-		t.Errorf("%d slots, %d ids", slots, len(n.serverTable.IDs))
+	if slots := len(n.servers); slots > 16 || len(n.serverTable.SlotByID) > slots {
+		t.Errorf("%d slots, %d ids", slots, len(n.serverTable.SlotByID))
 	}
-	id := n.serverTable.IDs["s299"]
+	id := n.serverTable.SlotByID["s299"]
 	update(fleet.ListDelta, `{"id":"s299","phase":"terminated"}`)
 	update(fleet.ListDelta, entry("s299", "127.0.0.1:1002", "box"))
-	if n.serverTable.IDs["s299"] != id || n.serverTable.State(id) != fleet.Ready || n.servers[id].entry.HostPort != "127.0.0.1:1002" {
-		t.Errorf("the server that came back is %+v", n.servers[n.serverTable.IDs["s299"]])
+	if n.serverTable.SlotByID["s299"] != id || n.serverTable.State(id) != fleet.Ready || n.servers[id].entry.HostPort != "127.0.0.1:1002" {
+		t.Errorf("the server that came back is %+v", n.servers[n.serverTable.SlotByID["s299"]])
 	}
 }
 
--- a/internal/node/exclusion/exclusion.go
+++ b/internal/node/exclusion/exclusion.go
@@ -126,8 +126,8 @@
 	return listed
 }
 
-// Forget drops when a server that has left the list was readmitted. That a server is excluded is not forgotten.
-func (s *Set) Forget(id string) { delete(s.readmitted, id) }
+// ForgetReadmission drops when a server that has left the list was readmitted. That a server is excluded is not forgotten.
+func (s *Set) ForgetReadmission(id string) { delete(s.readmitted, id) }
 
 // State is the stored form of a set, and the form in which a process hands it over to its successor.
 type State struct {
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -110,13 +110,13 @@
 	if successor.restoredAt != goldenNow+10 {
 		t.Errorf("restored the snapshot of %v", successor.restoredAt)
 	}
-	if e := successor.servers[successor.serverTable.IDs["s1"]].entry; e != (discovery.Entry{
+	if e := successor.servers[successor.serverTable.SlotByID["s1"]].entry; e != (discovery.Entry{
 		ID: "s1", HostPort: "127.0.0.1:7001", Locality: "a", Flavor: "box", Cell: 3,
 		Phase: "in_service", Size: 2.5, UpSince: 1600000000000,
 	}) {
 		t.Errorf("%+v", e)
 	}
-	if at := successor.servers[successor.serverTable.IDs["s1"]].started; at != 1600000000000 {
+	if at := successor.servers[successor.serverTable.SlotByID["s1"]].started; at != 1600000000000 {
 		t.Errorf("s1 has started at %v", at)
 	}
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -263,8 +263,8 @@
 	}
 }
 
-// PeerDescriptors takes the number of descriptors that the other process holds. A predecessor that no longer serves needs no more.
-func (n *Node) PeerDescriptors(held int) {
+// PeerDescriptorsReported takes the number of descriptors that the other process holds. A predecessor that no longer serves needs no more.
+func (n *Node) PeerDescriptorsReported(held int) {
 	if channel, phase := n.handover.other(); phase == takenOver {
 		n.lendDescriptors(channel, held+descriptorSlack)
 	}
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -72,13 +72,13 @@
 	n, c := tc.node, new(hotrestart.Channel)
 	n.handover.set(c, takenOver)
 	all := n.descriptors.Limit()
-	n.PeerDescriptors(all)
+	n.PeerDescriptorsReported(all)
 	if n.descriptors.Acquire(fdlimit.Server) {
 		t.Fatal("all descriptors are lent, and one more is acquired")
 	}
 	n.PeerLost(nil)
 	n.lendDescriptors(c, all) // by a goroutine that saw the channel before it was lost
-	n.PeerDescriptors(all)
+	n.PeerDescriptorsReported(all)
 	if !n.descriptors.Acquire(fdlimit.Server) {
 		t.Error("descriptors stay lent to a lost process")
 	}
--- a/internal/node/hotrestart/channel.go
+++ b/internal/node/hotrestart/channel.go
@@ -161,7 +161,7 @@
 		if len(body) != 4 {
 			return fmt.Errorf("%w: a descriptor count of %d bytes", errMalformed, len(body))
 		}
-		c.handler.PeerDescriptors(int(binary.BigEndian.Uint32(body)))
+		c.handler.PeerDescriptorsReported(int(binary.BigEndian.Uint32(body)))
 	case kindClient:
 		conn, err := r.nextClient()
 		if err != nil {
--- a/internal/node/hotrestart/golden_test.go
+++ b/internal/node/hotrestart/golden_test.go
@@ -26,7 +26,7 @@
 			Excluded: map[string]float64{"box-0": 1000.5}, Readmitted: map[string]exclusion.Interval{"box-1": {From: 1, To: 2}},
 			Seen: []exclusion.IDHash{7, 0xffffffffffffffff},
 		},
-		Snapshot: []byte("mslt\x00\xff"), ColdWorkRate: 0.125, StandbySince: 1764650000123.5, Descriptors: 17,
+		Snapshot: []byte("mslt\x00\xff"), CacheLoad: 0.125, StandbySince: 1764650000123.5, Descriptors: 17,
 	}
 }
 
--- a/internal/node/hotrestart/helpers_test.go
+++ b/internal/node/hotrestart/helpers_test.go
@@ -39,8 +39,8 @@
 func (h *recordingHandler) SuccessorReady()        { h.events <- "ready" }
 func (h *recordingHandler) ApplyCommand(c Command) { h.events <- c.Name + " " + c.ServerID }
 
-func (h *recordingHandler) PeerDescriptors(n int) { h.events <- fmt.Sprint("descriptors ", n) }
-func (h *recordingHandler) PeerLost(err error)    { h.lost <- err }
+func (h *recordingHandler) PeerDescriptorsReported(n int) { h.events <- fmt.Sprint("descriptors ", n) }
+func (h *recordingHandler) PeerLost(err error)            { h.lost <- err }
 
 func (h *recordingHandler) AdoptClient(conn net.Conn, hasSent bool) {
 	h.clients <- conn
--- a/internal/node/hotrestart/protocol.go
+++ b/internal/node/hotrestart/protocol.go
@@ -66,7 +66,7 @@
 	Endpoints     discovery.Update `json:"List"`      // the complete endpoint list
 	Exclusions    exclusion.State  `json:"Roll"`      // with the ids once listed
 	Snapshot      []byte           `json:"Learnt"`    // in the form of package snapshot
-	ColdWorkRate  float64          `json:"ColdRate"`  // work sent to all cache servers, per ms; the limit for warming servers follows from it
+	CacheLoad     float64          `json:"ColdRate"`  // work sent to all cache servers, per ms; the limit for warming servers follows from it
 	StandbySince  float64          `json:"Standby"`   // Unix ms; 0: the node is not on standby
 	Descriptors   int              `json:"Held"`      // how many the predecessor holds
 
@@ -104,8 +104,8 @@
 	SuccessorReady()
 	// ApplyCommand carries out a command of the other process, and returns when it is in force.
 	ApplyCommand(c Command)
-	// PeerDescriptors takes how many descriptors the other process holds.
-	PeerDescriptors(n int)
+	// PeerDescriptorsReported takes how many descriptors the other process holds.
+	PeerDescriptorsReported(n int)
 	// AdoptClient is called in the successor, which serves the connection from now on. hasSent says whether the client
 	// has sent requests on it.
 	AdoptClient(conn net.Conn, hasSent bool)
--- a/internal/node/lifecycle/lifecycle.go
+++ b/internal/node/lifecycle/lifecycle.go
@@ -72,8 +72,8 @@
 	hasSuccessor   bool // another process serves in the node's place
 }
 
-// MarkListed records that there is an endpoint list with servers in it. It reports whether this is the first one.
-func (s *State) MarkListed() (first bool) {
+// MarkEndpointsKnown records that there is an endpoint list with servers in it. It reports whether this is the first one.
+func (s *State) MarkEndpointsKnown() (first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	first, s.hasEndpoints = !s.hasEndpoints, true
--- a/internal/node/lifecycle/lifecycle_test.go
+++ b/internal/node/lifecycle/lifecycle_test.go
@@ -22,7 +22,7 @@
 		var s State
 		m := model{now: 1000, standbySince: -1}
 		t.Repeat(map[string]func(*rapid.T){
-			"listed": func(*rapid.T) { m.listed = true; s.MarkListed() },
+			"listed": func(*rapid.T) { m.listed = true; s.MarkEndpointsKnown() },
 			"standby": func(*rapid.T) {
 				if s.EnterStandby(m.now); !m.onStandby() {
 					m.standbySince = m.now
@@ -89,7 +89,7 @@
 		{func() {}, Starting},
 		{func() { s.EnterStandby(1) }, Standby},
 		{func() { s.LeaveStandby() }, Starting},
-		{func() { s.MarkListed() }, Ready},
+		{func() { s.MarkEndpointsKnown() }, Ready},
 		{func() { s.EnterStandby(2) }, Standby},
 		{func() { s.BeginStop() }, Stopping},
 	} {
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -268,7 +268,7 @@
 
 // observe returns what the endpoint list says of a server.
 func (t *maintenanceTask) observe(serverID string) rollingrestart.ServerStatus {
-	id, known := t.node.serverTable.IDs[serverID]
+	id, known := t.node.serverTable.SlotByID[serverID]
 	if !known {
 		return rollingrestart.ServerStatus{}
 	}
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -103,7 +103,7 @@
 	n.inflight.Policy = newPolicy(now, &config, &n.inflight.Slab)
 	n.startOptionalParts(&config)
 	n.discovery.SetRevision(config.CachedList.Revision)
-	listChanged{fleet.ListCached, config.CachedList.Members, serverstart.Never()}.handle(n, now)
+	listChanged{fleet.ListCached, config.CachedList.Members, serverstart.NeverConfirmed()}.handle(n, now)
 	return n
 }
 
@@ -171,7 +171,7 @@
 			if u.Complete {
 				mode = fleet.ListFull
 			}
-			confirmedAt := serverstart.Never()
+			confirmedAt := serverstart.NeverConfirmed()
 			if u.ConfirmedAgo >= 0 {
 				confirmedAt = n.clock.Now() - float64(u.ConfirmedAgo)/float64(time.Millisecond)
 			}
--- a/internal/node/serverclock_test.go
+++ b/internal/node/serverclock_test.go
@@ -25,7 +25,7 @@
 	tc.onLoop(func(now float64) {
 		var exported fleet.Snapshot
 		tc.node.inflight.Policy.(snapshotPolicy).Export(now, &exported)
-		slot, known := tc.node.serverTable.IDs[id]
+		slot, known := tc.node.serverTable.SlotByID[id]
 		for _, s := range exported.Servers {
 			if known && s.ID == slot && s.StartedAt > 0 {
 				started = s.StartedAt
@@ -70,12 +70,12 @@
 		known.Members = append(known.Members, []byte(restartedEntry("s1", "127.0.0.1:1", old)))
 		config.CachedList = known
 	})
-	firstList := listChanged{mode: fleet.ListFull, confirmedAt: serverstart.Never(), entries: []json.RawMessage{
+	firstList := listChanged{mode: fleet.ListFull, confirmedAt: serverstart.NeverConfirmed(), entries: []json.RawMessage{
 		[]byte(restartedEntry("s0", tc.cacheAddrs[0], old)), []byte(restartedEntry("s1", tc.cacheAddrs[1], old)),
 		[]byte(entry("o", tc.originAddr, "origin")),
 	}}
 	for listed := false; !listed; { // that of the cluster comes first
-		tc.onLoop(func(float64) { _, listed = tc.node.serverTable.IDs["s0"] })
+		tc.onLoop(func(float64) { _, listed = tc.node.serverTable.SlotByID["s0"] })
 	}
 	tc.onLoop(func(now float64) { firstList.handle(tc.node, now) })
 	if age := tc.awaitStart("s0"); age > 5000 {
--- a/internal/node/serverstart/serverstart.go
+++ b/internal/node/serverstart/serverstart.go
@@ -28,8 +28,8 @@
 	starts map[string]Start
 }
 
-// Never is the time of a confirmation that there has never been.
-func Never() float64 { return math.Inf(-1) }
+// NeverConfirmed is the time of a confirmation that there has never been.
+func NeverConfirmed() float64 { return math.Inf(-1) }
 
 // Observe returns when the process of a server has started, by the node's clock, given the time that the endpoint list says and the time
 // at which the list was last known to be complete without that start. A start that is listed as long ago (0), and one that is known
--- a/internal/node/serverstart/serverstart_test.go
+++ b/internal/node/serverstart/serverstart_test.go
@@ -26,8 +26,8 @@
 		{"the node's clock is an hour behind", now + hour, now - 1000, now},
 		{"the node's clock is a moment behind", now + 1, now - 1000, now},
 		{"discovery was down for a minute", now - 50_000, now - 60_000, now - 50_000},
-		{"the first list", now - hour, Never(), now - hour},
-		{"the first list, clock behind", now + hour, Never(), now},
+		{"the first list", now - hour, NeverConfirmed(), now - hour},
+		{"the first list, clock behind", now + hour, NeverConfirmed(), now},
 	} {
 		var tracker Tracker
 		if got := tracker.Observe(now, "s", test.listed, test.confirmedAt); got != test.want {
--- a/internal/node/servertable/servertable.go
+++ b/internal/node/servertable/servertable.go
@@ -14,7 +14,7 @@
 
 // Table is the servers of one node.
 type Table struct {
-	IDs       map[string]fleet.ServerID // slots by id; read only
+	SlotByID  map[string]fleet.ServerID // slots by id; read only
 	Retention float64                   // how long the slot of a removed server is kept, in ms
 
 	slots []slot
@@ -22,14 +22,14 @@
 
 // New makes an empty table. No request in flight may be older than the retention, for it could refer to the slot's next server.
 func New(retention float64) *Table {
-	return &Table{IDs: map[string]fleet.ServerID{}, Retention: retention}
+	return &Table{SlotByID: map[string]fleet.ServerID{}, Retention: retention}
 }
 
 // Assign returns the slot of a server by its id, and whether it is a new one. A new server has the slot of one that is long gone, whose
 // id is returned as replaced, or else a slot behind all others: so the table does not grow where servers are replaced all the time by
 // ones with ids of their own.
 func (t *Table) Assign(now float64, id string) (slotID fleet.ServerID, added bool, replaced string) {
-	if known, ok := t.IDs[id]; ok {
+	if known, ok := t.SlotByID[id]; ok {
 		return known, false, ""
 	}
 	index := t.reusable(now)
@@ -38,10 +38,10 @@
 		t.slots = append(t.slots, slot{})
 	}
 	if replaced = t.slots[index].id; replaced != "" {
-		delete(t.IDs, replaced)
+		delete(t.SlotByID, replaced)
 	}
 	t.slots[index] = slot{id: id, goneSince: now}
-	t.IDs[id] = fleet.ServerID(index)
+	t.SlotByID[id] = fleet.ServerID(index)
 	return fleet.ServerID(index), true, replaced
 }
 
--- a/internal/node/servertable/servertable_test.go
+++ b/internal/node/servertable/servertable_test.go
@@ -24,10 +24,10 @@
 		t.Error("a came back to another slot")
 	}
 	c, added, replaced := table.Assign(1101, "c")
-	if c != a || !added || replaced != "a" || table.IDs["c"] != a {
+	if c != a || !added || replaced != "a" || table.SlotByID["c"] != a {
 		t.Errorf("c has slot %d, before it %q", c, replaced)
 	}
-	if _, known := table.IDs["a"]; known {
+	if _, known := table.SlotByID["a"]; known {
 		t.Error("a still has a slot")
 	}
 	for i := range 100 {
--- a/internal/node/snapshotevents.go
+++ b/internal/node/snapshotevents.go
@@ -28,7 +28,7 @@
 	if state.TakenAt <= n.restoredAt {
 		return
 	}
-	restored, verdict := state.Restore(now, trust, n.currentServers(), n.serverTable.IDs)
+	restored, verdict := state.Restore(now, trust, n.currentServers(), n.serverTable.SlotByID)
 	if n.restoredAt > 0 {
 		restored.Trust = 0
 	}
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -28,7 +28,7 @@
 	if policy, ok := n.inflight.Policy.(snapshotPolicy); ok {
 		var raw fleet.Snapshot
 		state.Snapshot = snapshot.Append(nil, n.takeSnapshot(now, policy, n.transferTrust(), &raw))
-		state.ColdWorkRate = raw.CacheLoad
+		state.CacheLoad = raw.CacheLoad
 	}
 	return state
 }
@@ -61,7 +61,7 @@
 		n.discovery.SetRevision(state.Endpoints.Revision)
 	}
 	// The predecessor has followed the discovery service until now, so that its list is as good as one from there.
-	listChanged{fleet.ListCached, state.Endpoints.Members, serverstart.Never()}.handle(n, now)
+	listChanged{fleet.ListCached, state.Endpoints.Members, serverstart.NeverConfirmed()}.handle(n, now)
 	n.discovery.ConfirmList()
 	policy, ok := n.inflight.Policy.(snapshotPolicy)
 	if !ok || len(state.Snapshot) == 0 {
@@ -72,7 +72,7 @@
 		n.log.WithError(err).Warn("cannot parse the predecessor's snapshot; starting without it")
 		return
 	}
-	s.Global.CacheLoad = state.ColdWorkRate
+	s.Global.CacheLoad = state.CacheLoad
 	n.restoreSnapshot(now, policy, s, n.transferTrust())
 }
 
--- a/internal/testbed/simulator/process.go
+++ b/internal/testbed/simulator/process.go
@@ -66,7 +66,7 @@
 	p := &process{
 		sim: n.sim, node: n, servers: servertable.New(node.SlotRetention(&n.deployment)), wakeAt: notScheduled,
 		clientAttempts: map[*clientAttempt]bool{}, descriptors: fdlimit.New(n.sim.experiment.Nodes.Sockets, 0),
-		confirmedAt: serverstart.Never(), cpu: processor{sim: n.sim, requestCost: n.sim.experiment.Nodes.RequestCost.Duration()},
+		confirmedAt: serverstart.NeverConfirmed(), cpu: processor{sim: n.sim, requestCost: n.sim.experiment.Nodes.RequestCost.Duration()},
 	}
 	p.cachePool, p.originPool = node.PoolConfigs(&n.deployment, n.operatorFile)
 	shortestObjectiveMs, _ := n.deployment.TimeBounds()
@@ -181,7 +181,7 @@
 		}
 		p.links[id] = p.newServerLink(e)
 	}
-	endpoint := e.Member(id, &p.node.deployment)
+	endpoint := e.Endpoint(id, &p.node.deployment)
 	endpoint.StartedAt = p.starts.Observe(now, e.ID, e.UpSince, p.startsConfirmedAt(now))
 	p.links[id].pool.Policy.ServerStarted(endpoint.StartedAt)
 	if p.member != nil && e.Flavor != discovery.OriginFlavor && endpoint.State != fleet.Gone {
@@ -194,7 +194,7 @@
 
 // startsConfirmedAt returns when the list was last known to be complete: an open watch says so with every heartbeat.
 func (p *process) startsConfirmedAt(now float64) float64 {
-	if p.confirmedAt != serverstart.Never() && p.watch != nil && p.watch.isOpen() && !p.sim.discovery.stalled {
+	if p.confirmedAt != serverstart.NeverConfirmed() && p.watch != nil && p.watch.isOpen() && !p.sim.discovery.stalled {
 		return max(p.confirmedAt, now-float64(fakes.Heartbeat/time.Millisecond))
 	}
 	return p.confirmedAt
