--- a/internal/node/admin/admin.go
+++ b/internal/node/admin/admin.go
@@ -1,5 +1,5 @@
-// Package admin is the operators' port: one line to a connection, one line back. It reads calls and writes replies; what a
-// call does is up to a Handler.
+// Package admin serves the operators' admin port. A connection carries one line with a call and one line with its reply. The package
+// parses calls and writes replies; a Handler executes them.
 package admin
 
 import (
@@ -15,8 +15,8 @@
 	"mintspring/internal/node/sockstate"
 )
 
-// Handler carries out calls. What it returns is sent to the caller, an error as the reason of a refusal. Its methods are
-// called concurrently, and have to return within ReplyTimeout.
+// Handler executes calls. The text that a method returns is sent to the caller as the reply; an error is sent as the reason why the call
+// was refused. The methods are called concurrently and must return within ReplyTimeout.
 type Handler interface {
 	Status() (string, error)
 	ExcludeServer(id string) (string, error)
@@ -29,44 +29,44 @@
 	ChangeMembership(change string, args []string) (string, error)
 }
 
-// Limits of the port. The operators' page promises callers their reply within 1 s, beside others that hold a connection for
-// 4 s without a complete call.
+// Limits of the port. The operators' page promises callers a reply within 1 s, even while other callers hold a connection for 4 s without
+// a complete call.
 const (
-	MaxConnections = 16               // at a time; one more closes the oldest without a complete call
-	ReplyTimeout   = time.Second      // within which a reply is due
-	maxLineBytes   = 512              // of a call; ids of servers are far shorter
-	readTimeout    = 10 * time.Second // for a complete call
-	maxDrainBytes  = 64 << 10         // read after a reply, so that closing the connection does not discard it
+	MaxConnections = 16               // concurrent connections; one more closes the oldest one that is not executing a call
+	ReplyTimeout   = time.Second      // time within which the reply to a complete call is due
+	maxLineBytes   = 512              // length of a call, its line feed included; server ids are far shorter
+	readTimeout    = 10 * time.Second // time limit for a complete call to arrive
+	maxDrainBytes  = 64 << 10         // bytes read after the reply: closing a connection with unread bytes resets it and loses the reply
 )
 
 const (
-	acceptRetryDelay  = 5 * time.Millisecond // after a failed accept
-	closePollInterval = time.Millisecond     // between two looks at whether all calls have their reply
+	acceptRetryDelay  = 5 * time.Millisecond // pause after a failed accept
+	closePollInterval = time.Millisecond     // interval at which Close checks for pending calls
 )
 
-// Server serves the port. Each connection has a goroutine, which ends with it.
+// Server serves the admin port. Each connection has its own goroutine, which ends with the connection.
 type Server struct {
 	Handler Handler
-	OnPanic func(any) // nil, or called with what a call has panicked with
+	OnPanic func(any) // if not nil, called with the value of a panic in a call
 
-	mu       sync.Mutex // guards the fields below, and the sessions' stages
+	mu       sync.Mutex // guards the fields below and the stage of each session
 	listener net.Listener
 	closed   bool
-	sessions []*session // the oldest first
+	sessions []*session // oldest first
 }
 
-// session is one connection.
+// session is one connection and the progress of its call.
 type session struct {
 	conn  net.Conn
 	stage sessionStage
 }
 
-// sessionStage is how far a call has come.
+// sessionStage is the progress of a call.
 type sessionStage uint8
 
 const (
 	reading   sessionStage = iota
-	executing              // the call is complete, and its reply is not sent yet
+	executing              // the call has been read; its reply has not been sent yet
 	replied
 )
 
@@ -77,7 +77,7 @@
 	closed := s.closed
 	s.mu.Unlock()
 	if closed {
-		_ = ln.Close() // it was not used
+		_ = ln.Close() // no connection was accepted
 	}
 	for {
 		conn, err := ln.Accept()
@@ -94,21 +94,21 @@
 	}
 }
 
-// Close stops the listener, and returns when calls that have come have their reply, after ReplyTimeout at the latest: the process may end
-// then.
+// Close closes the listener and waits until every call that has arrived has its reply, for at most ReplyTimeout. The process may exit
+// afterwards.
 func (s *Server) Close() {
 	s.mu.Lock()
 	if s.closed = true; s.listener != nil {
 		_ = s.listener.Close() // it may be closed already
 	}
 	s.mu.Unlock()
-	for deadline := time.Now().Add(ReplyTimeout); s.owesReply() && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(ReplyTimeout); s.hasPendingCalls() && time.Now().Before(deadline); {
 		time.Sleep(closePollInterval)
 	}
 }
 
-// owesReply reports whether a call is being carried out, or has come and was not read yet.
-func (s *Server) owesReply() bool {
+// hasPendingCalls reports whether a call is being executed, or has arrived but has not been read yet.
+func (s *Server) hasPendingCalls() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return slices.ContainsFunc(s.sessions, func(c *session) bool {
@@ -120,13 +120,14 @@
 	})
 }
 
-// add makes room for a session by closing another, so that callers who connect and send nothing do not lock others out.
+// add registers a session. At MaxConnections it first closes the oldest one that is not executing a call, or the oldest of all if there is
+// none, so that callers that connect and send nothing do not block others.
 func (s *Server) add(c *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.sessions) >= MaxConnections {
 		i := max(0, slices.IndexFunc(s.sessions, func(o *session) bool { return o.stage != executing }))
-		_ = s.sessions[i].conn.Close() // which ends its goroutine
+		_ = s.sessions[i].conn.Close() // ends its goroutine
 		s.sessions = slices.Delete(s.sessions, i, i+1)
 	}
 	s.sessions = append(s.sessions, c)
@@ -146,34 +147,34 @@
 	c.stage = stage
 }
 
-// handle serves one connection.
+// handle reads the call of a connection, executes it and sends the reply.
 func (s *Server) handle(c *session) {
 	defer func() {
-		_ = c.conn.Close() // the reply was sent, or the caller is gone
+		_ = c.conn.Close() // the reply has been sent, or the caller is gone
 		s.remove(c)
 		if p := recover(); p != nil && s.OnPanic != nil {
 			s.OnPanic(p)
 		}
 	}()
-	_ = c.conn.SetDeadline(time.Now().Add(readTimeout)) // on a connection that is closed the read fails
+	_ = c.conn.SetDeadline(time.Now().Add(readTimeout)) // if the connection is closed, the read fails
 	line, err := readLine(c.conn)
 	if err != nil && !errors.Is(err, errBadLine) {
-		return // the caller is gone, or has sent nothing
+		return // the caller is gone, or has not sent a call in time
 	}
 	s.setStage(c, executing)
 	reply := s.reply(line, err)
-	_ = c.conn.SetDeadline(time.Now().Add(ReplyTimeout)) // on a connection that is closed the write fails
+	_ = c.conn.SetDeadline(time.Now().Add(ReplyTimeout)) // if the connection is closed, the write fails
 	if _, err := io.WriteString(c.conn, reply); err != nil {
 		return
 	}
-	s.setStage(c, replied) // it may make room for others now
+	s.setStage(c, replied) // from now on add may close it
 	if tcp, ok := c.conn.(*net.TCPConn); ok {
 		_ = tcp.CloseWrite()                            // the caller may be gone
-		_, _ = io.CopyN(io.Discard, tcp, maxDrainBytes) // what the caller sends beyond its call is of no use
+		_, _ = io.CopyN(io.Discard, tcp, maxDrainBytes) // bytes after the call are ignored
 	}
 }
 
-// reply carries a call out and returns the line to send. readErr is the error with which the call was read, if any.
+// reply executes a call and returns the line to send. readErr is the error from reading the call, if any.
 func (s *Server) reply(line string, readErr error) string {
 	text, err := "", readErr
 	if err == nil {
@@ -186,7 +187,7 @@
 	return strings.TrimSpace(sanitize(reply)) + "\n"
 }
 
-// sanitize keeps a reply to one line, whatever is in it.
+// sanitize replaces control characters and invalid UTF-8, so that a reply is always one line.
 func sanitize(s string) string {
 	return strings.Map(func(r rune) rune {
 		if isControl(r) || r == utf8.RuneError {
--- a/internal/node/admin/admin_test.go
+++ b/internal/node/admin/admin_test.go
@@ -15,7 +15,7 @@
 // testTimeout bounds each wait of a test.
 const testTimeout = 5 * time.Second
 
-// recordingHandler records the calls that it carries out.
+// recordingHandler records the calls that it executes.
 type recordingHandler struct{ calls chan string }
 
 func (h recordingHandler) record(call string) (string, error)      { h.calls <- call; return call, nil }
@@ -86,7 +86,7 @@
 	}
 }
 
-// call returns the reply to a call, on a connection of its own.
+// call sends a call on a new connection and returns the reply.
 func call(t testing.TB, addr, text string) string {
 	t.Helper()
 	conn := dial(t, addr)
@@ -124,7 +124,7 @@
 	}
 }
 
-// TestTruncatedCall: a call without its end is not carried out, because the id may be another server's.
+// TestTruncatedCall: a call without a line feed is not executed, because a truncated id may be the id of another server.
 func TestTruncatedCall(t *testing.T) {
 	addr, handler := startRecordingServer(t)
 	conn := dial(t, addr)
@@ -136,11 +136,11 @@
 		t.Errorf("reply %q", b)
 	}
 	if len(handler.calls) > 0 {
-		t.Errorf("carried out: %s", <-handler.calls)
+		t.Errorf("executed: %s", <-handler.calls)
 	}
 }
 
-// TestConnectionLimit: callers that hold connections without a complete call, or never read the reply, lock nobody out.
+// TestConnectionLimit: callers that hold connections without a complete call, or that never read the reply, do not block other callers.
 func TestConnectionLimit(t *testing.T) {
 	addr, _ := startRecordingServer(t)
 	for i := range 10 * MaxConnections {
@@ -177,22 +177,22 @@
 	})
 }
 
-// slowHandler takes its time for a status.
+// slowHandler takes 150 ms to return the status.
 type slowHandler struct {
 	recordingHandler
-	begun chan struct{}
-	done  *atomic.Bool
+	started  chan struct{}
+	finished *atomic.Bool
 }
 
 func (h slowHandler) Status() (string, error) {
-	close(h.begun)
+	close(h.started)
 	time.Sleep(150 * time.Millisecond)
-	h.done.Store(true)
+	h.finished.Store(true)
 	return "status", nil
 }
 
-// A process ends when its port is closed: by then a call that was being carried out has its reply. A caller that has sent nothing, and one that
-// has sent half a call, delay nobody.
+// TestCloseWaitsForCalls: Close returns only when a call in progress has its reply, because the process exits after Close. Callers that
+// have sent nothing or an incomplete call do not delay Close.
 func TestCloseWaitsForCalls(t *testing.T) {
 	h := slowHandler{recordingHandler{make(chan string, 9)}, make(chan struct{}), &atomic.Bool{}}
 	addr, server := startClosableServer(t, h)
@@ -204,14 +204,14 @@
 	if _, err := io.WriteString(caller, "status\n"); err != nil {
 		t.Fatal(err)
 	}
-	<-h.begun
+	<-h.started
 	start := time.Now()
 	server.Close()
-	if !h.done.Load() {
-		t.Error("the port is closed before its call is carried out")
+	if !h.finished.Load() {
+		t.Error("Close returned before the call was executed")
 	}
 	if took := time.Since(start); took > ReplyTimeout/2 {
-		t.Errorf("it took %v", took)
+		t.Errorf("Close took %v", took)
 	}
 	if reply, err := io.ReadAll(caller); err != nil || string(reply) != "OK status\n" {
 		t.Errorf("the reply is %q, %v", reply, err)
--- a/internal/node/admin/call.go
+++ b/internal/node/admin/call.go
@@ -9,7 +9,7 @@
 	"unicode/utf8"
 )
 
-// readLine reads a call. Without its end a line is not complete: an id that was cut off may be another server's.
+// readLine reads a call. A line without a line feed is rejected, because a truncated id may be the id of another server.
 func readLine(r io.Reader) (string, error) {
 	var b [maxLineBytes]byte
 	n := 0
@@ -28,7 +28,7 @@
 	return "", errBadLine
 }
 
-// execute parses a call and has the handler carry it out.
+// execute parses a call and passes it to the handler.
 func (s *Server) execute(line string) (string, error) {
 	if !utf8.ValidString(line) || strings.ContainsFunc(line, isControl) {
 		return "", errNotPrintable
--- a/internal/node/admin/golden_test.go
+++ b/internal/node/admin/golden_test.go
@@ -28,7 +28,7 @@
 	return fmt.Sprintf("council:%s%q", change, args), nil
 }
 
-// goldenCalls are the bytes of calls on the admin port.
+// goldenCalls are calls as sent to the admin port, byte for byte.
 var goldenCalls = []string{
 	"status\n", "maint-on box-0\r\n", "maint-off  box-1 \n", "standby\n", "active\nstatus\n", "peers\n", "book\n", "roll show\n",
 	"roll start 2 box-0,box-1\n", "roll\n", "council-take-in 2 1\n", "council-add 4\n", "council-drop 1\n", "council-\n",
@@ -36,8 +36,8 @@
 	"maint-on s-1", strings.Repeat("a", maxLineBytes) + "\n", "maint-on " + strings.Repeat("b", maxLineBytes-len("maint-on \n")) + "\n",
 }
 
-// TestGolden compares the replies to fixed calls, byte for byte, with a file that an earlier build wrote: a line for each call
-// and a line for its reply, both quoted.
+// TestGolden compares the replies to fixed calls, byte for byte, with a file written by an earlier build. The file has a line for each
+// call and a line for its reply, both quoted.
 func TestGolden(t *testing.T) {
 	addr := startServer(t, echoHandler{})
 	got := ""
--- a/internal/node/admin/protocol.go
+++ b/internal/node/admin/protocol.go
@@ -2,30 +2,30 @@
 
 import "errors"
 
-// Names of the calls. They, the words below and the texts of the errors are the protocol of the port: programs of operators
-// send and read them, so they stay as they are.
+// Names of the calls. These names, the words below and the error texts are the protocol of the port. Operators' programs send and parse
+// them, so they must not change.
 const (
 	CallStatus         = "status"
-	CallExclude        = "maint-on"  // with the id of a server
-	CallReadmit        = "maint-off" // with the id of a server
+	CallExclude        = "maint-on"  // takes a server id
+	CallReadmit        = "maint-off" // takes a server id
 	CallStandby        = "standby"
 	CallActive         = "active"
 	CallPeers          = "peers"
 	CallIdempotency    = "book"
-	CallRollingRestart = "roll" // with an action and its arguments
+	CallRollingRestart = "roll" // takes an action and its arguments
 )
 
 // Actions of a rolling restart.
 const (
 	ActionShow   = "show"
-	ActionStart  = "start" // with the number of servers that may be unavailable, and the ids separated by commas
+	ActionStart  = "start" // takes the number of servers that may be unavailable at once, and the server ids separated by commas
 	ActionPause  = "pause"
 	ActionResume = "go-on"
 	ActionStop   = "stop"
 )
 
-// MembershipPrefix begins the calls that change the consensus group. One of the changes follows, with the number of a member
-// and, but for a removal, its generation.
+// MembershipPrefix begins the calls that change the members of the consensus group. One of the changes below follows, then the number of
+// a member and, except for ChangeRemove, its generation.
 const (
 	MembershipPrefix = "council-"
 
@@ -34,7 +34,7 @@
 	ChangeRemove = "drop"
 )
 
-// ReplyOK begins the reply to a call that was carried out, ReplyError the one to a call that was refused.
+// ReplyOK begins the reply to a call that was executed, ReplyError the reply to a call that was refused.
 const (
 	ReplyOK    = "OK "
 	ReplyError = "ERR "
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -117,14 +117,14 @@
 // silent, or a call that never reaches the service, each with the backoff of the decision module, leave time for the header of
 // another call.
 func TestTimeoutsAddUp(t *testing.T) {
-	const known, shortestBackoff, longestBackoff, response = 6 * time.Second, time.Second, 1500 * time.Millisecond, 1500 * time.Millisecond
-	if sum := DefaultIdleTimeout + shortestBackoff + response; sum > known {
+	const maxDelay, shortestBackoff, longestBackoff, responseTime = 6 * time.Second, time.Second, 1500 * time.Millisecond, 1500 * time.Millisecond
+	if sum := DefaultIdleTimeout + shortestBackoff + responseTime; sum > maxDelay {
 		t.Errorf("behind a watch that falls silent a change is known after %v", sum)
 	}
-	if sum := defaultHeaderTimeout + longestBackoff + response; sum > known {
+	if sum := defaultHeaderTimeout + longestBackoff + responseTime; sum > maxDelay {
 		t.Errorf("behind a call that never reaches the service a change is known after %v", sum)
 	}
-	if defaultHeaderTimeout+DefaultIdleTimeout > known || defaultDialTimeout > defaultHeaderTimeout || DefaultIdleTimeout < 3*time.Second || defaultHeaderTimeout <= 2*time.Second {
+	if defaultHeaderTimeout+DefaultIdleTimeout > maxDelay || defaultDialTimeout > defaultHeaderTimeout || DefaultIdleTimeout < 3*time.Second || defaultHeaderTimeout <= 2*time.Second {
 		t.Errorf("%v, %v, %v: a call alone takes too long, or what discovery may take is not waited for", defaultDialTimeout, defaultHeaderTimeout, DefaultIdleTimeout)
 	}
 }
--- a/internal/node/fdlimit/fdlimit.go
+++ b/internal/node/fdlimit/fdlimit.go
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// reserved descriptors are left to the runtime, the log, the listener, the connection to the discovery service and files.
-const reserved = 24
+// reservedDescriptors descriptors are left to the runtime, the log, the listener, the connection to the discovery service and files.
+const reservedDescriptors = 24
 
 // defaultLimit is the limit where none is given: it is never reached.
 const defaultLimit = 1 << 16
@@ -45,11 +45,11 @@
 
 // New makes the budget of a process with a limit on descriptors, of which some more than the reserved ones are set aside. Without a limit
 // (0) it has one that is never reached.
-func New(limit, setAside int) *Budget {
+func New(limit, extraReserved int) *Budget {
 	if limit <= 0 {
 		limit = defaultLimit
 	}
-	available := max(limit-reserved-setAside, limit/2)
+	available := max(limit-reservedDescriptors-extraReserved, limit/2)
 	return &Budget{
 		limit:         limit,
 		available:     available,
@@ -87,14 +87,14 @@
 
 // refusal says whose connections can make room for a descriptor that was refused.
 type refusal struct {
-	ofClients, ofServers bool
-	evictors             []evictor
+	evictClients, evictServers bool
+	evictors                   []evictor
 }
 
 // evictOne closes one connection, and returns false if there is none to close.
 func (r *refusal) evictOne() bool {
 	return slices.ContainsFunc(r.evictors, func(e evictor) bool {
-		eligible := e.owner == Client && r.ofClients || e.owner == Server && r.ofServers
+		eligible := e.owner == Client && r.evictClients || e.owner == Server && r.evictServers
 		return eligible && e.evict()
 	})
 }
@@ -105,12 +105,12 @@
 	defer b.mu.Unlock()
 	switch {
 	case owner == Client && b.clientHeld >= b.clientLimit:
-		return &refusal{ofClients: true, evictors: b.evictors}
+		return &refusal{evictClients: true, evictors: b.evictors}
 	case owner == Client && b.available <= 0:
-		return &refusal{ofClients: true, ofServers: true, evictors: b.evictors}
+		return &refusal{evictClients: true, evictServers: true, evictors: b.evictors}
 	case owner == Server && b.available <= max(0, b.clientReserve-b.clientHeld):
 		// What clients release of their own reserve stays theirs.
-		return &refusal{ofClients: b.clientHeld > b.clientReserve, ofServers: true, evictors: b.evictors}
+		return &refusal{evictClients: b.clientHeld > b.clientReserve, evictServers: true, evictors: b.evictors}
 	}
 	b.acquireLocked(owner)
 	return nil
--- a/internal/node/hotrestart/channel.go
+++ b/internal/node/hotrestart/channel.go
@@ -12,19 +12,19 @@
 	"mintspring/internal/transient"
 )
 
-// Channel is one end of the channel. Its methods may be called from several goroutines.
+// Channel is one process's end of the channel. Its methods are safe for concurrent use.
 type Channel struct {
 	handler Handler
 	conn    *net.UnixConn
 
-	stateSent  chan struct{} // closed once the successor has its state; commands follow that
-	readyAcked chan struct{} // closed once the predecessor has processed kindReady, or is gone
+	stateSent  chan struct{} // closed once the successor has its state; only then may commands be sent
+	readyAcked chan struct{} // closed once the predecessor has acknowledged kindReady, or the channel has ended
 	ackOnce    sync.Once     // closes readyAcked
 
-	mu          sync.Mutex // guards the fields below, and writes to conn
+	mu          sync.Mutex // guards the fields below and writes to conn
 	closed      bool
-	writeFailed bool                     // nothing more can be sent; what the other process has sent is still read
-	pending     map[uint32]chan struct{} // forwarded commands by number; closed when acknowledged
+	writeFailed bool                     // nothing more can be sent, but messages of the other process are still read
+	pending     map[uint32]chan struct{} // channels of the forwarded commands by number; closed on acknowledgement
 	lastNumber  uint32
 }
 
@@ -38,6 +38,7 @@
 	}
 }
 
+// noFD is passed to send for a message without a descriptor.
 const noFD = -1
 
 // send writes one message, with a descriptor unless fd is noFD.
@@ -56,17 +57,17 @@
 		return net.ErrClosed
 	}
 	if err := c.write(b, oob); err != nil {
-		// Nothing can follow half a message. The connection is not closed for reading: what the other process has sent
-		// before it ended is still to be read, and may hold clients' connections.
-		_ = c.conn.CloseWrite() // it may be gone already
+		// A message may have been written in part, so nothing can follow it. The connection stays open for reading: the other process may
+		// have sent client connections before it ended.
+		_ = c.conn.CloseWrite() // the connection may be closed already
 		c.writeFailed = true
 		return fmt.Errorf("sending message %q: %w", kind, err)
 	}
 	return nil
 }
 
-// write writes all of b, with oob beside its first bytes. Where the system has no buffer for the moment, it tries again. It is called with mu
-// held.
+// write writes all of b, with the control data oob attached to its first bytes. It retries transient errors such as a lack of buffers. The
+// caller holds mu.
 func (c *Channel) write(b, oob []byte) error {
 	deadline := time.Now().Add(ioTimeout)
 	if err := c.conn.SetWriteDeadline(deadline); err != nil {
@@ -80,7 +81,7 @@
 			} else {
 				n, err = c.conn.Write(b)
 			}
-			if n > 0 { // the rest is written next
+			if n > 0 { // the loop writes the rest
 				return nil
 			}
 			return err
@@ -101,7 +102,7 @@
 	return c.send(kind, b, noFD)
 }
 
-// readLoop handles messages until the channel ends, and reports its end to the handler unless Close ended it.
+// readLoop handles messages until the channel ends. It reports the end to the handler, unless Close has ended the channel.
 func (c *Channel) readLoop(r *reader) {
 	err := c.handleMessages(r)
 	r.close()
@@ -136,12 +137,12 @@
 	}
 }
 
-// dispatch handles one message. Kinds of a later version are skipped.
+// dispatch handles one message. Unknown kinds, as later versions may send, are skipped.
 func (c *Channel) dispatch(kind messageKind, body []byte, r *reader) error {
 	switch kind {
 	case kindReady:
 		c.handler.SuccessorReady()
-		_ = c.send(kindReadyAck, nil, noFD) // if it is lost, the successor goes on after replyTimeout
+		_ = c.send(kindReadyAck, nil, noFD) // if it is lost, the successor continues after replyTimeout
 	case kindReadyAck:
 		c.markReadyAcked()
 	case kindCommand:
@@ -156,7 +157,7 @@
 		if err != nil {
 			return err
 		}
-		c.markDone(command.Number)
+		c.markAcknowledged(command.Number)
 	case kindDescriptors:
 		if len(body) != 4 {
 			return fmt.Errorf("%w: a descriptor count of %d bytes", errMalformed, len(body))
@@ -165,7 +166,7 @@
 	case kindClient:
 		conn, err := r.nextClient()
 		if err != nil {
-			return nil // its descriptor was lost for want of one here; the connections behind it are not
+			return nil // its descriptor was lost, e.g. at this process's limit; later connections are unaffected
 		}
 		c.handler.AdoptClient(conn, len(body) > 0 && body[0] == 1)
 	}
@@ -181,7 +182,7 @@
 
 func (c *Channel) markReadyAcked() { c.ackOnce.Do(func() { close(c.readyAcked) }) }
 
-func (c *Channel) markDone(number uint32) {
+func (c *Channel) markAcknowledged(number uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if done := c.pending[number]; done != nil {
@@ -190,10 +191,10 @@
 	}
 }
 
-// AnnounceReady reports to the predecessor that this successor serves. It returns once the predecessor has processed that,
-// is gone, or has not acknowledged it in time, as an older version never does. Whoever learns that the successor serves
-// may stop the predecessor at once, which must know by then, or it closes its clients' connections in place of handing
-// them over.
+// AnnounceReady tells the predecessor that this successor is serving. It returns once the predecessor has acknowledged that or is gone, or
+// after replyTimeout: older versions never acknowledge it. The caller must not report readiness to operators before AnnounceReady returns.
+// They may stop the predecessor at once, and a predecessor that does not know of the ready successor closes its client connections instead
+// of handing them over.
 func (c *Channel) AnnounceReady() error {
 	if err := c.send(kindReady, nil, noFD); err != nil {
 		return err
@@ -205,8 +206,8 @@
 	return nil
 }
 
-// ReportDescriptors reports how many descriptors this process holds. It does nothing before the successor has its state,
-// because a successor takes any other first message for a foreign protocol and goes on by itself.
+// ReportDescriptors sends the number of descriptors that this process holds. It does nothing until the successor has its state, because a
+// successor treats any other first message as malformed and serves on its own.
 func (c *Channel) ReportDescriptors(n int) error {
 	select {
 	case <-c.stateSent:
@@ -216,8 +217,8 @@
 	return c.send(kindDescriptors, binary.BigEndian.AppendUint32(nil, uint32(max(0, n))), noFD)
 }
 
-// PassClient hands a client's connection over, and reports whether it was sent; the caller closes its own descriptor then.
-// hasSent says whether the client has sent requests on it.
+// PassClient hands a client connection over to the successor and reports whether it was sent. If it was, the caller closes its own
+// descriptor. hasSent reports whether the client has sent requests on the connection.
 func (c *Channel) PassClient(conn net.Conn, hasSent bool) bool {
 	sc, ok := conn.(syscall.Conn)
 	if !ok {
@@ -238,7 +239,8 @@
 	return sendErr == nil
 }
 
-// ForwardCommand has the other process carry out a command too, and returns when it has, or cannot in time.
+// ForwardCommand makes the other process execute a command too. It returns when the command is acknowledged, when the channel fails, or
+// after a timeout.
 func (c *Channel) ForwardCommand(name, serverID string) {
 	select {
 	case <-c.stateSent:
@@ -255,7 +257,7 @@
 	}
 }
 
-// newCommand numbers a command and registers it as pending; ok is false on a closed channel.
+// newCommand assigns a number to a command and registers the command as pending. ok is false if the channel is closed.
 func (c *Channel) newCommand(name, serverID string) (command Command, done <-chan struct{}, ok bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -269,10 +271,10 @@
 	return command, acknowledged, true
 }
 
-// Close ends the channel. The handler at this end is not called.
+// Close closes the channel without calling the handler at this end.
 func (c *Channel) Close() {
 	c.mu.Lock()
 	c.closed = true
 	c.mu.Unlock()
-	_ = c.conn.Close() // the other process sees the end either way
+	_ = c.conn.Close() // the other process sees the end even if this fails
 }
--- a/internal/node/hotrestart/channel_test.go
+++ b/internal/node/hotrestart/channel_test.go
@@ -14,62 +14,63 @@
 	"time"
 )
 
-// TestMessages runs in a directory whose name is longer than the address of a socket may be, too.
+// TestMessages sends each kind of message between joined processes. It also runs in a directory whose path is too long for the address of
+// a Unix socket.
 func TestMessages(t *testing.T) {
 	for _, path := range []string{t.TempDir(), filepath.Join(t.TempDir(), strings.Repeat("long", 40))} {
-		predecessor, successor, down, up := joinedPair(t, path)
-		if err := up.AnnounceReady(); err != nil {
+		predecessor, successor, predecessorEnd, successorEnd := joinedPair(t, path)
+		if err := successorEnd.AnnounceReady(); err != nil {
 			t.Error(err)
 		}
 		predecessor.waitFor(t, "ready")
-		if err := up.ReportDescriptors(7); err != nil {
+		if err := successorEnd.ReportDescriptors(7); err != nil {
 			t.Error(err)
 		}
 		predecessor.waitFor(t, "descriptors 7")
-		down.ForwardCommand("maint-on", "s1")
-		up.ForwardCommand("standby", "")
-		// A command has been carried out at the other end when ForwardCommand returns.
+		predecessorEnd.ForwardCommand("maint-on", "s1")
+		successorEnd.ForwardCommand("standby", "")
+		// When ForwardCommand returns, the other process has executed the command.
 		if len(successor.events) != 1 || len(predecessor.events) != 1 {
-			t.Errorf("%d and %d commands were carried out", len(successor.events), len(predecessor.events))
+			t.Errorf("%d and %d commands were executed", len(successor.events), len(predecessor.events))
 		}
 		successor.waitFor(t, "maint-on s1")
 		predecessor.waitFor(t, "standby ")
-		down.Close()
+		predecessorEnd.Close()
 		if err := <-successor.lost; err == nil {
 			t.Error("PeerLost has no error")
 		}
 		start := time.Now()
-		up.ForwardCommand("active", "")
+		successorEnd.ForwardCommand("active", "")
 		if time.Since(start) > ioTimeout/4 {
-			t.Error("ForwardCommand waits for a process that is gone")
+			t.Error("ForwardCommand waits for a process that has ended")
 		}
 	}
 }
 
-// eagerHandler reports its descriptors as soon as a successor has joined.
-type eagerHandler struct{ *recordingHandler }
+// earlyReportHandler reports its descriptors in SuccessorJoined, before the state is sent.
+type earlyReportHandler struct{ *recordingHandler }
 
-func (h eagerHandler) SuccessorJoined(c *Channel) (State, error) {
+func (h earlyReportHandler) SuccessorJoined(c *Channel) (State, error) {
 	if err := c.ReportDescriptors(5); err != nil {
 		h.lost <- err
 	}
 	return h.recordingHandler.SuccessorJoined(c)
 }
 
-// TestStateComesFirst: nothing is sent before the state. A successor took another first message for a malformed one, and
-// served beside the predecessor as if it were not there.
+// TestStateComesFirst: the predecessor sends nothing before the state. A successor that received another message first treated it as
+// malformed and served on its own, beside the predecessor.
 func TestStateComesFirst(t *testing.T) {
 	path := t.TempDir()
-	if err := openDir(t, path).Listen(eagerHandler{newRecordingHandler()}); err != nil {
+	if err := openDir(t, path).Listen(earlyReportHandler{newRecordingHandler()}); err != nil {
 		t.Fatal(err)
 	}
 	if handover, err := openDir(t, path).Join(); err != nil || handover == nil {
-		t.Errorf("the successor goes on by itself: %v", err)
+		t.Errorf("the successor did not join: %v", err)
 	}
 }
 
-// TestSuccessorIsRefused: a successor for which there is no state gets none, rather than one that looks like that of a node without
-// servers.
+// TestSuccessorIsRefused: if the predecessor cannot provide its state, the successor gets an error and not an empty state, which would look
+// like the state of a node without servers.
 func TestSuccessorIsRefused(t *testing.T) {
 	path, predecessor := t.TempDir(), newRecordingHandler()
 	predecessor.refusal = errors.New("busy")
@@ -81,14 +82,14 @@
 		t.Errorf("joined %+v, %v", handover, err)
 	}
 	if len(predecessor.lost) > 0 {
-		t.Errorf("the predecessor has lost a successor that it refused: %v", <-predecessor.lost)
+		t.Errorf("PeerLost was called for a refused successor: %v", <-predecessor.lost)
 	}
 }
 
-// busyHandler has the first successors ask again.
+// busyHandler returns ErrBusy to the first requests of successors.
 type busyHandler struct {
 	*recordingHandler
-	refusals atomic.Int64
+	refusals atomic.Int64 // requests left to refuse
 }
 
 func (h *busyHandler) SuccessorJoined(c *Channel) (State, error) {
@@ -98,9 +99,9 @@
 	return h.recordingHandler.SuccessorJoined(c)
 }
 
-// TestBusyPredecessorIsAskedAgain: a successor waits for its state while the predecessor has another process to deal with, be it its own
-// predecessor or another successor.
-func TestBusyPredecessorIsAskedAgain(t *testing.T) {
+// TestJoinRetriesWhileBusy: a successor keeps requesting the state while the predecessor is in another handover, either with its own
+// predecessor or with another successor.
+func TestJoinRetriesWhileBusy(t *testing.T) {
 	path, predecessor := t.TempDir(), &busyHandler{recordingHandler: newRecordingHandler()}
 	predecessor.refusals.Store(3)
 	if err := openDir(t, path).Listen(predecessor); err != nil {
@@ -110,7 +111,7 @@
 	if err != nil || first == nil {
 		t.Fatalf("joined %+v, %v", first, err)
 	}
-	time.AfterFunc(100*time.Millisecond, first.Channel().Close) // it dies, and only then may another one take over
+	time.AfterFunc(100*time.Millisecond, first.Channel().Close) // it ends, and only then may another successor join
 	second, err := openDir(t, path).Join()
 	if err != nil || second == nil {
 		t.Fatalf("joined %+v, %v", second, err)
@@ -118,7 +119,7 @@
 	second.Channel().Close()
 }
 
-// slowHandler takes its time to learn that the successor is ready.
+// slowHandler takes 50 ms to process that the successor is ready.
 type slowHandler struct{ *recordingHandler }
 
 func (h slowHandler) SuccessorReady() {
@@ -126,25 +127,25 @@
 	h.recordingHandler.SuccessorReady()
 }
 
-// A connection whose descriptor was lost on its way costs none behind it.
+// TestClientWithoutDescriptor: a client connection whose descriptor was lost in transit does not affect the connections sent after it.
 func TestClientWithoutDescriptor(t *testing.T) {
-	_, successor, down, _ := joinedPair(t, t.TempDir())
-	if err := down.send(kindClient, []byte{1}, noFD); err != nil {
+	_, successor, predecessorEnd, _ := joinedPair(t, t.TempDir())
+	if err := predecessorEnd.send(kindClient, []byte{1}, noFD); err != nil {
 		t.Fatal(err)
 	}
 	_, server := loopbackConn(t)
-	if !down.PassClient(server, false) {
+	if !predecessorEnd.PassClient(server, false) {
 		t.Fatal("the connection was not passed")
 	}
 	successor.waitFor(t, "client has sent false")
 	if len(successor.lost) > 0 {
-		t.Errorf("the predecessor counts as lost: %v", <-successor.lost)
+		t.Errorf("PeerLost was called: %v", <-successor.lost)
 	}
 }
 
-// TestReadyIsAcknowledged: AnnounceReady returns when the predecessor knows, because whoever learns that the successor
-// serves may stop the predecessor at once. A predecessor that is gone, or of a version that never acknowledges, delays
-// nobody for long.
+// TestReadyIsAcknowledged: AnnounceReady returns only when the predecessor has acknowledged readiness, because operators may stop the
+// predecessor as soon as the successor is ready. A predecessor that has ended, or whose version never acknowledges, causes a short delay
+// only.
 func TestReadyIsAcknowledged(t *testing.T) {
 	predecessor := newRecordingHandler()
 	path := t.TempDir()
@@ -155,31 +156,31 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	up := handover.Channel()
+	successorEnd := handover.Channel()
 	handover.Start(newRecordingHandler())
-	down := <-predecessor.joined
-	if err := up.AnnounceReady(); err != nil || len(predecessor.events) != 1 {
-		t.Errorf("it returns before the predecessor knows: %v", err)
+	predecessorEnd := <-predecessor.joined
+	if err := successorEnd.AnnounceReady(); err != nil || len(predecessor.events) != 1 {
+		t.Errorf("AnnounceReady returned before the predecessor processed it: %v", err)
 	}
-	up.readyAcked = make(chan struct{})
+	successorEnd.readyAcked = make(chan struct{})
 	start := time.Now()
-	err = up.AnnounceReady()
+	err = successorEnd.AnnounceReady()
 	if took := time.Since(start); err != nil || took < ioTimeout/4 || took > 4*ioTimeout {
-		t.Errorf("an acknowledgement that never comes is waited for %v, %v", took, err)
+		t.Errorf("AnnounceReady waited %v for a missing acknowledgement, %v", took, err)
 	}
-	down.Close()
-	if err := <-up.handler.(*recordingHandler).lost; err == nil {
+	predecessorEnd.Close()
+	if err := <-successorEnd.handler.(*recordingHandler).lost; err == nil {
 		t.Error("PeerLost has no error")
 	}
-	if up.AnnounceReady() == nil {
-		t.Error("no error although the predecessor is gone")
+	if successorEnd.AnnounceReady() == nil {
+		t.Error("AnnounceReady reports no error although the predecessor has ended")
 	}
 }
 
-// TestClientsArrive: connections arrive with what was not read from them, and go on as if nothing had happened. So do those
-// that the predecessor sent just before its end, while the successor is sending and finds that nobody receives any more.
+// TestClientsArrive: client connections are handed over with their unread bytes and keep working. That includes the connections that the
+// predecessor sends just before it ends, even if a write of the successor fails meanwhile because the predecessor no longer reads.
 func TestClientsArrive(t *testing.T) {
-	_, successor, down, up := joinedPair(t, t.TempDir())
+	_, successor, predecessorEnd, successorEnd := joinedPair(t, t.TempDir())
 	const count = 60
 	var clients []net.Conn
 	for i := range count {
@@ -187,15 +188,15 @@
 		if _, err := fmt.Fprintf(client, "query %02d\n", i); err != nil {
 			t.Fatal(err)
 		}
-		if !down.PassClient(server, i%2 == 0) {
+		if !predecessorEnd.PassClient(server, i%2 == 0) {
 			t.Fatal("the connection was not sent")
 		}
 		closeAll(server)
 		clients = append(clients, client)
 		if i == count-1 {
-			down.Close()
+			predecessorEnd.Close()
 		}
-		_ = up.ReportDescriptors(i) // the last one may find the predecessor gone
+		_ = successorEnd.ReportDescriptors(i) // the last reports may fail: the predecessor has closed the channel
 	}
 	for i, client := range clients {
 		select {
@@ -218,7 +219,7 @@
 	}
 	b := make([]byte, len(request))
 	if _, err := io.ReadFull(server, b); err != nil || string(b) != request {
-		t.Fatalf("the connection of %q brings %q, %v", request, b, err)
+		t.Fatalf("the connection of %q delivers %q, %v", request, b, err)
 	}
 	if _, err := io.WriteString(server, "ok"); err != nil {
 		t.Fatal(err)
@@ -228,7 +229,7 @@
 	}
 }
 
-// FuzzMessages: any message ends the channel, is handled, or is skipped.
+// FuzzMessages: any bytes are handled, skipped, or end the channel with an error, and none cause a panic.
 func FuzzMessages(f *testing.F) {
 	for _, message := range []string{
 		encodeMessage(kindReady, ""), encodeMessage(kindDescriptors, "\x00\x00\x00\x09"), encodeMessage(kindCommand, "{}"),
@@ -239,7 +240,7 @@
 	f.Fuzz(func(t *testing.T, b []byte) {
 		r := &reader{buf: bytes.Clone(b)}
 		c := newChannel(newRecordingHandler(), nil)
-		c.closed = true // nothing is sent
+		c.closed = true // replies are not sent
 		for len(r.buf) >= headerLen {
 			if n := int(binary.BigEndian.Uint32(r.buf)); n > maxMessageBytes || len(r.buf) < headerLen+n {
 				break
--- a/internal/node/hotrestart/dir.go
+++ b/internal/node/hotrestart/dir.go
@@ -21,24 +21,24 @@
 	exclusionsFile = "maintenance.json"
 )
 
-// savePatience is how long exclusions are tried to be saved: the call that changed them is to be answered within a second.
-const savePatience = 400 * time.Millisecond
+// saveTimeout is how long saving the exclusions is retried. The admin call that changed them must be answered within a second.
+const saveTimeout = 400 * time.Millisecond
 
-// maxSocketPath is a safe length for the address of a Unix socket; the kernel takes 107 bytes.
+// maxSocketPath is the longest path in bytes that is used directly as the address of a Unix socket. The kernel accepts at most 107.
 const maxSocketPath = 99
 
-// Dir is the directory in which the processes of one node find one another, and in which the exclusions are stored. It
-// belongs to the node alone. Its methods may be called from several goroutines.
+// Dir is the directory in which the processes of a node find each other and in which the exclusions are stored. Each node has its own
+// directory. The methods of Dir are safe for concurrent use.
 type Dir struct {
 	dir string
 
-	mu          sync.Mutex        // guards the fields below, and the stored exclusions within this process
-	lastWritten uint64            // number of the exclusions stored last
+	mu          sync.Mutex        // guards the fields below, and the exclusions file against concurrent writes of this process
+	lastWritten uint64            // number of the last stored state of the exclusions
 	listener    *net.UnixListener // nil until Listen
 }
 
-// Open makes the directory if it does not exist. What a dead process has left in it does no harm: its socket refuses
-// connections, and its exclusions are still in force.
+// Open creates the directory if it does not exist. It keeps the files of a process that has ended: its socket refuses connections, and
+// its exclusions are still in effect.
 func Open(dir string) (*Dir, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("opening the hot restart directory: %w", err)
@@ -46,10 +46,10 @@
 	return &Dir{dir: dir}, nil
 }
 
-// LoadExclusions reads the stored exclusions; without a file they are empty.
+// LoadExclusions reads the stored exclusions. Without a file the result is empty.
 func (d *Dir) LoadExclusions() (state exclusion.State, err error) {
 	var text []byte
-	err = transient.Retry(busyPatience, func() (err error) {
+	err = transient.Retry(busyRetryTimeout, func() (err error) {
 		text, err = os.ReadFile(filepath.Join(d.dir, exclusionsFile))
 		return err
 	})
@@ -65,8 +65,8 @@
 	return state, nil
 }
 
-// SaveExclusions stores the exclusions atomically. number grows with each change; a state that is older than the one
-// stored last is not written.
+// SaveExclusions stores the exclusions atomically. The caller increases number with each change; a state with a number not above the last
+// stored one is not written.
 func (d *Dir) SaveExclusions(state exclusion.State, number uint64) error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -77,10 +77,10 @@
 	if err != nil {
 		return fmt.Errorf("storing the exclusions: %w", err)
 	}
-	// Both processes of an overlap write here, so each has a temporary file of its own.
+	// During a hot restart both processes write here, so each has its own temporary file.
 	name := filepath.Join(d.dir, exclusionsFile)
 	temp := name + "." + strconv.Itoa(os.Getpid())
-	err = transient.Retry(savePatience, func() error {
+	err = transient.Retry(saveTimeout, func() error {
 		if err := os.WriteFile(temp, text, 0o600); err != nil {
 			return err
 		}
@@ -93,8 +93,8 @@
 	return nil
 }
 
-// socketPath returns a path for a socket in the directory, and a function to call after its use. If the name of the
-// directory is too long for the address of a socket, the path leads through an open descriptor.
+// socketPath returns a path for a socket in the directory and a function that releases the path after use. If the directory's name is too
+// long for a socket address, the path goes through an open descriptor of the directory in /proc/self/fd.
 func (d *Dir) socketPath(name string) (path string, release func()) {
 	path = filepath.Join(d.dir, name)
 	if len(path) <= maxSocketPath {
@@ -104,5 +104,5 @@
 	if err != nil {
 		return path, func() {}
 	}
-	return fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), name), func() { _ = f.Close() } // it was not read
+	return fmt.Sprintf("/proc/self/fd/%d/%s", f.Fd(), name), func() { _ = f.Close() } // nothing was written to it
 }
--- a/internal/node/hotrestart/dir_test.go
+++ b/internal/node/hotrestart/dir_test.go
@@ -16,7 +16,7 @@
 	return string(append(binary.BigEndian.AppendUint32(nil, uint32(len(body))), byte(kind))) + body
 }
 
-// serveTexts answers each connection with the next text, and then closes it for writing.
+// serveTexts sends the next text on each accepted connection and then closes the connection for writing.
 func serveTexts(t *testing.T, ln net.Listener, texts <-chan string) {
 	for {
 		conn, err := ln.Accept()
@@ -32,13 +32,13 @@
 	}
 }
 
-// TestBadPredecessors: a dead process's socket, a process of another version, and one that sends nothing or noise do not keep
-// a successor from going on by itself.
+// TestBadPredecessors: Join reports no predecessor for the socket of a process that has ended, and an error for a process that has another
+// protocol version or sends nothing or malformed messages.
 func TestBadPredecessors(t *testing.T) {
 	path := t.TempDir()
 	dir := openDir(t, path)
 	if h, err := dir.Join(); h != nil || err != nil {
-		t.Errorf("joined nobody: %v, %v", h, err)
+		t.Errorf("joined %v, %v without a predecessor", h, err)
 	}
 	ln, err := net.Listen("unix", filepath.Join(path, socketFile))
 	if err != nil {
@@ -63,9 +63,9 @@
 	}
 	closeAll(ln)
 	if h, err := dir.Join(); h != nil || err != nil {
-		t.Errorf("joined a dead process: %v, %v", h, err)
+		t.Errorf("joined a process that has ended: %v, %v", h, err)
 	}
-	if err := dir.Listen(newRecordingHandler()); err != nil { // in place of the dead process's socket
+	if err := dir.Listen(newRecordingHandler()); err != nil { // replaces the socket of the process that has ended
 		t.Fatal(err)
 	}
 	if h, err := openDir(t, path).Join(); h == nil || err != nil {
@@ -73,7 +73,8 @@
 	}
 }
 
-// TestExclusionsAreStored: the exclusions are stored completely, and older ones never over newer ones.
+// TestExclusionsAreStored: exclusions are stored and loaded completely, an older state never overwrites a newer one, and a truncated file
+// is an error.
 func TestExclusionsAreStored(t *testing.T) {
 	path := t.TempDir()
 	dir := openDir(t, path)
--- a/internal/node/hotrestart/golden_test.go
+++ b/internal/node/hotrestart/golden_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// expectMessage reads one message from the raw end of a channel and compares it with a file.
+// expectMessage reads one message from the raw end of a channel and compares it with a golden file.
 func expectMessage(t *testing.T, raw net.Conn, name string) {
 	t.Helper()
 	if err := raw.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
@@ -49,7 +49,7 @@
 	}
 }
 
-// writeMessage writes the message in a file to the raw end of a channel.
+// writeMessage writes the message in a golden file to the raw end of a channel.
 func writeMessage(t *testing.T, raw net.Conn, name string) {
 	t.Helper()
 	if _, err := raw.Write(goldentest.Read(t, name)); err != nil {
@@ -57,7 +57,7 @@
 	}
 }
 
-// checkMessages checks the messages that either side sends and handles once the state is known; raw is the far end of c.
+// checkMessages checks the messages that c sends and handles after the state was transferred. raw is the other end of c.
 func checkMessages(t *testing.T, c *Channel, h *recordingHandler, raw net.Conn) {
 	t.Helper()
 	done := make(chan error, 1)
@@ -94,11 +94,11 @@
 	expectMessage(t, raw, "done.bin")
 }
 
-// TestGoldenPredecessor plays a successor of fixed bytes, as an earlier build wrote them, against this predecessor.
+// TestGoldenPredecessor runs this predecessor against a successor that sends and expects fixed bytes, which an earlier build wrote.
 func TestGoldenPredecessor(t *testing.T) {
 	path, h := t.TempDir(), newRecordingHandler()
 	h.state = goldenState()
-	h.state.Version = 0 // Listen states it
+	h.state.Version = 0 // set when the state is sent
 	if err := openDir(t, path).Listen(h); err != nil {
 		t.Fatal(err)
 	}
@@ -114,7 +114,7 @@
 	checkMessages(t, c, h, raw)
 }
 
-// TestGoldenSuccessor plays a predecessor of fixed bytes, as an earlier build wrote them, against this successor.
+// TestGoldenSuccessor runs this successor against a predecessor that sends and expects fixed bytes, which an earlier build wrote.
 func TestGoldenSuccessor(t *testing.T) {
 	path, h := t.TempDir(), newRecordingHandler()
 	ln, err := net.Listen("unix", filepath.Join(path, "process.sock"))
@@ -122,15 +122,15 @@
 		t.Fatal(err)
 	}
 	defer closeAll(ln)
-	type joined struct {
-		j   *Handover
-		err error
+	type joinResult struct {
+		handover *Handover
+		err      error
 	}
-	got := make(chan joined, 1)
+	joinResults := make(chan joinResult, 1)
 	dir := openDir(t, path)
 	go func() {
-		j, err := dir.Join()
-		got <- joined{j, err}
+		handover, err := dir.Join()
+		joinResults <- joinResult{handover, err}
 	}()
 	raw, err := ln.Accept()
 	if err != nil {
@@ -139,15 +139,15 @@
 	defer closeAll(raw)
 	expectMessage(t, raw, "hello.bin")
 	writeMessage(t, raw, "state.bin")
-	v := <-got
-	if v.err != nil || !reflect.DeepEqual(v.j.State, goldenState()) {
-		t.Fatalf("joined %+v, %v", v.j, v.err)
+	joined := <-joinResults
+	if joined.err != nil || !reflect.DeepEqual(joined.handover.State, goldenState()) {
+		t.Fatalf("joined %+v, %v", joined.handover, joined.err)
 	}
-	v.j.Start(h)
-	checkMessages(t, v.j.Channel(), h, raw)
+	joined.handover.Start(h)
+	checkMessages(t, joined.handover.Channel(), h, raw)
 }
 
-// TestGoldenExclusions compares the stored file of the exclusions with one that an earlier build wrote, and reads that.
+// TestGoldenExclusions compares the stored file of the exclusions with one that an earlier build wrote, and loads the earlier file.
 func TestGoldenExclusions(t *testing.T) {
 	path := t.TempDir()
 	want := exclusion.State{Excluded: map[string]float64{"box-0": 1000.5}, Readmitted: map[string]exclusion.Interval{"box-1": {From: 1, To: 2}}}
--- a/internal/node/hotrestart/handover.go
+++ b/internal/node/hotrestart/handover.go
@@ -17,19 +17,19 @@
 // acceptRetryDelay is the pause after a failed accept.
 const acceptRetryDelay = 5 * time.Millisecond
 
-// Handover is a successor's channel that is up, with the state to start from.
+// Handover is a successor's channel after it has joined the predecessor, with the state to start from.
 type Handover struct {
 	State   State
 	channel *Channel
 	reader  *reader
 }
 
-// Join connects to the process that serves, if there is one, and asks for its state. It returns nil and no error if there
-// is none. A process that cannot have a successor yet is asked again, for busyPatience at most, and so is one that cannot be reached for
-// want of something on this machine. Start has to be called once the node at this end exists.
+// Join connects to the predecessor and requests its state. Without a predecessor it returns nil and no error. It retries for at most
+// busyRetryTimeout while the predecessor is busy or an attempt fails with a transient error, such as a lack of descriptors. Start must be
+// called once the node at this end exists.
 func (d *Dir) Join() (handover *Handover, err error) {
-	mayPass := func(err error) bool { return errors.Is(err, ErrBusy) || transient.Is(err) }
-	err = transient.RetryIf(busyPatience, mayPass, func() (err error) {
+	retryable := func(err error) bool { return errors.Is(err, ErrBusy) || transient.Is(err) }
+	err = transient.RetryIf(busyRetryTimeout, retryable, func() (err error) {
 		handover, err = d.joinOnce()
 		return err
 	})
@@ -44,7 +44,7 @@
 		return nil, fmt.Errorf("connecting to the predecessor: %w", err)
 	}
 	if err != nil {
-		return nil, nil //nolint:nilerr // no process is there, or none listens any more
+		return nil, nil //nolint:nilerr // there is no predecessor, or it no longer listens
 	}
 	c := newChannel(nil, conn.(*net.UnixConn))
 	r := &reader{conn: c.conn}
@@ -56,7 +56,7 @@
 	return &Handover{State: state, channel: c, reader: r}, nil
 }
 
-// requestState makes the successor's part of the exchange of hello and state.
+// requestState performs the successor's part of the exchange of hello and state.
 func (c *Channel) requestState(r *reader) (state State, err error) {
 	if err := c.conn.SetReadDeadline(time.Now().Add(joinTimeout)); err != nil {
 		return State{}, err
@@ -75,29 +75,29 @@
 		return State{}, ErrBusy
 	}
 	if kind != kindState {
-		return State{}, fmt.Errorf("%w: %q in place of the state", errMalformed, kind)
+		return State{}, fmt.Errorf("%w: kind %q instead of the state", errMalformed, kind)
 	}
 	if err := json.Unmarshal(body, &state); err != nil {
 		return State{}, fmt.Errorf("%w: %w", errMalformed, err)
 	}
 	if state.Version != ProtocolVersion {
-		return State{}, fmt.Errorf("the predecessor speaks version %d, this process %d", state.Version, ProtocolVersion)
+		return State{}, fmt.Errorf("predecessor has protocol version %d, this process %d", state.Version, ProtocolVersion)
 	}
 	return state, c.conn.SetReadDeadline(time.Time{})
 }
 
-// Channel returns the channel. Nothing is read from it before Start.
+// Channel returns the channel. No message is read from it before Start.
 func (h *Handover) Channel() *Channel { return h.channel }
 
-// Start begins to read messages, in a goroutine that ends with the channel.
+// Start starts reading messages, in a goroutine that ends with the channel.
 func (h *Handover) Start(handler Handler) {
 	h.channel.handler = handler
 	close(h.channel.stateSent)
 	go h.channel.readLoop(h.reader)
 }
 
-// Listen waits for successors, one at a time, in place of the process that listened before. Its goroutine ends with
-// stopListening or with the next Listen.
+// Listen accepts successors, one at a time. It takes over the socket name from the process that listened before. Its goroutine ends with
+// StopListening or the next Listen.
 func (d *Dir) Listen(h Handler) error {
 	ln, err := d.newListener()
 	if err != nil {
@@ -108,31 +108,31 @@
 	d.listener = ln
 	d.mu.Unlock()
 	if previous != nil {
-		_ = previous.Close() // it is not used any more
+		_ = previous.Close() // the new listener has replaced it
 	}
 	go acceptSuccessors(ln, h)
 	return nil
 }
 
-// newListener listens under a name of this process, and renames the socket over that of the process before.
+// newListener listens on a socket with a name of its own and renames it over the socket of the process that listened before.
 func (d *Dir) newListener() (*net.UnixListener, error) {
 	temp := socketFile + "." + strconv.Itoa(os.Getpid())
-	_ = os.Remove(filepath.Join(d.dir, temp)) // it is there only if a process of this id has died here
+	_ = os.Remove(filepath.Join(d.dir, temp)) // left behind if an earlier process with the same id was killed
 	path, release := d.socketPath(temp)
 	defer release()
 	ln, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
 	if err != nil {
 		return nil, err
 	}
-	ln.SetUnlinkOnClose(false) // the name may be a successor's by then
+	ln.SetUnlinkOnClose(false) // by then the name may belong to a successor's socket
 	if err := os.Rename(filepath.Join(d.dir, temp), filepath.Join(d.dir, socketFile)); err != nil {
-		_ = ln.Close() // nobody has connected
+		_ = ln.Close() // no process has connected
 		return nil, err
 	}
 	return ln, nil
 }
 
-// StopListening stops waiting for successors.
+// StopListening stops accepting successors.
 func (d *Dir) StopListening() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -155,7 +155,7 @@
 		select {
 		case busy <- struct{}{}:
 		default:
-			go refuse(conn) // another successor is about to take over
+			go refuse(conn) // another successor is connected
 			continue
 		}
 		go func() {
@@ -165,8 +165,7 @@
 	}
 }
 
-// serveSuccessor makes the predecessor's part of the exchange of hello and state, and reads messages until the channel
-// ends.
+// serveSuccessor performs the predecessor's part of the exchange of hello and state, then reads messages until the channel ends.
 func serveSuccessor(conn *net.UnixConn, h Handler) {
 	c, r := newChannel(h, conn), &reader{conn: conn}
 	if err := readHello(conn, r); err != nil {
@@ -182,23 +181,24 @@
 		return
 	}
 	state.Version = ProtocolVersion
-	_ = c.sendJSON(kindState, state) // if it fails, readLoop does too
+	_ = c.sendJSON(kindState, state) // if it fails, readLoop fails too
 	close(c.stateSent)
 	c.readLoop(r)
 }
 
-// refuse has a successor ask again.
+// refuse tells a successor that this process is busy, so that it retries.
 func refuse(conn *net.UnixConn) {
 	r := &reader{conn: conn}
-	if readHello(conn, r) == nil { // closing before that, its hello would fail
+	if readHello(conn, r) == nil { // closing before the hello is read would make sending it fail
 		newChannel(nil, conn).sendBusy()
 	}
 	r.close()
 }
 
-// sendBusy has the successor at the other end ask again. If it cannot be sent, that one finds the channel closed.
+// sendBusy tells the successor at the other end to retry. If sending fails, the successor sees a closed channel instead.
 func (c *Channel) sendBusy() { _ = c.send(kindBusy, nil, noFD) }
 
+// readHello reads and checks the successor's first message.
 func readHello(conn *net.UnixConn, r *reader) error {
 	if err := conn.SetReadDeadline(time.Now().Add(joinTimeout)); err != nil {
 		return err
--- a/internal/node/hotrestart/helpers_test.go
+++ b/internal/node/hotrestart/helpers_test.go
@@ -12,10 +12,10 @@
 // testTimeout bounds each wait of a test.
 const testTimeout = 5 * time.Second
 
-// recordingHandler is a node that records what it is called with.
+// recordingHandler is a Handler that records the calls of its methods.
 type recordingHandler struct {
 	state   State
-	refusal error // of successors; nil: they get the state
+	refusal error // returned to successors; nil: they get the state
 	joined  chan *Channel
 	events  chan string
 	clients chan net.Conn
@@ -47,7 +47,7 @@
 	h.events <- fmt.Sprint("client has sent ", hasSent)
 }
 
-// waitFor skips events until the wanted one.
+// waitFor receives events until the given one.
 func (h *recordingHandler) waitFor(t *testing.T, event string) {
 	t.Helper()
 	for deadline := time.After(testTimeout); ; {
@@ -72,8 +72,8 @@
 	return dir
 }
 
-// joinedPair returns the handlers and the channel ends of a predecessor and its successor, joined.
-func joinedPair(t *testing.T, path string) (predecessor, successor *recordingHandler, down, up *Channel) {
+// joinedPair joins a successor to a predecessor and returns the handlers and channel ends of both.
+func joinedPair(t *testing.T, path string) (predecessor, successor *recordingHandler, predecessorEnd, successorEnd *Channel) {
 	t.Helper()
 	predecessor, successor = newRecordingHandler(), newRecordingHandler()
 	predecessor.state.Exclusions.Excluded = map[string]float64{"s1": 5}
@@ -84,12 +84,12 @@
 	if err != nil || handover == nil || handover.State.Exclusions.Excluded["s1"] != 5 {
 		t.Fatalf("joined %+v, %v", handover, err)
 	}
-	up = handover.Channel()
+	successorEnd = handover.Channel()
 	handover.Start(successor)
-	down = <-predecessor.joined
-	t.Cleanup(down.Close)
-	t.Cleanup(up.Close)
-	return predecessor, successor, down, up
+	predecessorEnd = <-predecessor.joined
+	t.Cleanup(predecessorEnd.Close)
+	t.Cleanup(successorEnd.Close)
+	return predecessor, successor, predecessorEnd, successorEnd
 }
 
 // loopbackConn returns both ends of a connection on loopback.
@@ -111,7 +111,7 @@
 	return client, server
 }
 
-// closeAll closes what a test is done with; it may be closed already.
+// closeAll closes resources that a test no longer needs. They may be closed already.
 func closeAll(closers ...interface{ Close() error }) {
 	for _, c := range closers {
 		_ = c.Close()
--- a/internal/node/hotrestart/reader.go
+++ b/internal/node/hotrestart/reader.go
@@ -12,20 +12,20 @@
 )
 
 const (
-	headerLen      = 5 // 4 bytes of length and one of kind
+	headerLen      = 5 // bytes: 4 for the body length, 1 for the kind
 	readChunkBytes = 16 << 10
 	maxFDsPerRead  = 16
 )
 
-// reader reads messages and the descriptors that come with them. The kernel returns no bytes that follow a descriptor's
-// together with those before it, so descriptors arrive in the order of the messages that they belong to.
+// reader reads messages and the descriptors attached to them. The kernel ends a read after the bytes that a descriptor was sent with, so
+// descriptors arrive in the order of their messages.
 type reader struct {
 	conn *net.UnixConn
 	buf  []byte
 	fds  []int
 }
 
-// next returns the next message. The body is valid for as long as the caller wants.
+// next returns the next message. The caller may keep the body.
 func (r *reader) next() (messageKind, []byte, error) {
 	for {
 		kind, body, complete, err := r.parse()
@@ -38,14 +38,14 @@
 	}
 }
 
-// parse takes a message off the buffer, if all of it is there.
+// parse removes a message from the buffer if it is complete.
 func (r *reader) parse() (kind messageKind, body []byte, complete bool, err error) {
 	if len(r.buf) < headerLen {
 		return 0, nil, false, nil
 	}
 	n := int(binary.BigEndian.Uint32(r.buf))
 	if n > maxMessageBytes {
-		return 0, nil, false, fmt.Errorf("%w: %d bytes long", errMalformed, n)
+		return 0, nil, false, fmt.Errorf("%w: a body of %d bytes", errMalformed, n)
 	}
 	end := headerLen + n
 	if len(r.buf) < end {
@@ -56,7 +56,7 @@
 	return kind, body, true, nil
 }
 
-// fill reads more bytes and descriptors.
+// fill reads more bytes and descriptors into the buffers.
 func (r *reader) fill() error {
 	oob := make([]byte, syscall.CmsgSpace(maxFDsPerRead*4))
 	chunk := make([]byte, readChunkBytes)
@@ -92,14 +92,14 @@
 	return fds
 }
 
-// nextClient makes a connection of the next descriptor.
+// nextClient makes a connection from the oldest unused descriptor.
 func (r *reader) nextClient() (conn net.Conn, err error) {
 	if len(r.fds) == 0 {
 		return nil, fmt.Errorf("%w: a connection without its descriptor", errMalformed)
 	}
 	f := os.NewFile(uintptr(r.fds[0]), "client")
 	r.fds = r.fds[1:]
-	defer f.Close() //nolint:errcheck // the connection has a duplicate
+	defer f.Close() //nolint:errcheck // the connection has its own duplicate
 	err = transient.Retry(replyTimeout, func() (err error) {
 		conn, err = net.FileConn(f)
 		return err
@@ -107,10 +107,10 @@
 	return conn, err
 }
 
-// close closes the connection, and descriptors for which no message came.
+// close closes the connection and the descriptors whose message has not arrived.
 func (r *reader) close() {
 	for _, fd := range r.fds {
 		_ = syscall.Close(fd) // nothing was written to it
 	}
-	_ = r.conn.Close() // nothing more is to be sent
+	_ = r.conn.Close() // nothing more will be sent
 }
--- a/internal/node/lifecycle/lifecycle.go
+++ b/internal/node/lifecycle/lifecycle.go
@@ -194,7 +194,7 @@
 
 // CloseMode says when a client's connection is to be closed. position, in [0, 1), is drawn once for each connection; it is
 // the place of the connection within the spans of a drain.
-func (s *State) CloseMode(now, position float64) CloseMode {
+func (s *State) CloseMode(now, jitter float64) CloseMode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -203,20 +203,20 @@
 	case s.stop == stopping || s.hasSuccessor:
 		return CloseWhenIdle
 	case s.standby:
-		return drainMode(now-s.standbySince, position)
+		return drainMode(now-s.standbySince, jitter)
 	}
 	return KeepOpen
 }
 
 // drainMode is the mode of a connection so many ms after standby was entered.
-func drainMode(elapsed, position float64) CloseMode {
+func drainMode(elapsed, jitter float64) CloseMode {
 	switch {
-	case elapsed >= between(closeWhenIdleFromMs, closeWhenIdleUntilMs, position):
+	case elapsed >= interpolate(closeWhenIdleFromMs, closeWhenIdleUntilMs, jitter):
 		return CloseWhenIdle
-	case elapsed >= between(closeAfterReplyFromMs, closeAfterReplyUntilMs, position):
+	case elapsed >= interpolate(closeAfterReplyFromMs, closeAfterReplyUntilMs, jitter):
 		return CloseAfterReply
 	}
 	return KeepOpen
 }
 
-func between(from, until, position float64) float64 { return from + position*(until-from) }
+func interpolate(from, until, fraction float64) float64 { return from + fraction*(until-from) }
--- a/internal/node/lifecycle/lifecycle_test.go
+++ b/internal/node/lifecycle/lifecycle_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-func (m *model) checkCloseMode(t *rapid.T, s *State, position float64) {
-	mode := s.CloseMode(m.now, position)
+func (m *model) checkCloseMode(t *rapid.T, s *State, jitter float64) {
+	mode := s.CloseMode(m.now, jitter)
 	leaving := m.stopping || m.hasSuccessor
 	closing := leaving || m.onStandby()
 	elapsed := m.now - m.standbySince
--- a/internal/node/serverstart/serverstart.go
+++ b/internal/node/serverstart/serverstart.go
@@ -11,10 +11,10 @@
 	"slices"
 )
 
-// maxListDelay is how long, in ms, the discovery service may take to list a start without making its time implausible. A start that is
+// maxListDelayMs is how long, in ms, the discovery service may take to list a start without making its time implausible. A start that is
 // listed later counts as seen just now, which is on the safe side: the server is spared for longer. A clock that is wrong by less goes
 // unnoticed, and a server in slow start is sent less than half of what it bears (package slowstart), which covers that.
-const maxListDelay = 2000
+const maxListDelayMs = 2000
 
 // Start is the start of one process of a server.
 type Start struct {
@@ -42,7 +42,7 @@
 		return known.At
 	}
 	at := listed
-	if listed > now || listed < confirmedAt-maxListDelay {
+	if listed > now || listed < confirmedAt-maxListDelayMs {
 		at = now
 	}
 	t.record(Start{ID: id, Listed: listed, At: at})
--- a/internal/node/serverstart/serverstart_test.go
+++ b/internal/node/serverstart/serverstart_test.go
@@ -19,8 +19,8 @@
 	}{
 		{"long ago", 0, now - 1000, 0},
 		{"clocks agree", now - 1500, now - 1000, now - 1500},
-		{"the earliest plausible time", now - 1000 - maxListDelay, now - 1000, now - 1000 - maxListDelay},
-		{"just before that", now - 1001 - maxListDelay, now - 1000, now},
+		{"the earliest plausible time", now - 1000 - maxListDelayMs, now - 1000, now - 1000 - maxListDelayMs},
+		{"just before that", now - 1001 - maxListDelayMs, now - 1000, now},
 		{"the node's clock is an hour ahead", now - hour, now - 1000, now},
 		{"the node's clock is 40 s ahead", now - 40_000, now - 1000, now},
 		{"the node's clock is an hour behind", now + hour, now - 1000, now},
--- a/internal/node/servertable/servertable.go
+++ b/internal/node/servertable/servertable.go
@@ -32,7 +32,7 @@
 	if known, ok := t.SlotByID[id]; ok {
 		return known, false, ""
 	}
-	index := t.reusable(now)
+	index := t.reusableSlot(now)
 	if index < 0 {
 		index = len(t.slots)
 		t.slots = append(t.slots, slot{})
@@ -45,8 +45,8 @@
 	return fleet.ServerID(index), true, replaced
 }
 
-// reusable is the first slot whose server has been gone for longer than the retention, -1 for none.
-func (t *Table) reusable(now float64) int {
+// reusableSlot is the first slot whose server has been gone for longer than the retention, -1 for none.
+func (t *Table) reusableSlot(now float64) int {
 	for i := range t.slots {
 		if s := &t.slots[i]; s.state == fleet.Gone && now-s.goneSince > t.Retention {
 			return i
