--- a/internal/node/exclusion/exclusion.go
+++ b/internal/node/exclusion/exclusion.go
@@ -1,7 +1,7 @@
-// Package exclusion keeps which cache servers operators have excluded for maintenance. Servers are known by id and never by
-// slot of the node's table: slots are reused, and servers leave the endpoint list and come back.
+// Package exclusion records which cache servers operators have excluded for maintenance. Servers are identified by id and never by their
+// slot in the server table, because slots are reused and servers leave the endpoint list and come back.
 //
-// It does no I/O and reads no clock; times are Unix ms. A Set belongs to one goroutine.
+// The package does no I/O and reads no clock. Times are Unix ms. A Set is not safe for concurrent use.
 package exclusion
 
 import (
@@ -13,40 +13,40 @@
 	"mintspring/internal/fleet"
 )
 
-// maxSeen bounds how many ids are remembered as once listed; those first listed longest ago are forgotten first. Where a
-// server is replaced every second, that lasts for over half a day.
+// maxSeen is how many ids are remembered as once listed. When it is reached, the id that was first listed longest ago is forgotten. With one
+// new server per second an id is remembered for over half a day.
 const maxSeen = 1 << 16
 
-// IDHash is the hash of an id that was listed once. The id itself is not needed: nothing is asked but whether it was listed.
+// IDHash is the hash of an id that was listed once. The hash is enough to tell whether an id was ever listed.
 type IDHash uint64
 
-// Interval is a time during which a server was excluded, in Unix ms.
+// Interval is the time during which a server was excluded, in Unix ms.
 type Interval struct {
 	From float64 `json:"from"`
 	To   float64 `json:"to"`
 }
 
-// Set is the set of excluded servers, and the ids that may be excluded.
+// Set is the set of excluded servers. It also knows the ids that were ever listed, which are the ones that may be excluded.
 type Set struct {
-	excluded   map[string]float64  // by id, since when
-	readmitted map[string]Interval // by id, the last exclusion of a server that was readmitted
+	excluded   map[string]float64  // start of the exclusion by id
+	readmitted map[string]Interval // last exclusion of each readmitted server by id
 	seen       map[IDHash]struct{}
-	seenOrder  []IDHash // a ring buffer once it is full
-	oldestSeen int      // index in seenOrder
+	seenOrder  []IDHash // in the order of first listing; a ring buffer once it has maxSeen elements
+	oldestSeen int      // index of the oldest element of seenOrder
 }
 
-// New makes an empty set.
+// New returns an empty set.
 func New() *Set {
 	return &Set{excluded: map[string]float64{}, readmitted: map[string]Interval{}, seen: map[IDHash]struct{}{}}
 }
 
 func hashID(id string) IDHash {
 	h := fnv.New64a()
-	h.Write([]byte(id)) //nolint:errcheck // a hash never fails to write
+	h.Write([]byte(id)) //nolint:errcheck // Write of a hash never fails
 	return IDHash(h.Sum64())
 }
 
-// MarkListed records that the endpoint list has a cache server of this id.
+// MarkListed records that the endpoint list contains a cache server with this id.
 func (s *Set) MarkListed(id string) { s.remember(hashID(id)) }
 
 func (s *Set) remember(id IDHash) {
@@ -63,11 +63,10 @@
 	s.oldestSeen = (s.oldestSeen + 1) % maxSeen
 }
 
-// UnknownServerError is returned for an id that the endpoint list never had, so that a mistyped id does not pass for an
-// excluded server.
+// UnknownServerError is returned for an id that was never in the endpoint list, so that excluding a mistyped id fails.
 type UnknownServerError struct{ ID string }
 
-// Error returns the text that the admin port answers.
+// Error returns the text that the admin port replies with.
 func (e *UnknownServerError) Error() string {
 	return fmt.Sprintf("no cache server %q was ever listed", e.ID)
 }
@@ -80,8 +79,7 @@
 	return nil
 }
 
-// Exclude excludes a server from now on. It changes nothing if the server is excluded already. The error is an
-// *UnknownServerError.
+// Exclude excludes a server from now on. It changes nothing if the server is excluded already. A non-nil error is an *UnknownServerError.
 func (s *Set) Exclude(id string, now float64) (changed bool, err error) {
 	if err := s.checkKnown(id); err != nil {
 		return false, err
@@ -94,7 +92,7 @@
 	return true, nil
 }
 
-// Readmit puts a server back into use, however often it was excluded. The error is an *UnknownServerError.
+// Readmit ends the exclusion of a server, no matter how often Exclude was called. A non-nil error is an *UnknownServerError.
 func (s *Set) Readmit(id string, now float64) (changed bool, err error) {
 	if err := s.checkKnown(id); err != nil {
 		return false, err
@@ -108,7 +106,7 @@
 	return true, nil
 }
 
-// EffectiveState returns the state in which a server is to be taken that the endpoint list has in the given one.
+// EffectiveState returns the state of a server after exclusions: an excluded server that is listed as ready is draining.
 func (s *Set) EffectiveState(id string, listed fleet.State) fleet.State {
 	if _, excluded := s.excluded[id]; excluded && listed == fleet.Ready {
 		return fleet.Draining
@@ -116,9 +114,9 @@
 	return listed
 }
 
-// StartedAt returns when the process of a server is taken to have started. Operators restart a server while it is excluded:
-// if the endpoint list has a start since then, that is the time; otherwise it may be any time until the server was
-// readmitted.
+// StartedAt returns the time to assume for the last start of a server's process. Operators restart servers while these are excluded. If the
+// start in the endpoint list is not before the beginning of the last exclusion, it is used. Otherwise the restart may have happened at any
+// time during the exclusion, and StartedAt returns the end of the exclusion.
 func (s *Set) StartedAt(id string, listed float64) float64 {
 	if last := s.readmitted[id]; listed < last.From {
 		return last.To
@@ -126,17 +124,17 @@
 	return listed
 }
 
-// ForgetReadmission drops when a server that has left the list was readmitted. That a server is excluded is not forgotten.
+// ForgetReadmission drops the last exclusion of a readmitted server that has left the endpoint list. A server that is excluded stays so.
 func (s *Set) ForgetReadmission(id string) { delete(s.readmitted, id) }
 
-// State is the stored form of a set, and the form in which a process hands it over to its successor.
+// State is the form in which a set is stored and handed over to a successor.
 type State struct {
 	Excluded   map[string]float64  `json:"out"`
 	Readmitted map[string]Interval `json:"back,omitempty"`
 	Seen       []IDHash            `json:"seen,omitempty"`
 }
 
-// Export returns the state of the set. The ids once listed, which are many, are included only on demand.
+// Export returns the state of the set. The hashes of ids once listed, of which there may be many, are included only with withSeen.
 func (s *Set) Export(withSeen bool) State {
 	state := State{Excluded: maps.Clone(s.excluded), Readmitted: maps.Clone(s.readmitted)}
 	if withSeen {
@@ -145,7 +143,7 @@
 	return state
 }
 
-// Import replaces the exclusions by those of another process, and adds the ids that it has seen.
+// Import replaces the exclusions by those of an exported state and adds the ids that were listed in that process.
 func (s *Set) Import(state State) {
 	for _, id := range state.Seen {
 		s.remember(id)
@@ -155,9 +153,9 @@
 	maps.Copy(s.readmitted, state.Readmitted)
 }
 
-// RebaseStored adapts a stored state to the clock of a process that starts at a time. Its times are of another process's clock, from
-// which the wall clock may have been stepped since: a start listed before now says nothing of an excluded server, and none has been
-// readmitted later than now.
+// RebaseStored adapts a stored state to the clock of a process that starts now. The stored times are on the clock of another process, and the
+// wall clock may have been stepped since. Exclusions therefore begin now, so that StartedAt ignores starts listed before, and readmissions
+// are not later than now.
 func (state *State) RebaseStored(now float64) {
 	for id := range state.Excluded {
 		state.Excluded[id] = now
--- a/internal/node/exclusion/exclusion_test.go
+++ b/internal/node/exclusion/exclusion_test.go
@@ -11,17 +11,17 @@
 	"mintspring/internal/fleet"
 )
 
-// setModel is a Set with what its methods are to have made of it.
+// setModel is a Set with the state expected of it.
 type setModel struct {
 	set        *Set
 	now        float64
 	listed     map[string]bool
-	excluded   map[string]float64 // when, by id
+	excluded   map[string]float64 // start of the exclusion by id
 	readmitted map[string]Interval
 }
 
-// TestSet calls the methods in any order, over ids that were listed or not, with the set handed over at any moment: a server
-// is excluded from Exclude until Readmit, and an id that was never listed is refused.
+// TestSet calls the methods in any order with listed and unlisted ids, and hands the set over at any time. A server is excluded from Exclude
+// until Readmit, and an id that was never listed is refused.
 func TestSet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &setModel{set: New(), now: 1000, listed: map[string]bool{}, excluded: map[string]float64{}, readmitted: map[string]Interval{}}
@@ -40,7 +40,8 @@
 	})
 }
 
-// A stored state is of another process's clock: what it says of times is taken on the safe side, whichever way that clock was off.
+// TestRebaseStored: the times of a stored state may be ahead of or behind the clock of this process. Either way, a server that was excluded
+// counts as started at its readmission, and no server counts as started in the future.
 func TestRebaseStored(t *testing.T) {
 	const now, hour = 1e12, 3.6e6
 	for _, offset := range []float64{-hour, 0, hour} {
@@ -56,7 +57,7 @@
 			t.Fatal(err)
 		}
 		if at := s.StartedAt("out", now-5); at != now+5 {
-			t.Errorf("offset %.0f: an excluded server has started at %.0f, want at its readmission", offset, at-now)
+			t.Errorf("offset %.0f: an excluded server has started %.0f ms from now, want at its readmission", offset, at-now)
 		}
 		if at := s.StartedAt("back", 0); at > now {
 			t.Errorf("offset %.0f: a readmitted server has started %.0f ms from now", offset, at-now)
@@ -87,7 +88,7 @@
 	delete(m.excluded, id)
 }
 
-// checkError checks that a method refused an id if, and only if, it was never listed.
+// checkError checks that a method refused an id if and only if the id was never listed.
 func (m *setModel) checkError(t *rapid.T, id string, err error) {
 	var unknown *UnknownServerError
 	if (err == nil) != m.listed[id] || err != nil && !errors.As(err, &unknown) {
@@ -95,7 +96,7 @@
 	}
 }
 
-// handOver replaces the set by one that has imported its state.
+// handOver replaces the set by a new one that has imported its state.
 func (m *setModel) handOver(t *rapid.T) {
 	text, err := json.Marshal(m.set.Export(true))
 	var state State
@@ -106,7 +107,7 @@
 	m.set.Import(state)
 }
 
-// check compares the states of a server with what they are to be.
+// check compares the effective state and the start time of a random server with those expected.
 func (m *setModel) check(t *rapid.T) {
 	id := drawID(t)
 	want := fleet.Ready
@@ -124,7 +125,7 @@
 	}
 }
 
-// TestSeenIsBounded: over a long day ids are ever new; those that are remembered are bounded, and the newest.
+// TestSeenIsBounded: however many ids are listed, only the maxSeen newest are remembered, and they are exported in the order of listing.
 func TestSeenIsBounded(t *testing.T) {
 	set := New()
 	for i := range maxSeen + 100 {
--- a/internal/node/exclusion/golden_test.go
+++ b/internal/node/exclusion/golden_test.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// goldenSet has an excluded server, one that was excluded, and one that never was.
+// goldenSet returns a set with an excluded server, a readmitted one, and one that was never excluded.
 func goldenSet(t *testing.T) *Set {
 	t.Helper()
 	set := New()
@@ -26,8 +26,8 @@
 	return set
 }
 
-// TestGolden compares the JSON of fixed sets, as stored and as handed over, with files that an earlier build wrote, and reads
-// those files back.
+// TestGolden compares the JSON of fixed sets, as stored and as handed over, with files that an earlier build wrote, and imports those
+// files.
 func TestGolden(t *testing.T) {
 	excluded, readmitted := map[string]float64{"box-0": 1764650000123.5}, map[string]Interval{"box-1": {From: 1000, To: 2500.25}}
 	for file, c := range map[string]struct{ state, want State }{
--- a/internal/node/lifecycle/lifecycle.go
+++ b/internal/node/lifecycle/lifecycle.go
@@ -1,8 +1,8 @@
-// Package lifecycle is the state machine of a node as its clients and operators see it: whether it reports ready, whether
-// it accepts new connections, and when a client's connection is to be closed.
+// Package lifecycle is the state machine of a node as its clients and operators see it: whether the node reports ready, whether it accepts
+// new connections, and when client connections are closed.
 //
-// It does no I/O and reads no clock; times are passed in by the caller, in ms. The listener, the command handlers and the
-// admin port all ask here and nowhere else, so that they agree.
+// The package does no I/O and reads no clock; callers pass times in ms. The listener, the command handlers and the admin port all use the
+// same State, so that they agree.
 package lifecycle
 
 import "sync"
@@ -11,68 +11,68 @@
 type Phase uint8
 
 const (
-	// Starting means that there is no endpoint list yet.
+	// Starting means that the node has no endpoint list yet.
 	Starting Phase = iota
 	// Ready means that the node serves.
 	Ready
-	// Standby means that operators have taken the node out of use; they may call it back at any moment.
+	// Standby means that operators have taken the node out of service. They may put it back at any time.
 	Standby
 	// Stopping means that the process is about to end.
 	Stopping
 )
 
-// String returns the phase as the admin port answers it; these texts are part of its protocol.
+// String returns the phase as in replies of the admin port. The texts are part of its protocol.
 func (p Phase) String() string {
 	return [...]string{"starting", "ready", "on standby", "ending"}[p]
 }
 
-// Times of a drain, in ms after standby was entered. The operators' page of daily operation demands them: the load balancer
-// in front sends new connections for 200 ms after the first negative health check, and by 4,000 ms no client's connection
-// may be open that is idle or has a request of the last 2,000 ms. A request that comes at the last moment may take all of
-// its time, so idle connections have to be closed before the second half of that begins. Each connection has a moment
-// of its own between the two bounds, so that clients do not reconnect to other nodes all at once.
+// Bounds of the drain on standby, in ms after standby was entered. The operators' page of daily operation requires two things. The load
+// balancer in front sends new connections for 200 ms after the first negative health check. After 4,000 ms no client connection may be open
+// that is idle or whose request came within the last 2,000 ms. A request may come just before an idle connection is closed and take 2,000 ms,
+// so all idle connections must be closed before 2,000 ms. Each connection gets its own time between the two bounds, so that clients do not
+// reconnect to other nodes all at once.
 const (
-	closeAfterReplyFromMs  = 300.0 // 100 ms after the load balancer sends the last new connection
+	closeAfterReplyFromMs  = 300.0 // 100 ms after the load balancer stops sending new connections
 	closeAfterReplyUntilMs = 1000.0
 	closeWhenIdleFromMs    = 900.0
 	closeWhenIdleUntilMs   = 1700.0
 )
 
-// CloseMode says when a client's connection is to be closed. A later mode includes the ones before it.
+// CloseMode says when a client connection is closed. The modes are cumulative: each one also does what the modes before it do.
 type CloseMode uint8
 
 const (
 	// KeepOpen leaves the connection open.
 	KeepOpen CloseMode = iota
-	// CloseAfterReply closes it right behind its next reply.
+	// CloseAfterReply closes the connection right after its next reply.
 	CloseAfterReply
-	// CloseWhenIdle closes it as soon as no request is in flight on it.
+	// CloseWhenIdle closes the connection as soon as no request is in flight on it.
 	CloseWhenIdle
-	// StopReading reads nothing more from it, and closes it behind the last reply.
+	// StopReading stops reading from the connection and closes it after the last reply.
 	StopReading
 )
 
-// stopStage is how far the end of the process has come.
+// stopStage is the progress of the shutdown of the process.
 type stopStage uint8
 
 const (
 	running stopStage = iota
 	stopping
-	finishing // a request that is read now could not be answered any more
+	finishing // too late to answer requests that have not been read yet
 )
 
-// State is the state of one node. The zero value is a node that starts. Its methods may be called from several goroutines.
+// State is the state of one node. The zero value is the state of a starting node. The methods are safe for concurrent use.
 type State struct {
 	mu             sync.Mutex // guards all fields below
-	hasEndpoints   bool       // there is an endpoint list
+	hasEndpoints   bool       // the node has an endpoint list with a ready server
 	standby        bool
 	standbySince   float64 // ms; valid while standby is set
 	stop           stopStage
-	hasPredecessor bool // another process of the node serves until this one can
-	hasSuccessor   bool // another process serves in the node's place
+	hasPredecessor bool // another process of the node serves until this one is ready
+	hasSuccessor   bool // another process of the node has replaced this one
 }
 
-// MarkEndpointsKnown records that there is an endpoint list with servers in it. It reports whether this is the first one.
+// MarkEndpointsKnown records that the node has an endpoint list with a ready server. It reports whether this was the first call.
 func (s *State) MarkEndpointsKnown() (first bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,8 +80,7 @@
 	return first
 }
 
-// EnterStandby takes the node out of use. On standby already it changes nothing: the times of the drain run from the first
-// call.
+// EnterStandby takes the node out of service. If the node is on standby already, nothing changes: the drain counts from the first call.
 func (s *State) EnterStandby(now float64) (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -92,7 +91,7 @@
 	return true
 }
 
-// LeaveStandby puts the node back into use.
+// LeaveStandby puts the node back into service.
 func (s *State) LeaveStandby() (changed bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,10 +99,10 @@
 	return changed
 }
 
-// BeginStop records that the process is about to end.
+// BeginStop records that the process is shutting down.
 func (s *State) BeginStop() { s.advanceStop(stopping) }
 
-// FinishStop records that the end is near: requests that were read are answered, and nothing more is read.
+// FinishStop begins the last stage of the shutdown: requests that were read are answered, and no more are read.
 func (s *State) FinishStop() { s.advanceStop(finishing) }
 
 func (s *State) advanceStop(stage stopStage) {
@@ -112,28 +111,28 @@
 	s.stop = max(s.stop, stage)
 }
 
-// SetSuccessor records that a successor serves in the node's place, or, should it be lost, that none does any more.
+// SetSuccessor records whether a successor serves instead of this process. serving is false again if the successor is lost.
 func (s *State) SetSuccessor(serving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hasSuccessor = serving
 }
 
-// SetPredecessor records that another process serves until this one can, or that it does not any more.
+// SetPredecessor records whether another process of the node serves until this one is ready.
 func (s *State) SetPredecessor(serving bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.hasPredecessor = serving
 }
 
-// CanServe reports whether the node has what it needs to serve.
+// CanServe reports whether the node has an endpoint list, without which it cannot serve.
 func (s *State) CanServe() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.hasEndpoints
 }
 
-// StandbySince returns when standby was entered, or 0 if the node is not on standby.
+// StandbySince returns the time at which standby was entered, or 0 if the node is not on standby.
 func (s *State) StandbySince() float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -158,42 +157,42 @@
 	return Starting
 }
 
-// ReadyForClients reports whether the node reports ready to its clients. One that stops still does on the connections that
-// it has: their clients learn of the end by other means, and new connections meet a closed listener.
+// ReadyForClients reports whether the node reports ready to its clients. A stopping node still reports ready on its open connections: the
+// listener is closed for new ones, and clients notice the shutdown when their connections are closed.
 func (s *State) ReadyForClients() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.readyForClients()
 }
 
-// readyForClients is called with mu held.
+// readyForClients implements ReadyForClients. The caller holds mu.
 func (s *State) readyForClients() bool { return s.hasEndpoints && !s.standby }
 
-// ReadyForOperators reports whether the node reports ready on the admin port: as to clients, but not before the predecessor
-// has acknowledged that this process serves, because operators stop the predecessor then.
+// ReadyForOperators reports whether the node reports ready on the admin port. The answer is that of ReadyForClients, but a successor is not
+// ready before the predecessor has acknowledged that the successor serves, because operators then stop the predecessor.
 func (s *State) ReadyForOperators() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.readyForClients() && !s.hasPredecessor
 }
 
-// AcceptsConnections reports whether new connections are accepted. They are on standby, because the load balancer makes its
-// health checks on new connections.
+// AcceptsConnections reports whether new connections are accepted. A node on standby accepts them, because the load balancer opens new
+// connections for its health checks.
 func (s *State) AcceptsConnections() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return !s.hasSuccessor && !s.hasPredecessor
 }
 
-// ClosesConnections reports whether clients' connections are closed by and by.
+// ClosesConnections reports whether client connections are being closed or will be closed gradually.
 func (s *State) ClosesConnections() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.standby || s.stop != running || s.hasSuccessor
 }
 
-// CloseMode says when a client's connection is to be closed. position, in [0, 1), is drawn once for each connection; it is
-// the place of the connection within the spans of a drain.
+// CloseMode returns the mode for closing a client connection. jitter is a random number in [0, 1) that the caller draws once per connection;
+// it places the connection between the bounds of the drain.
 func (s *State) CloseMode(now, jitter float64) CloseMode {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -208,7 +207,7 @@
 	return KeepOpen
 }
 
-// drainMode is the mode of a connection so many ms after standby was entered.
+// drainMode returns the mode of a connection when elapsed ms have passed since standby was entered.
 func drainMode(elapsed, jitter float64) CloseMode {
 	switch {
 	case elapsed >= interpolate(closeWhenIdleFromMs, closeWhenIdleUntilMs, jitter):
--- a/internal/node/lifecycle/lifecycle_test.go
+++ b/internal/node/lifecycle/lifecycle_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// model is what was called on a State.
+// model is the state expected of a State, given the methods called so far.
 type model struct {
 	now                          float64
 	listed, stopping, finishing  bool
@@ -16,7 +16,7 @@
 
 func (m *model) onStandby() bool { return m.standbySince >= 0 }
 
-// TestState calls the methods in any order: the state follows what was called last, and every drain keeps its times.
+// TestState calls the methods in any order and checks the readiness of the node and the times of the drain.
 func TestState(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
@@ -51,13 +51,13 @@
 func (m *model) checkReadiness(t *rapid.T, s *State) {
 	ready := m.listed && !m.onStandby()
 	if s.ReadyForClients() != ready || s.ReadyForOperators() != (ready && !m.hasPredecessor) {
-		t.Fatal("readiness does not follow what was called last")
+		t.Fatal("readiness does not match the methods called")
 	}
 	if since := s.StandbySince(); since != max(0, m.standbySince) || s.CanServe() != m.listed {
 		t.Fatalf("on standby since %v, want %v", since, m.standbySince)
 	}
 	if s.AcceptsConnections() == (m.hasSuccessor || m.hasPredecessor) {
-		t.Fatal("new connections belong to exactly one of two processes")
+		t.Fatal("exactly one of the two processes must accept connections")
 	}
 }
 
@@ -72,11 +72,11 @@
 	case (mode == StopReading) != m.finishing:
 		t.Fatalf("mode %d, and finishing is %v", mode, m.finishing)
 	case leaving && !m.finishing && mode != CloseWhenIdle:
-		t.Fatalf("mode %d while the process gives its connections up", mode)
+		t.Fatalf("mode %d while the process hands over its connections or stops", mode)
 	case m.onStandby() && elapsed >= 2000 && !m.finishing && mode != CloseWhenIdle:
-		t.Fatalf("an idle connection is kept %v ms after the call", elapsed)
+		t.Fatalf("an idle connection is kept %v ms after EnterStandby", elapsed)
 	case m.onStandby() && !leaving && elapsed <= 200 && mode != KeepOpen:
-		t.Fatalf("mode %d while new connections still come, %v ms after the call", mode, elapsed)
+		t.Fatalf("mode %d while new connections still come, %v ms after EnterStandby", mode, elapsed)
 	}
 }
 
