--- a/internal/node/discovery/client.go
+++ b/internal/node/discovery/client.go
@@ -1,4 +1,4 @@
-// Package discovery is the client of the discovery service: it requests the endpoint list and watches its changes.
+// Package discovery is the client of the discovery service. It requests the endpoint list and watches it for changes.
 package discovery
 
 import (
@@ -10,59 +10,60 @@
 	"time"
 )
 
-// Timeouts bound the parts of a call. Each is bounded by itself, and their sum is what counts: a change that the discovery
-// service can deliver is taken to be known 6 s later, whatever became of the calls meanwhile.
+// Timeouts bound the parts of a call to the discovery service. Their sums matter too: the node must know of a change within 6 s of the time at
+// which the service can deliver it, even if calls fail in between.
 //
-// Before a call that succeeds, the worst is one of these. A watch falls silent (Idle, 3.2 s), its end is reported, and the
-// decision module starts the next call after at most its shortest backoff (a latency objective): 4.2 s with one of 1 s, and
-// 1.8 s are left for a response. Or the service comes back just after a call has started that does not reach it: the call
-// ends (Header, 2.3 s) and the longest backoff of the module is added (1.5 s): 3.8 s, and 2.2 s are left. Until its first
-// line has come, a call itself takes Header + Idle, 5.5 s, at most.
+// There are two worst cases before a call that succeeds. First, a watch stops receiving data: it ends after Idle (3.2 s), and the decision
+// module starts the next call after at most its shortest backoff, which is a latency objective (for instance 1 s). That takes 4.2 s and
+// leaves 1.8 s for the response. Second, the service recovers just after the start of a call that does not reach it: the call ends after
+// Header (2.3 s), and the longest backoff of the module (1.5 s) follows. That takes 3.8 s and leaves 2.2 s for the response. A call that
+// receives no line at all takes at most Header + Idle, 5.5 s.
 type Timeouts struct {
-	Dial   time.Duration // to connect, within Header
-	Header time.Duration // from the start of the call to the end of the response's header; the service rejects calls after 2 s
-	Idle   time.Duration // from one line to the next; while nothing changes a watch sends an empty one every 2 s
+	Dial   time.Duration // time limit for connecting, which also counts towards Header
+	Header time.Duration // time limit from the start of the call to the end of the response header; the service rejects calls after 2 s
+	Idle   time.Duration // time limit between two lines; on a watch without changes the service sends an empty line every 2 s
 }
 
-// The timeouts of a client that has none of its own.
+// Default timeouts of a Client.
 const (
 	defaultDialTimeout   = time.Second
 	defaultHeaderTimeout = 2300 * time.Millisecond
 	DefaultIdleTimeout   = 3200 * time.Millisecond
 )
 
-// Client calls the discovery service. Each call runs in a goroutine of its own, which ends with the call. The callbacks are
-// called from it and must not block. The methods may be called from several goroutines.
+// Client calls the discovery service. Each call runs in its own goroutine, which ends with the call. The callbacks are called from that
+// goroutine and must not block. The methods are safe for concurrent use.
 type Client struct {
-	Addr       string       // guarded by mu once a call was started; see SwitchTo and ListSource
-	OnUpdate   func(Update) // called for what a call brings, with mu held: it must not call the client
-	OnError    func(error)  // called when a call fails or a watch ends, unless a later one has replaced it
-	OnActivity func()       // nil, or called for each line of a response, also one that says that nothing has changed
-	Timeouts   Timeouts     // the zero value stands for the defaults
+	Addr       string       // address of the service; guarded by mu after the first call, see SwitchTo and ListSource
+	OnUpdate   func(Update) // called for each update, with mu held: it must not call methods of the client
+	OnError    func(error)  // called when a call fails or a watch ends, unless a later watch has replaced it
+	OnActivity func()       // if not nil, called for each line of a response, including empty lines
+	Timeouts   Timeouts     // zero value: the defaults
 
 	mu            sync.Mutex         // guards the fields below
-	watching      bool               // a watch is running that was not replaced
-	revision      int64              // the last one received
-	confirmedAt   time.Time          // when the list was last known to be complete; zero: it never was
-	needsFullList bool               // revision is of another service, so a full list is due before the next watch
-	cancelWatch   context.CancelFunc // nil, or ends the current watch
+	watching      bool               // the current watch is running
+	revision      int64              // last revision received
+	confirmedAt   time.Time          // when the list was last known to be complete; zero: never
+	needsFullList bool               // revision is from another service, so the next watch must request the full list first
+	cancelWatch   context.CancelFunc // ends the current watch; nil: there was none yet
 }
 
-// SetRevision sets the revision that is known already. It has to be called before the first call.
+// SetRevision sets the revision of an endpoint list that is known from elsewhere. It must be called before the first Watch or Poll.
 func (c *Client) SetRevision(revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revision = revision
 }
 
-// ConfirmList records that the list which is known now is complete, as it is where another process has followed it until now.
+// ConfirmList records that the current list is complete, for instance because the predecessor has watched it until now.
 func (c *Client) ConfirmList() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.confirmList()
 }
 
-// confirmList is called with mu held. It returns how long ago the list was confirmed before; negative: it never was.
+// confirmList records that the list is complete and returns the time since the previous confirmation, or a negative value if there was none.
+// The caller holds mu.
 func (c *Client) confirmList() (before time.Duration) {
 	now := time.Now()
 	before = -1
@@ -73,7 +74,7 @@
 	return before
 }
 
-// heartbeat records an empty line, which says that nothing has changed. What comes on a call that was replaced says nothing.
+// heartbeat handles an empty line, which confirms that nothing has changed. It ignores lines of a call that was replaced.
 func (c *Client) heartbeat(ctx context.Context) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,8 +90,8 @@
 	return c.revision
 }
 
-// ListSource returns the address of the service that sent the endpoint list, and the revision of the list there. After SwitchTo the
-// address is empty until the service at the new address has sent a full list: the revision means nothing there.
+// ListSource returns the address of the service that sent the endpoint list, and the revision of the list at that service. After SwitchTo
+// the address is empty until the new service has sent its full list, because the revision is not valid there.
 func (c *Client) ListSource() (addr string, revision int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -100,14 +101,14 @@
 	return c.Addr, c.revision
 }
 
-// Watch starts to watch for changes since the last revision. A watch that runs already ends without a callback.
+// Watch starts a watch for changes since the last revision. A running watch is cancelled without a callback.
 func (c *Client) Watch() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.startWatch()
 }
 
-// startWatch is called with mu held.
+// startWatch implements Watch. The caller holds mu.
 func (c *Client) startWatch() {
 	ctx, cancel := context.WithCancel(context.Background())
 	if c.cancelWatch != nil {
@@ -131,15 +132,15 @@
 	}
 }
 
-// Watching reports whether a watch is running, or a call that will become one. A failure that is handled late, when the
-// next call has been started already, is no reason to start another.
+// Watching reports whether a watch is running, including the request of the full list before it. Callers that handle a failure late use it
+// to avoid starting a second watch when the next one has already been started.
 func (c *Client) Watching() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.watching
 }
 
-// Poll requests the full list once.
+// Poll requests the full list once, without watching it.
 func (c *Client) Poll() {
 	c.mu.Lock()
 	addr := c.Addr
@@ -151,8 +152,8 @@
 	}()
 }
 
-// SwitchTo watches the discovery service at another address, at once. The current watch ends without a callback, and what
-// the service at the old address still sends is dropped.
+// SwitchTo starts a watch of the discovery service at another address. The current watch is cancelled without a callback, and updates that
+// still arrive from the old address are dropped.
 func (c *Client) SwitchTo(addr string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -160,7 +161,7 @@
 	c.startWatch()
 }
 
-// run makes one call, or the two of a watch of another service, and delivers what they bring until they end.
+// run makes one call, or two if a watch must request the full list first, and delivers their updates.
 func (c *Client) run(ctx context.Context, addr string, watch bool) (err error) {
 	defer func() {
 		if p := recover(); p != nil {
@@ -170,8 +171,8 @@
 	c.mu.Lock()
 	needsFullList := c.needsFullList
 	c.mu.Unlock()
-	// Another service may number its revisions in another way: its changes since a revision of the old one, or since one
-	// that it has not reached yet, would lack what it had before. Its full list does not.
+	// Another service may number its revisions differently. Its changes since a revision of the old service could lack earlier changes; its
+	// full list is complete.
 	if !watch || needsFullList {
 		if err := c.stream(ctx, addr, listPath); err != nil || !watch {
 			return err
@@ -185,13 +186,12 @@
 	return cmp.Or(c.Timeouts, Timeouts{Dial: defaultDialTimeout, Header: defaultHeaderTimeout, Idle: DefaultIdleTimeout})
 }
 
-// deliver passes one update on. One that cannot be read fails the call, and the list stays as it is.
+// deliver passes an update to OnUpdate. An update with an entry that cannot be parsed fails the call and changes nothing.
 func (c *Client) deliver(ctx context.Context, addr string, u Update) error {
 	if err := u.validate(); err != nil {
 		return fmt.Errorf("reading the endpoint list: %w", err)
 	}
-	// The callback is called with the lock held, so that what a call brings that was replaced meanwhile cannot follow what
-	// its successor brings.
+	// mu is held during the callback, so that an update of a call that was replaced cannot follow an update of the call that replaced it.
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if err := ctx.Err(); err != nil {
@@ -201,7 +201,7 @@
 		return errSwitched
 	}
 	if u.Complete {
-		c.revision, c.needsFullList = u.Revision, false // the service may have begun to count anew
+		c.revision, c.needsFullList = u.Revision, false // a full list may lower the revision: the service may have restarted its count
 	} else {
 		c.revision = max(c.revision, u.Revision)
 	}
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -11,6 +11,7 @@
 	"mintspring/internal/testbed/loopbacktest"
 )
 
+// TestWatch: a watch delivers its updates and reports its end, and the next watch continues from the last revision.
 func TestWatch(t *testing.T) {
 	requested := make(chan string, 10)
 	c, events := newTestClient(t, func(w http.ResponseWriter, req *http.Request) {
@@ -36,8 +37,8 @@
 	}
 }
 
-// TestSwitchTo: the full list of another service is requested first, because it may number its revisions in another way. What
-// the old service still sends is dropped.
+// TestSwitchTo: after a switch to another service the full list is requested first, because that service may number its revisions
+// differently. Updates that still arrive from the old service are dropped.
 func TestSwitchTo(t *testing.T) {
 	requested := make(chan string, 10)
 	service := func(revision int) http.HandlerFunc {
@@ -70,7 +71,7 @@
 	}
 }
 
-// TestFailedCalls: a malformed object, a 503, and an end fail the call; what came before them stands.
+// TestFailedCalls: a malformed object, an early end, a 503 and a refused connection fail the call.
 func TestFailedCalls(t *testing.T) {
 	for _, text := range []string{
 		"{\"revision\":\n", "[]\n", `{"revision":1,"members":[{"phase":"in_service"}]}` + "\n",
@@ -78,21 +79,21 @@
 	} {
 		c, events := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { send(w, text) })
 		if c.Watch(); nextEvent(t, events).err == nil {
-			t.Errorf("%q is taken for a list", text)
+			t.Errorf("%q is accepted as a list", text)
 		}
 	}
 	c, events := newTestClient(t, func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) })
 	if c.Poll(); nextEvent(t, events).err == nil {
-		t.Error("a 503 is taken for a list")
+		t.Error("a 503 is accepted as a list")
 	}
 	c.Addr = "127.0.0.1:1"
 	if c.Watch(); nextEvent(t, events).err == nil {
-		t.Error("a refused call did not fail")
+		t.Error("a call to a closed port did not fail")
 	}
 }
 
-// TestSwitchToDuringCall: a client that switches to another service during a call has a watch running all the while. The end of
-// the old call, reported late, is no reason to start the new one again.
+// TestSwitchToDuringCall: while a client switches to another service, Watching reports true throughout, and the end of the old call is not
+// reported. Otherwise the caller would start a second watch.
 func TestSwitchToDuringCall(t *testing.T) {
 	called, done := make(chan string, 10), make(chan struct{})
 	defer close(done)
@@ -108,28 +109,27 @@
 	}
 	select {
 	case e := <-events:
-		t.Errorf("%+v of a call that was replaced", e)
+		t.Errorf("callback %+v of a call that was replaced", e)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
 
-// TestTimeoutsAddUp: what calls may wait for is less than the 6 s after which a change counts as known. A watch that falls
-// silent, or a call that never reaches the service, each with the backoff of the decision module, leave time for the header of
-// another call.
+// TestTimeoutsAddUp: a change is known within 6 s even if a call fails first. A watch that stops receiving data or a call that never reaches
+// the service, followed by the backoff of the decision module, leaves enough time for the response of another call.
 func TestTimeoutsAddUp(t *testing.T) {
 	const maxDelay, shortestBackoff, longestBackoff, responseTime = 6 * time.Second, time.Second, 1500 * time.Millisecond, 1500 * time.Millisecond
 	if sum := DefaultIdleTimeout + shortestBackoff + responseTime; sum > maxDelay {
-		t.Errorf("behind a watch that falls silent a change is known after %v", sum)
+		t.Errorf("after a watch without data a change is known in %v", sum)
 	}
 	if sum := defaultHeaderTimeout + longestBackoff + responseTime; sum > maxDelay {
-		t.Errorf("behind a call that never reaches the service a change is known after %v", sum)
+		t.Errorf("after a call that never reaches the service a change is known in %v", sum)
 	}
 	if defaultHeaderTimeout+DefaultIdleTimeout > maxDelay || defaultDialTimeout > defaultHeaderTimeout || DefaultIdleTimeout < 3*time.Second || defaultHeaderTimeout <= 2*time.Second {
-		t.Errorf("%v, %v, %v: a call alone takes too long, or what discovery may take is not waited for", defaultDialTimeout, defaultHeaderTimeout, DefaultIdleTimeout)
+		t.Errorf("%v, %v, %v: a single call takes too long, or a timeout is below what the service may take", defaultDialTimeout, defaultHeaderTimeout, DefaultIdleTimeout)
 	}
 }
 
-// TestWatchIsReplaced: a later watch replaces the one before, whose end is not reported then.
+// TestWatchIsReplaced: a second watch replaces the first one, whose end is not reported.
 func TestWatchIsReplaced(t *testing.T) {
 	first := true
 	c, events := newTestClient(t, func(w http.ResponseWriter, req *http.Request) {
--- a/internal/node/discovery/close.go
+++ b/internal/node/discovery/close.go
@@ -1,6 +1,7 @@
 package discovery
 
-// Close ends the current watch without a callback. Watch and SwitchTo must not be called after it. A call of Poll ends by itself.
+// Close cancels the current watch without a callback. Watch and SwitchTo must not be called afterwards. A call started by Poll is not
+// cancelled; it ends within its timeouts.
 func (c *Client) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/discovery/close_test.go
+++ b/internal/node/discovery/close_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// TestClose checks that Close ends the watch, and that nobody is told of its end.
+// TestClose checks that Close ends the watch without a callback.
 func TestClose(t *testing.T) {
 	called, ended := make(chan struct{}, 1), make(chan struct{}, 1)
 	c, events := newTestClient(t, func(w http.ResponseWriter, req *http.Request) {
@@ -22,14 +22,14 @@
 	select {
 	case <-ended:
 	case <-time.After(testTimeout):
-		t.Fatal("the call goes on")
+		t.Fatal("the call is still running")
 	}
 	if c.Watching() {
 		t.Error("a watch is running")
 	}
 	select {
 	case e := <-events:
-		t.Errorf("%+v of a watch that was ended", e)
+		t.Errorf("callback %+v after Close", e)
 	case <-time.After(50 * time.Millisecond):
 	}
 }
--- a/internal/node/discovery/entry.go
+++ b/internal/node/discovery/entry.go
@@ -10,16 +10,16 @@
 	"mintspring/internal/fleet"
 )
 
-// OriginFlavor is the flavor under which the origin stands in the endpoint list.
+// OriginFlavor is the flavor of the origin in the endpoint list.
 const OriginFlavor = "origin"
 
-// Phases of an endpoint that the node tells apart; it sends nothing new to an endpoint in any other.
+// Phases of an endpoint that the node distinguishes. It sends no new attempts to an endpoint in any other phase.
 const (
 	PhaseInService  = "in_service"
 	PhaseTerminated = "terminated"
 )
 
-// Entry is one endpoint as the discovery service describes it. Fields may be missing.
+// Entry is the discovery service's description of an endpoint. Fields may be missing.
 type Entry struct {
 	ID       string  `json:"id"`
 	HostPort string  `json:"host_port"`
@@ -31,8 +31,7 @@
 	UpSince  float64 `json:"up_since_ms"` // Unix ms
 }
 
-// Endpoint returns the entry as the decision module takes it. An endpoint without an address, or in a phase that is not
-// known, is draining.
+// Endpoint converts the entry for the decision module. An endpoint without an address or in an unknown phase is draining.
 func (e *Entry) Endpoint(id fleet.ServerID, deployment *settings.Deployment) fleet.Endpoint {
 	m := fleet.Endpoint{
 		ID:              id,
@@ -56,20 +55,20 @@
 	return m
 }
 
-// Update is what one response, or one object of a watch, says.
+// Update is the content of the full list or of one object of a watch.
 type Update struct {
 	Revision int64             `json:"revision"`
-	Complete bool              `json:"complete"` // Members is the complete list, not only what has changed
-	Members  []json.RawMessage `json:"members"`  // entries, to be read with Merge
+	Complete bool              `json:"complete"` // Members is the complete list, not only the changed entries
+	Members  []json.RawMessage `json:"members"`  // entries, parsed by Merge
 
-	// ConfirmedAgo is how long before the update the list was last known to be complete without it; negative: it never was.
+	// ConfirmedAgo is the time from the last confirmation that the list was complete, before this update, to its arrival; negative: none.
 	ConfirmedAgo time.Duration `json:"-"`
 }
 
-// errNoID is returned for an entry that names no endpoint.
+// errNoID is returned for an entry without an id.
 var errNoID = errors.New("an entry without an id")
 
-// Merge reads an entry over what was known of the endpoint, so that fields which are missing stay as they were.
+// Merge parses an entry into the known entry of the endpoint, so that missing fields keep their values.
 func Merge(known Entry, text json.RawMessage) (Entry, error) {
 	err := json.Unmarshal(text, &known)
 	if err == nil && known.ID == "" {
@@ -78,7 +77,7 @@
 	return known, err
 }
 
-// validate reports whether every entry can be read.
+// validate returns an error if an entry cannot be parsed.
 func (u *Update) validate() error {
 	for _, text := range u.Members {
 		if _, err := Merge(Entry{}, text); err != nil {
--- a/internal/node/discovery/helpers_test.go
+++ b/internal/node/discovery/helpers_test.go
@@ -16,13 +16,13 @@
 // testTimeout bounds each wait of a test.
 const testTimeout = 10 * time.Second
 
-// event is a call of a client's callbacks.
+// event records one call of OnUpdate or OnError.
 type event struct {
 	update Update
 	err    error
 }
 
-// newClient returns a client of the service at addr, and the calls of its callbacks.
+// newClient returns a client of the service at addr and a channel with the calls of its callbacks.
 func newClient(addr string) (*Client, chan event) {
 	events := make(chan event, 100)
 	return &Client{
@@ -32,7 +32,7 @@
 	}, events
 }
 
-// newTestClient returns a client of an HTTP server.
+// newTestClient returns a client of an HTTP server with the given handler.
 func newTestClient(t *testing.T, serve http.HandlerFunc) (*Client, chan event) {
 	t.Helper()
 	s := loopbacktest.StartServer(t, serve)
@@ -40,7 +40,7 @@
 	return newClient(strings.TrimPrefix(s.URL, "http://"))
 }
 
-// send sends part of a response; the client may have given the call up.
+// send sends part of a response. It ignores errors, because the client may have cancelled the call.
 func send(w http.ResponseWriter, text string) {
 	_, _ = fmt.Fprint(w, text)
 	w.(http.Flusher).Flush()
@@ -57,22 +57,21 @@
 	}
 }
 
-// shortTimeouts make whatever is waited for end soon.
+// shortTimeouts make calls without a response fail quickly.
 var shortTimeouts = Timeouts{Dial: time.Second, Header: 150 * time.Millisecond, Idle: 150 * time.Millisecond}
 
-// newRawClient returns a client, with short timeouts, of a service on bare connections: serve is called with each
-// connection and the path that was requested. Connections stay open until the end of the test, so that only what is sent
-// ends a call.
+// newRawClient returns a client with short timeouts and a service on bare TCP connections. serve is called with each connection and the
+// requested path. Connections stay open until the end of the test, so that a call ends only by the bytes that serve sends or by a timeout.
 func newRawClient(t *testing.T, serve func(conn net.Conn, path string)) (*Client, chan event) {
 	t.Helper()
 	ln := loopbacktest.Listen(t)
-	var mu sync.Mutex // guards open
-	var open []net.Conn
+	var mu sync.Mutex // guards conns
+	var conns []net.Conn
 	t.Cleanup(func() {
 		_ = ln.Close() // the test is over
 		mu.Lock()
 		defer mu.Unlock()
-		for _, conn := range open {
+		for _, conn := range conns {
 			_ = conn.Close() // the test is over
 		}
 	})
@@ -83,7 +82,7 @@
 				return
 			}
 			mu.Lock()
-			open = append(open, conn)
+			conns = append(conns, conn)
 			mu.Unlock()
 			go func() {
 				if req, err := http.ReadRequest(bufio.NewReader(conn)); err == nil {
@@ -97,7 +96,7 @@
 	return c, events
 }
 
-// sendRaw sends part of a response; the client may have given the call up.
+// sendRaw sends part of a response. It ignores errors, because the client may have cancelled the call.
 func sendRaw(conn net.Conn, text string) {
 	_, _ = conn.Write([]byte(text))
 }
--- a/internal/node/discovery/stream.go
+++ b/internal/node/discovery/stream.go
@@ -13,19 +13,19 @@
 	"time"
 )
 
-// listPath is the path of the full list.
+// listPath is the URL path of the full list. With a query it is the path of a watch.
 const listPath = "/catalog/members"
 
-// maxObjectBytes bounds one object of a watch, and the full list.
+// maxObjectBytes is the maximum size of the full list or of one JSON object of a watch.
 const maxObjectBytes = 8 << 20
 
 var (
 	errWatchEnded = errors.New("the watch ended")
-	errSwitched   = errors.New("the address of the discovery service has changed meanwhile")
+	errSwitched   = errors.New("the address of the discovery service changed during the call")
 )
 
-// stream makes one request and delivers the objects of its response: one of the full list, or all of a watch until that
-// ends, which is an error.
+// stream sends one request and delivers the JSON objects of the response: a single one for the full list, or those of a watch until it ends.
+// The end of a watch is always an error.
 func (c *Client) stream(ctx context.Context, addr, path string) error {
 	timeouts := c.timeouts()
 	headerDeadline := time.Now().Add(timeouts.Header)
@@ -33,14 +33,14 @@
 	if err != nil {
 		return fmt.Errorf("connecting to the discovery service: %w", err)
 	}
-	defer conn.Close()                                          //nolint:errcheck // the call is over
-	defer context.AfterFunc(ctx, func() { _ = conn.Close() })() // the call is given up
-	resp, err := sendRequest(conn, addr, path, headerDeadline)  //nolint:bodyclose // Close would wait for the rest of a watch
+	defer conn.Close()                                          //nolint:errcheck // the call has ended
+	defer context.AfterFunc(ctx, func() { _ = conn.Close() })() // the call was cancelled
+	resp, err := sendRequest(conn, addr, path, headerDeadline)  //nolint:bodyclose // Close would wait for the end of a watch
 	if err != nil {
 		return err
 	}
 	extendDeadline := func() {
-		_ = conn.SetDeadline(time.Now().Add(timeouts.Idle)) // a connection that is closed fails the next read
+		_ = conn.SetDeadline(time.Now().Add(timeouts.Idle)) // if the connection is closed, the next read fails
 	}
 	extendDeadline()
 	body := &lineReader{source: resp.Body, remaining: maxObjectBytes, onLine: func() {
@@ -49,8 +49,8 @@
 			c.OnActivity()
 		}
 	}, onHeartbeat: func() { c.heartbeat(ctx) }}
-	// An object ends with its last brace, whether it stands on one line or is indented, and whether or not the response ends
-	// with it.
+	// The decoder finds the end of an object by its last brace, so an object may be indented over several lines, and the response need not
+	// end after it.
 	for objects := json.NewDecoder(body); ; {
 		var u Update
 		err := objects.Decode(&u)
@@ -67,8 +67,8 @@
 	}
 }
 
-// sendRequest sends a request and reads the header of the response, skipping provisional ones. The body need not be closed:
-// it ends with the connection.
+// sendRequest sends a request and reads the header of the response, skipping 1xx responses. The body need not be closed, because it ends
+// with the connection.
 func sendRequest(conn net.Conn, addr, path string, deadline time.Time) (*http.Response, error) {
 	if err := conn.SetDeadline(deadline); err != nil {
 		return nil, fmt.Errorf("calling the discovery service: %w", err)
@@ -85,25 +85,26 @@
 		return nil, fmt.Errorf("reading the discovery service's response: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, fmt.Errorf("the discovery service responds %s", resp.Status)
+		return nil, fmt.Errorf("the discovery service responded %s", resp.Status)
 	}
 	return resp, nil
 }
 
-// lineReader calls onLine for each read with the end of a line in it, onHeartbeat for each with nothing else in it, and bounds the
-// bytes of one object.
+// lineReader limits the bytes of one object. It calls onLine for each read that contains the end of a line, and onHeartbeat for each read
+// that contains nothing but line ends.
 type lineReader struct {
 	source      io.Reader
 	onLine      func()
 	onHeartbeat func()
-	remaining   int // bytes that the current object may still have
+	remaining   int // bytes left for the current object
 }
 
-// Read skips empty lines: those of a watch of months would pile up in the decoder's memory. No JSON string holds one.
+// Read skips empty lines, because those of a watch that runs for months would accumulate in the decoder's buffer. Skipping is safe: a JSON
+// string contains no line ends.
 func (l *lineReader) Read(b []byte) (int, error) {
 	for {
 		if l.remaining <= 0 {
-			return 0, fmt.Errorf("an object of over %d bytes", maxObjectBytes)
+			return 0, fmt.Errorf("an object exceeds %d bytes", maxObjectBytes)
 		}
 		n, err := l.source.Read(b[:min(len(b), l.remaining)])
 		if bytes.IndexByte(b[:n], '\n') >= 0 {
--- a/internal/node/discovery/stream_test.go
+++ b/internal/node/discovery/stream_test.go
@@ -11,7 +11,8 @@
 	"testing"
 )
 
-// TestSilentWatchEnds: a watch that brings nothing fails, wherever it falls silent. What it brought before stands.
+// TestSilentWatchEnds: a watch that receives no more data fails, at whatever point of the response that happens. Updates received before are
+// delivered.
 func TestSilentWatchEnds(t *testing.T) {
 	const header = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 	const object = `{"revision":3,"complete":true,"members":[{"id":"s1"}]}` + "\n"
@@ -40,18 +41,18 @@
 			var netErr net.Error
 			e := nextEvent(t, events)
 			timedOut := errors.As(e.err, &netErr) && netErr.Timeout()
-			if e.err == nil || name != "within the header" && !timedOut { // half a line of the header is malformed
+			if e.err == nil || name != "within the header" && !timedOut { // a truncated header is malformed
 				t.Errorf("error %v", e.err)
 			}
 			if client.Watching() {
-				t.Error("a watch is said to be running")
+				t.Error("Watching is true after the watch has ended")
 			}
 		})
 	}
 }
 
-// TestResponseForms: a list is read on one line or indented, in one piece, in many or in chunks, with a length, without one and
-// with the connection left open behind it, and behind provisional responses.
+// TestResponseForms: a list may be on one line or indented, in chunks, with or without a Content-Length, on a connection that stays open, and
+// after 1xx responses.
 func TestResponseForms(t *testing.T) {
 	const line = `{"revision":5,"complete":true,"members":[{"id":"s 1","phase":"in_service"},{"id":"s2"}]}`
 	var indented bytes.Buffer
@@ -69,7 +70,7 @@
 	}
 }
 
-// responses returns responses with a body.
+// responses returns HTTP responses that have the same body in different forms.
 func responses(body string) []string {
 	chunks := ""
 	for i := 0; i < len(body); i += 7 {
@@ -85,7 +86,7 @@
 	}
 }
 
-// checkResponse has a service send a response byte by byte.
+// checkResponse checks the update from a response that the service sends byte by byte.
 func checkResponse(t *testing.T, response string, watch bool) {
 	t.Helper()
 	c, events := newRawClient(t, func(conn net.Conn, _ string) {
@@ -99,11 +100,11 @@
 		c.Poll()
 	}
 	if e := nextEvent(t, events); e.err != nil || e.update.Revision != 5 || len(e.update.Members) != 2 {
-		t.Errorf("a watch (%v) of %q brings %+v", watch, response, e)
+		t.Errorf("response %q (watch: %v) delivers %+v", response, watch, e)
 	}
 }
 
-// TestLineReader: empty lines are skipped and reported, and an object without an end is cut off.
+// TestLineReader: empty lines are skipped and reported as heartbeats, and reading fails after the maximum size of an object.
 func TestLineReader(t *testing.T) {
 	lines, heartbeats := 0, 0
 	onLine, onHeartbeat := func() { lines++ }, func() { heartbeats++ }
@@ -111,7 +112,7 @@
 	if got, err := l.Read(make([]byte, 1)); got != 0 || !errors.Is(err, io.EOF) || lines != 2 || l.remaining != 10 {
 		t.Errorf("%d bytes of empty lines, %v; %d lines, %d remaining", got, err, lines, l.remaining)
 	}
-	if heartbeats != 3 { // the bytes were read one by one
+	if heartbeats != 3 { // the three bytes were read one by one
 		t.Errorf("%d heartbeats", heartbeats)
 	}
 	l = &lineReader{source: strings.NewReader(strings.Repeat("x", 30)), remaining: 10, onLine: onLine, onHeartbeat: onHeartbeat}
--- a/internal/node/fdlimit/fdlimit.go
+++ b/internal/node/fdlimit/fdlimit.go
@@ -1,4 +1,4 @@
-// Package fdlimit keeps the node's budget of file descriptors, so that the process never runs out of them.
+// Package fdlimit limits the file descriptors of client and server connections, so that the process never exhausts its limit.
 package fdlimit
 
 import (
@@ -6,45 +6,46 @@
 	"sync"
 )
 
-// reservedDescriptors descriptors are left to the runtime, the log, the listener, the connection to the discovery service and files.
+// reservedDescriptors is the number of descriptors left to the runtime, the log, the listener, the connection to the discovery service and
+// files.
 const reservedDescriptors = 24
 
-// defaultLimit is the limit where none is given: it is never reached.
+// defaultLimit is used if no limit is given. It is high enough never to be reached.
 const defaultLimit = 1 << 16
 
-// Owner is whose connection a descriptor is for.
+// Owner says whether a descriptor is for a connection of a client or of a server.
 type Owner bool
 
-// Owners of descriptors.
+// The owners of descriptors.
 const (
 	Client Owner = true
 	Server Owner = false
 )
 
-// Budget counts the descriptors that connections may still take. Clients and servers share it, and neither can use up the other's part: a
-// third of the limit is reserved for clients, and what clients may take beyond that is limited, since it is clients without a request
-// that come by the hundred. It is safe for concurrent use.
+// Budget tracks the descriptors that connections hold and may still acquire. Clients and servers share it, but neither can exhaust the part
+// of the other: a third of the limit is reserved for clients, and the descriptors that clients may hold beyond it are limited too, because
+// clients without a request may connect by the hundred. A Budget is safe for concurrent use.
 type Budget struct {
-	limit         int // of the node
-	clientReserve int // left to clients
-	clientLimit   int // that clients may hold
+	limit         int // descriptors of the node
+	clientReserve int // descriptors reserved for clients
+	clientLimit   int // maximum that clients may hold
 
-	mu         sync.Mutex // guards the fields below; it is not held while an evictor runs
+	mu         sync.Mutex // guards the fields below; not held while an evictor runs
 	available  int
 	clientHeld int // held by clients
 	held       int // held by clients and servers
-	lent       int // left to another process of the node
+	lent       int // descriptors left to another process of the node
 	evictors   []evictor
 }
 
-// evictor closes a connection that can be done without, and returns whether there was one.
+// evictor closes a dispensable connection of an owner. evict reports whether there was one.
 type evictor struct {
 	owner Owner
 	evict func() bool
 }
 
-// New makes the budget of a process with a limit on descriptors, of which some more than the reserved ones are set aside. Without a limit
-// (0) it has one that is never reached.
+// New returns the budget of a process that may hold limit descriptors; 0: defaultLimit. Connections cannot use reservedDescriptors of them,
+// nor the extraReserved that the caller needs for other purposes, but at least half of the limit is left to them.
 func New(limit, extraReserved int) *Budget {
 	if limit <= 0 {
 		limit = defaultLimit
@@ -58,21 +59,23 @@
 	}
 }
 
-// Limit is the number of descriptors that the node may hold.
+// Limit returns the number of descriptors that the node may hold.
 func (b *Budget) Limit() int { return b.limit }
 
-// ClientTarget is how many connections clients with requests may keep before the quietest is closed. It is below the clients' reserve:
-// Acquire evicts idle clients only when the reserve is used up, even if most of them are idle.
+// ClientTarget returns the number of connections that clients with requests may keep before the least active one is closed. It is below the
+// reserve for clients, because Acquire evicts idle clients only when the reserve is used up, even if most clients are idle.
 func (b *Budget) ClientTarget() int { return b.clientReserve * 3 / 4 }
 
-// AddEvictor adds a way of making a descriptor free. Evictors are tried in the order in which they were added.
+// AddEvictor adds a function that closes a connection of an owner to free its descriptor and reports whether there was one to close.
+// Evictors are tried in the order in which they were added.
 func (b *Budget) AddEvictor(owner Owner, evict func() bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.evictors = append(b.evictors, evictor{owner, evict})
 }
 
-// Acquire takes a descriptor for a connection, if need be by closing another one. It returns false if there is none.
+// Acquire acquires a descriptor for a connection. If none is available, it evicts another connection; it returns false if there is none to
+// evict.
 func (b *Budget) Acquire(owner Owner) bool {
 	for {
 		refused := b.tryAcquire(owner)
@@ -85,13 +88,13 @@
 	}
 }
 
-// refusal says whose connections can make room for a descriptor that was refused.
+// refusal says the connections of which owners may be evicted to make a refused descriptor available.
 type refusal struct {
 	evictClients, evictServers bool
 	evictors                   []evictor
 }
 
-// evictOne closes one connection, and returns false if there is none to close.
+// evictOne evicts one connection. It returns false if there is none to evict.
 func (r *refusal) evictOne() bool {
 	return slices.ContainsFunc(r.evictors, func(e evictor) bool {
 		eligible := e.owner == Client && r.evictClients || e.owner == Server && r.evictServers
@@ -99,7 +102,7 @@
 	})
 }
 
-// tryAcquire takes a descriptor if one is available, and else returns why not.
+// tryAcquire acquires a descriptor if one is available. Otherwise it returns a refusal.
 func (b *Budget) tryAcquire(owner Owner) *refusal {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -109,13 +112,14 @@
 	case owner == Client && b.available <= 0:
 		return &refusal{evictClients: true, evictServers: true, evictors: b.evictors}
 	case owner == Server && b.available <= max(0, b.clientReserve-b.clientHeld):
-		// What clients release of their own reserve stays theirs.
+		// Unused descriptors of the reserve for clients are not available to servers.
 		return &refusal{evictClients: b.clientHeld > b.clientReserve, evictServers: true, evictors: b.evictors}
 	}
 	b.acquireLocked(owner)
 	return nil
 }
 
+// acquireLocked counts an acquired descriptor. The caller holds mu.
 func (b *Budget) acquireLocked(owner Owner) {
 	b.available--
 	b.held++
@@ -124,7 +128,7 @@
 	}
 }
 
-// Release returns a descriptor.
+// Release returns an acquired descriptor to the budget.
 func (b *Budget) Release(owner Owner) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -135,14 +139,14 @@
 	}
 }
 
-// Held is the number of descriptors that connections of this process hold.
+// Held returns the number of descriptors that connections of this process hold.
 func (b *Budget) Held() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.held
 }
 
-// Lend leaves a number of descriptors to another process of the node, in place of what was left to it before.
+// Lend leaves count descriptors to another process of the node. The count replaces that of earlier calls.
 func (b *Budget) Lend(count int) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -150,7 +154,8 @@
 	b.lent = count
 }
 
-// AcquireLent takes a descriptor for a client connection that another process of the node has passed on. It was lent to that one.
+// AcquireLent acquires a descriptor for a client connection that another process of the node has handed over. The descriptor is one of those
+// lent to that process, which no longer needs it.
 func (b *Budget) AcquireLent() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/node/fdlimit/fdlimit_test.go
+++ b/internal/node/fdlimit/fdlimit_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// acquireAll takes descriptors until one is refused, and returns how many it got.
+// acquireAll acquires descriptors until one is refused, and returns how many it got.
 func acquireAll(b *Budget, owner Owner) int {
 	count := 0
 	for b.Acquire(owner) {
@@ -11,7 +11,8 @@
 	return count
 }
 
-// Of 300 descriptors 24 are reserved: servers leave the clients' third free, and clients leave a third of the rest to servers.
+// TestNeitherOwnerUsesUpTheOther: of 300 descriptors, 24 are reserved for the process. Servers leave 100 for clients, which is a third of the
+// limit, and clients hold at most 150, half of the limit.
 func TestNeitherOwnerUsesUpTheOther(t *testing.T) {
 	b := New(300, 0)
 	if got := acquireAll(b, Server); got != 176 {
@@ -32,7 +33,8 @@
 	}
 }
 
-// Evictors are tried in order, only for connections that make room, and a refused descriptor is had once one has closed its connection.
+// TestEvictorsMakeRoom: evictors are tried in order and only for owners whose connections may be evicted. After a successful eviction the
+// descriptor is acquired.
 func TestEvictorsMakeRoom(t *testing.T) {
 	b := New(300, 0)
 	var calls []string
@@ -45,7 +47,7 @@
 			return succeeds
 		}
 	}
-	acquireAll(b, Client) // up to their limit: only clients can make room
+	acquireAll(b, Client) // up to the limit of clients, where only clients may be evicted
 	b.AddEvictor(Server, evict("server", Server, true))
 	b.AddEvictor(Client, evict("silent", Client, false))
 	b.AddEvictor(Client, evict("idle", Client, true))
@@ -60,20 +62,20 @@
 	}
 }
 
-// What is lent to the other process is not available, and comes with a client that is passed on.
+// TestLentDescriptors: descriptors lent to the other process are not available here, except for client connections that it hands over.
 func TestLentDescriptors(t *testing.T) {
 	b := New(300, 0)
 	b.Lend(276)
 	if b.Acquire(Client) || b.Acquire(Server) {
-		t.Error("a descriptor although all are lent")
+		t.Error("acquired a descriptor although all are lent")
 	}
 	b.AcquireLent()
 	if b.Held() != 1 || b.Acquire(Client) {
-		t.Errorf("%d are held after a client was passed on", b.Held())
+		t.Errorf("%d are held after a client was handed over", b.Held())
 	}
 	b.Lend(0)
 	if got := acquireAll(b, Client); got != 149 {
-		t.Errorf("clients got %d descriptors after the loan", got)
+		t.Errorf("clients got %d descriptors after none were lent any more", got)
 	}
 	for range 150 {
 		b.Release(Client)
@@ -84,9 +86,9 @@
 }
 
 func TestLimits(t *testing.T) {
-	for _, c := range []struct{ limit, setAside, want, clientTarget int }{{300, 0, 300, 75}, {300, 16, 300, 75}, {40, 16, 40, 7}, {0, 0, 1 << 16, 16383}} {
-		if b := New(c.limit, c.setAside); b.Limit() != c.want || b.ClientTarget() != c.clientTarget {
-			t.Errorf("New(%d, %d): limit %d, client target %d", c.limit, c.setAside, b.Limit(), b.ClientTarget())
+	for _, c := range []struct{ limit, extraReserved, want, clientTarget int }{{300, 0, 300, 75}, {300, 16, 300, 75}, {40, 16, 40, 7}, {0, 0, 1 << 16, 16383}} {
+		if b := New(c.limit, c.extraReserved); b.Limit() != c.want || b.ClientTarget() != c.clientTarget {
+			t.Errorf("New(%d, %d): limit %d, client target %d", c.limit, c.extraReserved, b.Limit(), b.ClientTarget())
 		}
 	}
 }
--- a/internal/node/memlimit/memlimit.go
+++ b/internal/node/memlimit/memlimit.go
@@ -1,18 +1,18 @@
-// Package memlimit limits the memory that large values may hold while they are buffered as a whole, over all connections.
+// Package memlimit limits the memory of large values that are buffered as a whole, summed over all connections.
 package memlimit
 
 import "sync/atomic"
 
-// Budget is a number of bytes that are acquired and released. It is safe for concurrent use.
+// Budget counts bytes that are acquired and released, up to a limit. It is safe for concurrent use.
 type Budget struct {
 	limit int64
 	used  atomic.Int64
 }
 
-// New makes a budget of limit bytes; 0: without a limit.
+// New returns a budget of limit bytes; 0: no limit.
 func New(limit int64) *Budget { return &Budget{limit: limit} }
 
-// TryAcquire takes n bytes. Where they are not available it takes none and returns false.
+// TryAcquire acquires n bytes. If fewer are available, it acquires none and returns false.
 func (b *Budget) TryAcquire(n int64) bool {
 	for {
 		used := b.used.Load()
@@ -25,8 +25,8 @@
 	}
 }
 
-// Release returns n bytes.
+// Release returns n acquired bytes to the budget.
 func (b *Budget) Release(n int64) { b.used.Add(-n) }
 
-// Used is the number of bytes in use.
+// Used returns the number of acquired bytes.
 func (b *Budget) Used() int64 { return b.used.Load() }
--- a/internal/node/memlimit/memlimit_test.go
+++ b/internal/node/memlimit/memlimit_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// However acquisitions and releases interleave, no more is used than the limit, and all is returned.
+// TestBudget: after concurrent acquisitions and releases no bytes are in use. Acquisitions beyond the limit are refused, and a limit of 0
+// refuses none.
 func TestBudget(t *testing.T) {
 	b := New(10)
 	var wg sync.WaitGroup
@@ -20,11 +21,12 @@
 	}
 	wg.Wait()
 	if b.Used() != 0 || b.TryAcquire(11) || !b.TryAcquire(10) || b.TryAcquire(1) || !New(0).TryAcquire(1<<40) {
-		t.Errorf("%d are used", b.Used())
+		t.Errorf("%d bytes are in use", b.Used())
 	}
 }
 
-// A refused acquisition never counts as used, not even for a moment in which another one would fail by it.
+// TestRefusedAcquisitionTakesNothing: a refused acquisition does not count as used even briefly; otherwise it would make a concurrent
+// acquisition fail.
 func TestRefusedAcquisitionTakesNothing(t *testing.T) {
 	b := New(10)
 	stop := make(chan struct{})
--- a/internal/node/serverstart/serverstart.go
+++ b/internal/node/serverstart/serverstart.go
@@ -1,8 +1,8 @@
-// Package serverstart converts the start times of servers, which the endpoint list gives by the wall clock of other machines, to the clock
-// of the node. The two may be apart by any time: the wall clock of either machine may have been stepped. How long ago a server started is
-// then known only from when the list was seen without that start.
+// Package serverstart converts the start times of servers to the node's clock. The endpoint list has them on the wall clocks of other
+// machines, which may differ from the node's clock by any amount, because the wall clock of either machine may have been stepped. The node
+// then knows how long ago a server started only from the time at which it last saw the list without that start.
 //
-// The package does no I/O and reads no clock. Times are Unix ms as float64. One goroutine owns a Tracker.
+// The package does no I/O and reads no clock. Times are Unix ms as float64. A Tracker is not safe for concurrent use.
 package serverstart
 
 import (
@@ -11,29 +11,30 @@
 	"slices"
 )
 
-// maxListDelayMs is how long, in ms, the discovery service may take to list a start without making its time implausible. A start that is
-// listed later counts as seen just now, which is on the safe side: the server is spared for longer. A clock that is wrong by less goes
-// unnoticed, and a server in slow start is sent less than half of what it bears (package slowstart), which covers that.
+// maxListDelayMs is how long the discovery service may take to list a start before the listed time counts as implausible. A start that is
+// listed later counts as having happened now, which is safe: the server's slow start only ends later. A clock error below this value is not
+// detected. The margin of the slow start covers it: a server in slow start is sent less than half of the load at which it fails (package
+// slowstart).
 const maxListDelayMs = 2000
 
-// Start is the start of one process of a server.
+// Start is the start of a server's process.
 type Start struct {
 	ID     string  `json:"id"`
-	Listed float64 `json:"listed"` // as the endpoint list gives it
-	At     float64 `json:"at"`     // by the node's clock
+	Listed float64 `json:"listed"` // time in the endpoint list
+	At     float64 `json:"at"`     // time on the node's clock
 }
 
-// Tracker knows the last start of each server. Its zero value knows none.
+// Tracker records the last start of each server. The zero value is empty and ready to use.
 type Tracker struct {
 	starts map[string]Start
 }
 
-// NeverConfirmed is the time of a confirmation that there has never been.
+// NeverConfirmed returns the confirmation time to pass to Observe when the list has never been confirmed.
 func NeverConfirmed() float64 { return math.Inf(-1) }
 
-// Observe returns when the process of a server has started, by the node's clock, given the time that the endpoint list says and the time
-// at which the list was last known to be complete without that start. A start that is listed as long ago (0), and one that is known
-// already, are what they were. One that cannot have been at the time listed counts as now.
+// Observe returns the start time of a server's process on the node's clock. listed is the time in the endpoint list, and confirmedAt the time
+// at which the list was last known to be complete without that start. A listed time of 0 means a start long ago and is returned as it is. A
+// known start keeps its time. A start that cannot have happened at the listed time counts as having happened now.
 func (t *Tracker) Observe(now float64, id string, listed, confirmedAt float64) float64 {
 	if listed <= 0 {
 		return listed
@@ -56,10 +57,10 @@
 	t.starts[start.ID] = start
 }
 
-// Forget drops what is known of a server that has left the list for good.
+// Forget drops the start of a server that has left the endpoint list for good.
 func (t *Tracker) Forget(id string) { delete(t.starts, id) }
 
-// Export returns all starts, for a process whose clock goes on where this one's is.
+// Export returns all starts, sorted by id, for a successor that continues this process's clock.
 func (t *Tracker) Export() []Start {
 	return slices.SortedFunc(maps.Values(t.starts), func(a, b Start) int {
 		if a.ID < b.ID {
@@ -69,7 +70,7 @@
 	})
 }
 
-// Import takes over the starts of another process.
+// Import adds the starts that the predecessor has exported.
 func (t *Tracker) Import(starts []Start) {
 	for _, start := range starts {
 		t.record(start)
--- a/internal/node/serverstart/serverstart_test.go
+++ b/internal/node/serverstart/serverstart_test.go
@@ -10,7 +10,7 @@
 	now  = 1_000_000_000.0
 )
 
-// A start that is seen to be new is placed by when it was seen, whatever the clock of the machine that names it.
+// TestObserve: a listed time is used if it is plausible; otherwise the start counts as having happened now, however far the clocks are apart.
 func TestObserve(t *testing.T) {
 	for _, test := range []struct {
 		name                string
@@ -36,23 +36,23 @@
 	}
 }
 
-// A start keeps its place, also in a process that takes over, until the server starts anew.
+// TestStartsAreStable: the time of a start does not change until the server starts again, even across a hot restart.
 func TestStartsAreStable(t *testing.T) {
 	var tracker Tracker
 	first := tracker.Observe(now, "s", now+hour, now)
 	if later := tracker.Observe(now+9000, "s", now+hour, now+8000); later != first {
-		t.Errorf("it moved by %.0f ms", later-first)
+		t.Errorf("the start moved by %.0f ms", later-first)
 	}
 	var successor Tracker
 	successor.Import(tracker.Export())
 	if !reflect.DeepEqual(successor, tracker) {
-		t.Errorf("taken over %v, want %v", successor, tracker)
+		t.Errorf("imported %v, want %v", successor, tracker)
 	}
 	if again := successor.Observe(now+20_000, "s", now+hour+20_000, now+19_000); again != now+20_000 {
 		t.Errorf("the next start is at %.0f", again-now)
 	}
 	successor.Forget("s")
 	if len(successor.Export()) != 0 {
-		t.Error("it is not forgotten")
+		t.Error("the start is not forgotten")
 	}
 }
--- a/internal/node/servertable/servertable.go
+++ b/internal/node/servertable/servertable.go
@@ -1,7 +1,7 @@
-// Package servertable numbers the servers of a node: each id of the endpoint list has a slot, which is reused when its server is long
-// gone. It does no I/O and reads no clock.
+// Package servertable assigns slots to the servers of a node. Each id of the endpoint list has a slot, which is reused some time after its
+// server has been removed. The package does no I/O and reads no clock.
 //
-// Times of type float64 are ms on the caller's clock. One goroutine owns a table.
+// Times of type float64 are ms on the caller's clock. A Table is not safe for concurrent use.
 package servertable
 
 import "mintspring/internal/fleet"
@@ -9,25 +9,26 @@
 type slot struct {
 	id        string
 	state     fleet.State
-	goneSince float64 // in the state Gone
+	goneSince float64 // valid in the state Gone
 }
 
-// Table is the servers of one node.
+// Table maps the ids of a node's servers to slots and holds the state of each server.
 type Table struct {
-	SlotByID  map[string]fleet.ServerID // slots by id; read only
-	Retention float64                   // how long the slot of a removed server is kept, in ms
+	SlotByID  map[string]fleet.ServerID // read only for callers
+	Retention float64                   // time in ms for which the slot of a removed server is not reused
 
 	slots []slot
 }
 
-// New makes an empty table. No request in flight may be older than the retention, for it could refer to the slot's next server.
+// New returns an empty table. The retention must exceed the age of any request in flight, because a request that outlives it could refer to
+// the next server in the slot.
 func New(retention float64) *Table {
 	return &Table{SlotByID: map[string]fleet.ServerID{}, Retention: retention}
 }
 
-// Assign returns the slot of a server by its id, and whether it is a new one. A new server has the slot of one that is long gone, whose
-// id is returned as replaced, or else a slot behind all others: so the table does not grow where servers are replaced all the time by
-// ones with ids of their own.
+// Assign returns the slot of the server with the given id. If the id has no slot, added is true, and the server gets the slot of a server that
+// has been gone for longer than the retention, whose id is returned as replaced, or else a new slot at the end. Reuse keeps the table from
+// growing when servers are continually replaced by servers with new ids.
 func (t *Table) Assign(now float64, id string) (slotID fleet.ServerID, added bool, replaced string) {
 	if known, ok := t.SlotByID[id]; ok {
 		return known, false, ""
@@ -45,7 +46,7 @@
 	return fleet.ServerID(index), true, replaced
 }
 
-// reusableSlot is the first slot whose server has been gone for longer than the retention, -1 for none.
+// reusableSlot returns the first slot whose server has been gone for longer than the retention, or -1 if there is none.
 func (t *Table) reusableSlot(now float64) int {
 	for i := range t.slots {
 		if s := &t.slots[i]; s.state == fleet.Gone && now-s.goneSince > t.Retention {
@@ -55,10 +56,10 @@
 	return -1
 }
 
-// State is the state of a server.
+// State returns the state of the server in a slot.
 func (t *Table) State(id fleet.ServerID) fleet.State { return t.slots[id].state }
 
-// SetState changes the state of a server.
+// SetState sets the state of the server in a slot.
 func (t *Table) SetState(now float64, id fleet.ServerID, state fleet.State) {
 	s := &t.slots[id]
 	if state == fleet.Gone && s.state != fleet.Gone {
@@ -67,7 +68,7 @@
 	s.state = state
 }
 
-// Missing returns the slots whose servers are not among the endpoints of a complete list, those of removed servers too.
+// Missing returns the slots whose servers are not in a complete list of endpoints, including the slots of servers that are already gone.
 func (t *Table) Missing(endpoints []fleet.Endpoint) []fleet.ServerID {
 	listed := make([]bool, len(t.slots))
 	for i := range endpoints {
--- a/internal/node/servertable/servertable_test.go
+++ b/internal/node/servertable/servertable_test.go
@@ -7,8 +7,8 @@
 	"mintspring/internal/fleet"
 )
 
-// Slots of servers that are long gone are reused, those of servers that may still have attempts out are not, and a server that comes back
-// in time has its own.
+// TestSlotsAreReused: the slot of a server is reused once the server has been gone for longer than the retention, and not before, because
+// attempts may still be in flight. A server that comes back before its slot is reused gets the same slot.
 func TestSlotsAreReused(t *testing.T) {
 	table := New(1000)
 	a, added, _ := table.Assign(0, "a")
@@ -18,14 +18,14 @@
 	}
 	table.SetState(100, a, fleet.Gone)
 	if b, _, replaced := table.Assign(1100, "b"); b == a || replaced != "" {
-		t.Error("b has the slot of a server that is gone for the retention only")
+		t.Error("b has the slot of a server that has not been gone for longer than the retention")
 	}
 	if again, added, _ := table.Assign(1100, "a"); again != a || added {
-		t.Error("a came back to another slot")
+		t.Error("a got another slot when it came back")
 	}
 	c, added, replaced := table.Assign(1101, "c")
 	if c != a || !added || replaced != "a" || table.SlotByID["c"] != a {
-		t.Errorf("c has slot %d, before it %q", c, replaced)
+		t.Errorf("c has slot %d and replaced %q", c, replaced)
 	}
 	if _, known := table.SlotByID["a"]; known {
 		t.Error("a still has a slot")
