--- a/internal/node/discovery/stream_test.go
+++ b/internal/node/discovery/stream_test.go
@@ -100,7 +100,7 @@
 		c.Poll()
 	}
 	if e := nextEvent(t, events); e.err != nil || e.update.Revision != 5 || len(e.update.Members) != 2 {
-		t.Errorf("response %q (watch: %v) delivers %+v", response, watch, e)
+		t.Errorf("watch %v: response %q delivers %+v", watch, response, e)
 	}
 }
 
--- a/internal/node/hotrestart/reader.go
+++ b/internal/node/hotrestart/reader.go
@@ -107,7 +107,7 @@
 	return conn, err
 }
 
-// close closes the connection and the descriptors whose message has not arrived.
+// close closes the connection and the descriptors that nextClient has not taken.
 func (r *reader) close() {
 	for _, fd := range r.fds {
 		_ = syscall.Close(fd) // nothing was written to it
