--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -17,6 +17,7 @@
 	"mintspring/internal/config/operatorfile"
 	"mintspring/internal/fleet"
 	"mintspring/internal/node/admin"
+	"mintspring/internal/node/connpool"
 	"mintspring/internal/node/hotrestart"
 )
 
@@ -168,20 +169,29 @@
 	}, echoOrigin, func(c *Config) {
 		c.Operator = &operatorfile.File{Connections: &operatorfile.Connections{MaxPerServer: 1}}
 	})
-	answers := make(chan string, 8)
-	for i := range 8 {
+	const requests = 8
+	answers := make(chan string, requests)
+	for i := range requests {
 		go func() { answers <- tc.request("KV.GET", "k", fmt.Sprint("q", i), "c=read,d=590") }()
 	}
-	time.Sleep(30 * time.Millisecond)
+	time.Sleep(30 * time.Millisecond) // a second connection would be open by then
+	var pool connpool.State           // some requests may be answered by the origin, which is free
+	deadline := time.Now().Add(5 * time.Second)
+	for tc.cacheRequests.Load() == 0 || pool.InUse == 0 || pool.InUse+pool.Waiting+len(answers) < requests {
+		if time.Sleep(time.Millisecond); time.Now().After(deadline) {
+			t.Fatalf("%d attempts are out, the pool is %+v, and %d requests are answered", tc.cacheRequests.Load(), pool, len(answers))
+		}
+		tc.onLoop(func(float64) { pool = tc.node.servers[tc.node.serverTable.IDs["s0"]].endpoint.State() })
+	}
 	sent := tc.cacheRequests.Load()
-	if sent != 1 {
-		t.Fatalf("%d attempts are out where one connection is allowed", sent)
+	if sent != 1 || pool.InUse != 1 || pool.Waiting == 0 {
+		t.Fatalf("%d attempts are out, and the pool is %+v, where one connection is allowed", sent, pool)
 	}
 	if _, err := tc.node.ExcludeServer("s0"); err != nil {
 		t.Fatal(err)
 	}
 	close(release)
-	for range 8 {
+	for range requests {
 		if got := <-answers; got != "hit" && !strings.HasPrefix(got, "GET /k") {
 			t.Errorf("answered %q", got)
 		}
