--- a/internal/node/hotrestart/channel_test.go
+++ b/internal/node/hotrestart/channel_test.go
@@ -127,17 +127,24 @@
 	h.recordingHandler.SuccessorReady()
 }
 
-// TestClientWithoutDescriptor: a client connection whose descriptor was lost in transit does not affect the connections sent after it.
+// TestClientWithoutDescriptor: a client connection whose descriptor was lost in transit does not affect the connections sent after it. The kernel
+// ends a read after a message whose descriptor it could not install, but not after one that was sent without any. The next message is therefore
+// sent only after this one has been handled.
 func TestClientWithoutDescriptor(t *testing.T) {
 	_, successor, predecessorEnd, _ := joinedPair(t, t.TempDir())
 	if err := predecessorEnd.send(kindClient, []byte{1}, noFD); err != nil {
 		t.Fatal(err)
 	}
-	_, server := loopbackConn(t)
+	predecessorEnd.ForwardCommand("maint-on", "s1")
+	successor.waitFor(t, "maint-on s1")
+	client, server := loopbackConn(t)
 	if !predecessorEnd.PassClient(server, false) {
 		t.Fatal("the connection was not passed")
 	}
 	successor.waitFor(t, "client has sent false")
+	if adopted := <-successor.clients; len(successor.clients) > 0 || adopted.RemoteAddr().String() != client.LocalAddr().String() {
+		t.Errorf("adopted the connection of %v, and %d more; passed was that of %v", adopted.RemoteAddr(), len(successor.clients), client.LocalAddr())
+	}
 	if len(successor.lost) > 0 {
 		t.Errorf("PeerLost was called: %v", <-successor.lost)
 	}
