--- a/cmd/mintspring-bench/gossip.go
+++ b/cmd/mintspring-bench/gossip.go
@@ -65,19 +65,19 @@
 // gossipFleet is a fleet of nodes that do nothing but gossip.
 type gossipFleet struct {
 	*simnet.Network
-	nodes []*gossip.Simulated
+	nodes []*gossip.SimulatedNode
 }
 
 func newGossipFleet(size int, seed uint64) *gossipFleet {
-	f := &gossipFleet{Network: simnet.New(size, seed), nodes: make([]*gossip.Simulated, size)}
-	f.TickMs = gossipTickMs
+	f := &gossipFleet{Network: simnet.New(size, seed), nodes: make([]*gossip.SimulatedNode, size)}
+	f.TickIntervalMs = gossipTickMs
 	for i := range size {
 		now := f.Nodes[i].LocalTime(f.Now)
 		config := gossip.Config{
-			Fleet: "crowd", Self: cluster.NodeID(i), MaxNodes: size, Founders: size, ProbeIntervalMs: 1000, ProbeTimeoutMs: 200, LeaseMs: 2000,
+			Fleet: "crowd", Self: cluster.NodeID(i), MaxNodes: size, QuotaOwners: size, ProbeIntervalMs: 1000, ProbeTimeoutMs: 200, LeaseMs: 2000,
 			EvidenceTTLMs: 10_000, Seed: f.Rng.Uint64(), ShareQuotas: true, ShareEvidence: true, ShareCounters: true,
 		}
-		f.nodes[i] = gossip.NewSimulated(gossip.New(now, config, cluster.NewIncarnation(now, f.Rng.Float64())))
+		f.nodes[i] = gossip.NewSimulatedNode(gossip.New(now, config, cluster.NewIncarnation(now, f.Rng.Float64())))
 		f.Start(i, f.nodes[i], f.nodes[i].Incarnation)
 	}
 	return f
@@ -95,7 +95,7 @@
 // isComplete reports whether each node that is up knows all of them.
 func (f *gossipFleet) isComplete() bool {
 	for i, n := range f.nodes {
-		if f.Nodes[i].Up && n.AliveCount() < len(f.nodes) {
+		if f.Nodes[i].Up && n.MemberCount() < len(f.nodes) {
 			return false
 		}
 	}
@@ -146,13 +146,13 @@
 	f.Links.Set(f.NodeIndexes(), f.NodeIndexes(), func(l *faultrelay.Link) { l.LossRate, l.JitterMs = loss, lossyJitterMs })
 	f.Run(lossySettleMs)
 	f.countDeaths() // those so far do not count
-	f.Sent, f.Bytes = 0, 0
+	f.SentDatagrams, f.SentBytes = 0, 0
 	began, from := time.Now(), f.Now
 	f.Run(float64(c.Duration.Milliseconds()))
 	took := time.Since(began)
 	nodeSeconds := (f.Now - from) / msPerSecond * float64(size)
 	falseDeaths := f.countDeaths()
-	sent, bytes := float64(f.Sent)/nodeSeconds, float64(f.Bytes)/nodeSeconds
+	sent, bytes := float64(f.SentDatagrams)/nodeSeconds, float64(f.SentBytes)/nodeSeconds
 	mostAfter, allAfter := f.killFirst()
 	fmt.Printf("| %d | %.0f%% | %.1f | %.1f | %.3g (%d) | %.1f | %.0f | %.2f |\n", size, 100*loss, mostAfter, allAfter,
 		float64(falseDeaths)/nodeSeconds*secondsPerHour, falseDeaths, sent, bytes, float64(took.Milliseconds())/nodeSeconds)
@@ -183,7 +183,7 @@
 }
 
 // lieAbout returns a function that has a node report failures of a number of servers repeatedly.
-func lieAbout(n *gossip.Simulated, servers int) func(now float64) {
+func lieAbout(n *gossip.SimulatedNode, servers int) func(now float64) {
 	next := 0.0
 	return func(now float64) {
 		if now < next {
--- a/cmd/mintspring/fleet_test.go
+++ b/cmd/mintspring/fleet_test.go
@@ -262,7 +262,7 @@
 	if err == nil {
 		err = json.Unmarshal([]byte(text), &status)
 	}
-	if err != nil || status.Alive != 2 || status.Members[1].Incarnation>>incarnationTimeShift == 0 || status.IDConflicts != 0 {
+	if err != nil || status.MemberCount != 2 || status.Members[1].Incarnation>>incarnationTimeShift == 0 || status.IDConflicts != 0 {
 		t.Errorf("beside a second process of node 1, node 0 knows %s, %v", text, err)
 	}
 	processes[1].signal(syscall.SIGKILL, time.Second)
--- a/cmd/mintspring/peers.go
+++ b/cmd/mintspring/peers.go
@@ -35,7 +35,7 @@
 	if s.IDConflicts > 0 {
 		state += fmt.Sprintf(", %d conflicts over its number", s.IDConflicts)
 	}
-	p.Printf("node %d of fleet %s: %d nodes alive%s; received %d datagrams, %d of other fleets, %d malformed\n", s.Self, s.Fleet, s.Alive, state,
+	p.Printf("node %d of fleet %s: %d nodes alive%s; received %d datagrams, %d of other fleets, %d malformed\n", s.Self, s.Fleet, s.MemberCount, state,
 		s.Received.Datagrams, s.Received.Foreign, s.Received.Malformed)
 	for i := range s.Members {
 		printMember(p, &s.Members[i], s.Self)
@@ -46,13 +46,13 @@
 	for i := range s.Servers {
 		printServer(p, &s.Servers[i])
 	}
-	for _, name := range counters.Names {
+	for _, name := range counters.KindNames {
 		if sum, ok := s.Counters[name]; ok {
-			p.Printf("  %s over the fleet: %d, of %d nodes, the oldest %.1f s old\n", name, sum.Value, sum.Nodes, sum.OldestMs/1000)
+			p.Printf("  %s over the fleet: %d, of %d nodes, the oldest %.1f s old\n", name, sum.Value, sum.Nodes, sum.OldestAgeMs/1000)
 		}
 		for _, sum := range s.LabeledCounters[name] {
 			p.Printf("  %s, %s: %d, of %d nodes, the oldest %.1f s old\n", name, displayName(sum.Name, "name", sum.Label), sum.Value, sum.Nodes,
-				sum.OldestMs/1000)
+				sum.OldestAgeMs/1000)
 		}
 	}
 	return p.Err()
@@ -61,7 +61,7 @@
 // incarnationTimeShift is how far the start of an incarnation, in Unix ms, is shifted within it.
 const incarnationTimeShift = 16
 
-func printMember(p *cli.Printer, m *gossip.Member, self cluster.NodeID) {
+func printMember(p *cli.Printer, m *gossip.MemberStatus, self cluster.NodeID) {
 	startedAt := time.UnixMilli(int64(m.Incarnation >> incarnationTimeShift)).UTC().Format(time.RFC3339)
 	heard := "never heard directly"
 	switch {
--- a/internal/cluster/counters/counters.go
+++ b/internal/cluster/counters/counters.go
@@ -21,20 +21,20 @@
 	InFlight          = iota // requests in flight
 	ClientConnections        // open connections of clients
 	ConnectionsOpened        // connections opened to servers lately
-	NodeKinds                // the number of these kinds
+	NodeKindCount            // the number of these kinds
 )
 
 // Kinds of labeled counters.
 const (
-	OpenConnections  = NodeKinds + iota // to one server
-	ConnectionsInUse                    // to one server
-	TenantRate                          // requests of one tenant per minute
-	KeyRate                             // requests for one key per minute
-	allKinds                            // the number of all kinds
+	OpenConnections  = NodeKindCount + iota // to one server
+	ConnectionsInUse                        // to one server
+	TenantRate                              // requests of one tenant per minute
+	KeyRate                                 // requests for one key per minute
+	allKinds                                // the number of all kinds
 )
 
-// Names are the names of the kinds, as operators see them.
-var Names = [allKinds]string{
+// KindNames are the names of the kinds, as operators see them.
+var KindNames = [allKinds]string{
 	InFlight:          "in_hand",
 	ClientConnections: "clients",
 	ConnectionsOpened: "connections_opened",
@@ -48,9 +48,9 @@
 const TopN = 8
 
 const (
-	publishedSamples = NodeKinds + (allKinds-NodeKinds)*TopN // counters that a node publishes at a time
-	expirySamples    = 2 * publishedSamples                  // samples of a node from which expired ones are dropped
-	maxSamples       = 8 * publishedSamples                  // samples of a node; bounds the memory that a faulty node can take
+	publishedSamples = NodeKindCount + (allKinds-NodeKindCount)*TopN // counters that a node publishes at a time
+	expirySamples    = 2 * publishedSamples                          // samples of a node from which expired ones are dropped
+	maxSamples       = 8 * publishedSamples                          // samples of a node; bounds the memory that a faulty node can take
 )
 
 // Key identifies a counter of a node.
--- a/internal/cluster/counters/counters_test.go
+++ b/internal/cluster/counters/counters_test.go
@@ -183,7 +183,7 @@
 
 // setLabeledCounters sets the counters of a node: all without a label, those of the servers that all nodes have, and those of its own tenants.
 func setLabeledCounters(store *Store, now float64, node uint32) {
-	for kind := range NodeKinds {
+	for kind := range NodeKindCount {
 		store.Set(now, Key{Kind: uint8(kind)}, 1)
 	}
 	for k := range uint32(TopN) {
@@ -196,12 +196,12 @@
 func checkLabeledSums(t *testing.T, store *Store, now float64, node, nodes int) {
 	t.Helper()
 	got := store.Sums(now, OpenConnections, allMembers)
-	want := Labeled{Label: 100 + TopN - 1, Sum: Sum{Value: nodes * (TopN - 1), Nodes: nodes}}
+	want := LabeledSum{Label: 100 + TopN - 1, Sum: Sum{Value: nodes * (TopN - 1), Nodes: nodes}}
 	if len(got) != TopN || got[0].Label != want.Label || got[0].Value != want.Value || got[0].Nodes != want.Nodes {
 		t.Fatalf("node %d knows %+v", node, got)
 	}
-	if got[0].OldestMs <= 0 || got[0].OldestMs >= 10_000 {
-		t.Errorf("node %d knows values of %.0f ms", node, got[0].OldestMs)
+	if got[0].OldestAgeMs <= 0 || got[0].OldestAgeMs >= 10_000 {
+		t.Errorf("node %d knows values of %.0f ms", node, got[0].OldestAgeMs)
 	}
 	if sum := store.Sum(now, Key{TenantRate, 500}, allMembers); sum.Nodes != 1 || sum.Value != 7 {
 		t.Errorf("node %d knows %+v of a tenant of one node", node, sum)
--- a/internal/cluster/counters/golden_test.go
+++ b/internal/cluster/counters/golden_test.go
@@ -19,7 +19,7 @@
 		now += 100
 		for kind := range uint8(allKinds) {
 			key := Key{Kind: kind}
-			if kind >= NodeKinds {
+			if kind >= NodeKindCount {
 				key.Label = 0x01020304 * uint32(kind)
 			}
 			s.Set(now, key, 1000*step+int(kind))
--- a/internal/cluster/counters/gossip.go
+++ b/internal/cluster/counters/gossip.go
@@ -24,7 +24,7 @@
 	if int(c.Node) >= len(s.nodes) || c.Node == s.self || c.Kind >= allKinds {
 		return false
 	}
-	needsLabel := c.Kind >= NodeKinds
+	needsLabel := c.Kind >= NodeKindCount
 	return needsLabel == (c.Label != 0) && c.AgeMs < s.ttlMs && c.IncarnationTag == s.nodes[c.Node].incarnationTag
 }
 
@@ -35,7 +35,7 @@
 // then those of other nodes in turn.
 func (s *Store) AppendCounters(now float64, m *wire.Message) {
 	self := int(s.self)
-	for kind := range uint8(NodeKinds) {
+	for kind := range uint8(NodeKindCount) {
 		s.appendCounter(now, m, self, Key{Kind: kind})
 	}
 	s.appendSome(now, m, self, m.CounterCapacity()/2)
@@ -45,7 +45,7 @@
 		}
 		s.nodeCursor = (s.nodeCursor + 1) % len(s.nodes)
 		if s.nodeCursor != self {
-			s.appendSome(now, m, s.nodeCursor, max(NodeKinds, m.CounterCapacity()/2))
+			s.appendSome(now, m, s.nodeCursor, max(NodeKindCount, m.CounterCapacity()/2))
 		}
 	}
 }
@@ -59,7 +59,7 @@
 		}
 		n.cursor = (n.cursor + 1) % len(n.order)
 		key := n.order[n.cursor]
-		if id == int(s.self) && key.Kind < NodeKinds {
+		if id == int(s.self) && key.Kind < NodeKindCount {
 			continue
 		}
 		if s.appendCounter(now, m, id, key) {
--- a/internal/cluster/counters/sum.go
+++ b/internal/cluster/counters/sum.go
@@ -9,13 +9,13 @@
 
 // Sum is the sum of one counter over the nodes of the fleet.
 type Sum struct {
-	Value    int     `json:"value"`
-	Nodes    int     `json:"nodes"`  // whose values it includes
-	OldestMs float64 `json:"oldest"` // age of the oldest of them
+	Value       int     `json:"value"`
+	Nodes       int     `json:"nodes"`  // whose values it includes
+	OldestAgeMs float64 `json:"oldest"` // age of the oldest of them
 }
 
-// Labeled is the sum of a labeled counter.
-type Labeled struct {
+// LabeledSum is the sum of a labeled counter.
+type LabeledSum struct {
 	Label uint32 `json:"name"`
 	Name  string `json:"text,omitempty"` // what the label stands for, where this node knows it
 	Sum
@@ -30,13 +30,13 @@
 		}
 		sum.Value += int(known.value)
 		sum.Nodes++
-		sum.OldestMs = max(sum.OldestMs, now-known.observedAt)
+		sum.OldestAgeMs = max(sum.OldestAgeMs, now-known.observedAt)
 	}
 	return sum
 }
 
 // Sums returns the sums of all labeled counters of a kind in the order of Compare.
-func (s *Store) Sums(now float64, kind uint8, isMember func(cluster.NodeID) bool) (sums []Labeled) {
+func (s *Store) Sums(now float64, kind uint8, isMember func(cluster.NodeID) bool) (sums []LabeledSum) {
 	seen := map[uint32]bool{}
 	for i := range s.nodes {
 		for _, key := range s.nodes[i].order {
@@ -45,15 +45,15 @@
 			}
 			seen[key.Label] = true
 			if sum := s.Sum(now, key, isMember); sum.Nodes > 0 {
-				sums = append(sums, Labeled{Label: key.Label, Sum: sum})
+				sums = append(sums, LabeledSum{Label: key.Label, Sum: sum})
 			}
 		}
 	}
-	slices.SortFunc(sums, Labeled.Compare)
+	slices.SortFunc(sums, LabeledSum.Compare)
 	return sums
 }
 
 // Compare orders labeled counters by value, the greatest first, and then by label.
-func (l Labeled) Compare(other Labeled) int {
+func (l LabeledSum) Compare(other LabeledSum) int {
 	return cmp.Or(cmp.Compare(other.Value, l.Value), cmp.Compare(l.Label, other.Label))
 }
--- a/internal/cluster/gossip/exchange.go
+++ b/internal/cluster/gossip/exchange.go
@@ -40,7 +40,7 @@
 
 // pushEvidence updates the evidence and adds the messages that carry what is new of it.
 func (n *Node) pushEvidence(now float64, out []*wire.Message) []*wire.Message {
-	n.outlierChanges = append(n.outlierChanges, n.outliers.Tick(now, n.membership.AliveCount())...)
+	n.outlierChanges = append(n.outlierChanges, n.outliers.Tick(now, n.membership.MemberCount())...)
 	if now < n.nextPushAt || !n.outliers.TakeUnsent() {
 		return out
 	}
@@ -146,7 +146,7 @@
 		m.Fleet, m.From, m.Incarnation = n.fleet, n.config.Self, n.membership.Incarnation()
 		n.membership.AppendUpdates(m, min(maxUpdates, m.UpdateCapacity()))
 		if n.config.ShareEvidence {
-			n.outliers.AppendEvidence(now, m, min(maxEvidence, m.EvidenceCapacity()), n.membership.AliveCount())
+			n.outliers.AppendEvidence(now, m, min(maxEvidence, m.EvidenceCapacity()), n.membership.MemberCount())
 		}
 		if n.config.ShareCounters {
 			n.counters.AppendCounters(now, m)
--- a/internal/cluster/gossip/gossip_test.go
+++ b/internal/cluster/gossip/gossip_test.go
@@ -20,7 +20,7 @@
 // testFleet is a simulated network of nodes that share everything.
 type testFleet struct {
 	*simnet.Network
-	nodes    []*Simulated
+	nodes    []*SimulatedNode
 	config   Config
 	maxSpent float64 // the greatest share of the budget that all nodes together could spend at any moment
 }
@@ -28,11 +28,11 @@
 func newFleet(nodes int, seed uint64) *testFleet {
 	f := &testFleet{
 		Network: simnet.New(nodes, seed),
-		nodes:   make([]*Simulated, nodes),
+		nodes:   make([]*SimulatedNode, nodes),
 		config: Config{
 			Fleet:           "north",
 			MaxNodes:        nodes,
-			Founders:        nodes,
+			QuotaOwners:     nodes,
 			ProbeIntervalMs: 500,
 			ProbeTimeoutMs:  100,
 			LeaseMs:         leaseMs,
@@ -46,7 +46,7 @@
 		sum := 0.0
 		for i, node := range f.nodes {
 			if f.Nodes[i].Up {
-				sum += node.AllowanceAt(f.Nodes[i].LocalTime(f.Now), budget)
+				sum += node.AllowedShare(f.Nodes[i].LocalTime(f.Now), budget)
 			}
 		}
 		f.maxSpent = max(f.maxSpent, sum)
@@ -63,7 +63,7 @@
 	if previous := f.nodes[i]; previous != nil {
 		demands = previous.Demands
 	}
-	f.nodes[i] = NewSimulated(New(now, config, cluster.NewIncarnation(now, f.Rng.Float64())))
+	f.nodes[i] = NewSimulatedNode(New(now, config, cluster.NewIncarnation(now, f.Rng.Float64())))
 	f.nodes[i].Demands = demands
 	f.Start(i, f.nodes[i], f.nodes[i].Incarnation)
 }
@@ -107,9 +107,9 @@
 		f.Run(30_000)
 	},
 	"suspended with leases": func(f *testFleet) {
-		f.Nodes[0].Frozen = true
+		f.Nodes[0].Suspended = true
 		f.Run(30_000)
-		f.Nodes[0].Frozen = false
+		f.Nodes[0].Suspended = false
 		f.Run(100)
 	},
 	"restarted many times without memory": func(f *testFleet) {
@@ -150,13 +150,13 @@
 			if f.maxSpent > 1 {
 				t.Errorf("%.4f of the budget could be spent", f.maxSpent)
 			}
-			if name == noise && f.Malformed == 0 {
+			if name == noise && f.MalformedDatagrams == 0 {
 				t.Error("no datagram was corrupted")
 			}
 			f.Run(60_000)
 			used := f.usableShare()
-			if used < 0.8 || f.nodes[2].AliveCount() != 8 {
-				t.Errorf("long afterwards %.3f of the budget can be used, and node 2 knows %d nodes", used, f.nodes[2].AliveCount())
+			if used < 0.8 || f.nodes[2].MemberCount() != 8 {
+				t.Errorf("long afterwards %.3f of the budget can be used, and node 2 knows %d nodes", used, f.nodes[2].MemberCount())
 			}
 			if f.maxSpent > 1 {
 				t.Errorf("%.4f of the budget could be spent afterwards", f.maxSpent)
@@ -180,7 +180,7 @@
 func (f *testFleet) usableShare() float64 {
 	share := 0.0
 	for i, node := range f.nodes {
-		share += min(node.Demands[budget], node.AllowanceAt(f.Nodes[i].LocalTime(f.Now), budget))
+		share += min(node.Demands[budget], node.AllowedShare(f.Nodes[i].LocalTime(f.Now), budget))
 	}
 	return share
 }
@@ -214,15 +214,15 @@
 func TestTrafficDoesNotGrow(t *testing.T) {
 	perSecond := func(nodes int) (datagrams, bytes float64) {
 		f := newFleet(nodes, 2)
-		f.TickMs = 50
+		f.TickIntervalMs = 50
 		f.OnEvent = nil
 		for i := range nodes {
 			f.start(i)
 		}
 		f.Run(15_000)
-		f.Sent, f.Bytes = 0, 0
+		f.SentDatagrams, f.SentBytes = 0, 0
 		f.Run(20_000)
-		return float64(f.Sent) / 20 / float64(nodes), float64(f.Bytes) / 20 / float64(nodes)
+		return float64(f.SentDatagrams) / 20 / float64(nodes), float64(f.SentBytes) / 20 / float64(nodes)
 	}
 	datagrams10, bytes10 := perSecond(10)
 	datagrams100, bytes100 := perSecond(100)
--- a/internal/cluster/gossip/node.go
+++ b/internal/cluster/gossip/node.go
@@ -20,7 +20,7 @@
 	Fleet           string // datagrams of other fleets are dropped
 	Self            cluster.NodeID
 	MaxNodes        int     // node ids are below this number
-	Founders        int     // the nodes below this number own the budgets
+	QuotaOwners     int     // the nodes below this number own the budgets
 	ProbeIntervalMs float64 // see membership.Config
 	ProbeTimeoutMs  float64 // see membership.Config
 	LeaseMs         float64 // see quota.Config
@@ -32,7 +32,7 @@
 
 // QuotaConfig returns the part of the configuration that concerns quotas.
 func (c Config) QuotaConfig() quota.Config {
-	return quota.Config{Self: c.Self, Founders: c.Founders, MaxNodes: c.MaxNodes, LeaseMs: c.LeaseMs}
+	return quota.Config{Self: c.Self, Founders: c.QuotaOwners, MaxNodes: c.MaxNodes, LeaseMs: c.LeaseMs}
 }
 
 // ReceiveStats counts received datagrams.
@@ -90,8 +90,8 @@
 // Received returns the numbers of datagrams received so far.
 func (n *Node) Received() ReceiveStats { return n.received }
 
-// AliveCount returns the number of members, including this node.
-func (n *Node) AliveCount() int { return n.membership.AliveCount() }
+// MemberCount returns the number of members, including this node.
+func (n *Node) MemberCount() int { return n.membership.MemberCount() }
 
 // Isolated reports whether this node considers itself cut off from all others.
 func (n *Node) Isolated() bool { return n.membership.Isolated() }
--- a/internal/cluster/gossip/simulated.go
+++ b/internal/cluster/gossip/simulated.go
@@ -5,21 +5,21 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// Simulated is a node together with the allowances that it has handed out: what the driver of a node does, for a simulated network.
-type Simulated struct {
+// SimulatedNode is a node together with the allowances that it has handed out: what the driver of a node does, for a simulated network.
+type SimulatedNode struct {
 	*Node
 	Allowances map[uint32]quota.Allowance // by budget
 	Demands    map[uint32]float64         // by budget: the share of the whole that the node could spend
 	OnTick     func(now float64)          // called before each tick; nil: nothing
 }
 
-// NewSimulated returns a simulated node.
-func NewSimulated(n *Node) *Simulated {
-	return &Simulated{Node: n, Allowances: map[uint32]quota.Allowance{}, Demands: map[uint32]float64{}}
+// NewSimulatedNode returns a simulated node.
+func NewSimulatedNode(n *Node) *SimulatedNode {
+	return &SimulatedNode{Node: n, Allowances: map[uint32]quota.Allowance{}, Demands: map[uint32]float64{}}
 }
 
 // Tick implements simnet.Process.
-func (s *Simulated) Tick(now float64) []*wire.Message {
+func (s *SimulatedNode) Tick(now float64) []*wire.Message {
 	for budget, share := range s.Demands {
 		s.SetDemand(now, budget, share)
 	}
@@ -30,18 +30,18 @@
 }
 
 // Handle implements simnet.Process.
-func (s *Simulated) Handle(now float64, m *wire.Message) []*wire.Message {
+func (s *SimulatedNode) Handle(now float64, m *wire.Message) []*wire.Message {
 	return s.apply(now, s.Node.Handle(now, m))
 }
 
 // apply takes over the changed allowances before messages are sent.
-func (s *Simulated) apply(now float64, out []*wire.Message) []*wire.Message {
+func (s *SimulatedNode) apply(now float64, out []*wire.Message) []*wire.Message {
 	s.DrainAllowances(now, func(budget uint32, a quota.Allowance) { s.Allowances[budget] = a })
 	return out
 }
 
-// AllowanceAt returns what the node may spend of a budget, as a share of the whole.
-func (s *Simulated) AllowanceAt(now float64, budget uint32) float64 {
+// AllowedShare returns what the node may spend of a budget, as a share of the whole.
+func (s *SimulatedNode) AllowedShare(now float64, budget uint32) float64 {
 	allowance, known := s.Allowances[budget]
 	if !known {
 		allowance = s.Allowance(now, budget)
--- a/internal/cluster/gossip/status.go
+++ b/internal/cluster/gossip/status.go
@@ -10,8 +10,8 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// Member is the status of one node.
-type Member struct {
+// MemberStatus is the status of one node.
+type MemberStatus struct {
 	Node        cluster.NodeID `json:"node"`
 	State       string         `json:"state"`
 	Incarnation uint64         `json:"life"`
@@ -23,17 +23,17 @@
 	Self        cluster.NodeID          `json:"self"`
 	Incarnation uint64                  `json:"life"`
 	Fleet       string                  `json:"fleet"`
-	Alive       int                     `json:"alive"`
+	MemberCount int                     `json:"alive"`
 	Isolated    bool                    `json:"cut_off"`
 	HealthScore int                     `json:"fares_badly"`
 	IDConflicts int                     `json:"others_under_this_number"`
 	Received    ReceiveStats            `json:"heard"`
-	Members     []Member                `json:"members"`
+	Members     []MemberStatus          `json:"members"`
 	Budgets     []quota.Account         `json:"budgets"`
 	Servers     []outlier.ServerStatus  `json:"servers"`
 	Counters    map[string]counters.Sum `json:"counts"`
 
-	LabeledCounters map[string][]counters.Labeled `json:"figures"` // of servers, tenants and keys
+	LabeledCounters map[string][]counters.LabeledSum `json:"figures"` // of servers, tenants and keys
 }
 
 // maxLabeledStatus is the number of labeled counters of each kind that the status lists.
@@ -45,7 +45,7 @@
 		Self:        n.config.Self,
 		Incarnation: uint64(n.Incarnation()),
 		Fleet:       n.config.Fleet,
-		Alive:       n.AliveCount(),
+		MemberCount: n.MemberCount(),
 		Isolated:    n.Isolated(),
 		HealthScore: n.membership.HealthScore(),
 		IDConflicts: n.membership.IDConflicts(),
@@ -55,13 +55,13 @@
 		Servers:     n.outliers.Status(now),
 
 		Counters:        map[string]counters.Sum{},
-		LabeledCounters: map[string][]counters.Labeled{},
+		LabeledCounters: map[string][]counters.LabeledSum{},
 	}
 	if !n.config.ShareCounters {
 		return s
 	}
-	for kind, name := range counters.Names {
-		if kind < counters.NodeKinds {
+	for kind, name := range counters.KindNames {
+		if kind < counters.NodeKindCount {
 			s.Counters[name] = n.counters.Sum(now, counters.Key{Kind: uint8(kind)}, n.IsMember)
 		} else if sums := n.counters.Sums(now, uint8(kind), n.IsMember); len(sums) > 0 {
 			s.LabeledCounters[name] = sums[:min(len(sums), maxLabeledStatus)]
@@ -71,7 +71,7 @@
 }
 
 // memberStatus lists the nodes that this one knows of.
-func (n *Node) memberStatus(now float64) (members []Member) {
+func (n *Node) memberStatus(now float64) (members []MemberStatus) {
 	for i := range n.config.MaxNodes {
 		update, heardAgoMs := n.membership.Lookup(now, cluster.NodeID(i))
 		if update.State == wire.Unknown {
@@ -80,7 +80,7 @@
 		if math.IsInf(heardAgoMs, 1) {
 			heardAgoMs = -1
 		}
-		members = append(members, Member{
+		members = append(members, MemberStatus{
 			Node:        update.Node,
 			State:       update.State.String(),
 			Incarnation: uint64(update.Incarnation),
--- a/internal/cluster/membership/example_test.go
+++ b/internal/cluster/membership/example_test.go
@@ -56,7 +56,7 @@
 	f := newExampleFleet(3)
 	f.run(0, 10*probeIntervalMs)
 	observer := f.lists[0]
-	fmt.Println("members:", observer.AliveCount())
+	fmt.Println("members:", observer.MemberCount())
 	observer.DrainEvents()
 
 	f.stopped[2] = true
@@ -64,7 +64,7 @@
 	for _, e := range observer.DrainEvents() {
 		fmt.Printf("node %d: %v -> %v\n", e.Node, e.From, e.To)
 	}
-	fmt.Println("members:", observer.AliveCount(), "node 2 is one:", observer.IsMember(2))
+	fmt.Println("members:", observer.MemberCount(), "node 2 is one:", observer.IsMember(2))
 	// Output:
 	// members: 3
 	// node 2: alive -> suspect
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -10,7 +10,7 @@
 
 // retransmitLimit returns how often an update is passed on.
 func (l *List) retransmitLimit() int {
-	return int(retransmitMultiplier * math.Ceil(math.Log10(float64(l.AliveCount()+1))))
+	return int(retransmitMultiplier * math.Ceil(math.Log10(float64(l.MemberCount()+1))))
 }
 
 // enqueue schedules the update of a member for gossip. Changes take precedence over members that were only discovered: behind the updates
--- a/internal/cluster/membership/list.go
+++ b/internal/cluster/membership/list.go
@@ -105,8 +105,8 @@
 // IDConflicts returns how often another process with this node's id was met.
 func (l *List) IDConflicts() int { return l.idConflicts }
 
-// AliveCount returns the number of members, including this node and suspects.
-func (l *List) AliveCount() int { return l.aliveOthers + 1 }
+// MemberCount returns the number of members, including this node and suspects.
+func (l *List) MemberCount() int { return l.aliveOthers + 1 }
 
 // Isolated reports whether this node considers itself cut off from all others.
 func (l *List) Isolated() bool { return l.isolated }
@@ -157,7 +157,7 @@
 
 // minSuspicionMs returns the shortest time of a suspicion. Fleets of fewer than ten nodes count as ten.
 func (l *List) minSuspicionMs() float64 {
-	return suspicionMultiplier * max(1, math.Log10(float64(l.AliveCount()))) * l.config.ProbeIntervalMs
+	return suspicionMultiplier * max(1, math.Log10(float64(l.MemberCount()))) * l.config.ProbeIntervalMs
 }
 
 // maxSuspicionMs returns the longest time of a suspicion.
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -66,7 +66,7 @@
 func (f *testFleet) count(id int, state wire.State) int {
 	n := 0
 	for i, l := range f.lists {
-		if !f.Nodes[i].Up || f.Nodes[i].Frozen || i == id {
+		if !f.Nodes[i].Up || f.Nodes[i].Suspended || i == id {
 			continue
 		}
 		if update, _ := l.Lookup(0, cluster.NodeID(id)); update.State == state {
@@ -207,9 +207,9 @@
 // A node that is suspended and resumes is a member for all again, and declares nobody dead because of its own absence.
 func TestSuspendedNode(t *testing.T) {
 	f := newSettledFleet(t, 10, 6)
-	f.Nodes[4].Frozen = true
+	f.Nodes[4].Suspended = true
 	f.runPeriods(60)
-	f.Nodes[4].Frozen = false
+	f.Nodes[4].Suspended = false
 	f.runPeriods(20)
 	f.expectNoDeathsBy(4)
 	f.waitFor(4, wire.Alive, 9, 60)
--- a/internal/cluster/participant/host.go
+++ b/internal/cluster/participant/host.go
@@ -24,7 +24,7 @@
 	// MarkDuplicating records that other nodes have received duplicate responses from a server.
 	MarkDuplicating(now float64, server fleet.ServerID)
 	// NodeCounters returns the counters of the node as a whole, by kind.
-	NodeCounters() [counters.NodeKinds]int
+	NodeCounters() [counters.NodeKindCount]int
 	// Connections returns the number of open connections to a server, and of those in use.
 	Connections(server fleet.ServerID) (open, inUse int)
 	// TenantName returns the name of a tenant.
--- a/internal/cluster/participant/participant_test.go
+++ b/internal/cluster/participant/participant_test.go
@@ -44,7 +44,7 @@
 		Fleet:           "f",
 		Self:            cluster.NodeID(id),
 		MaxNodes:        nodes,
-		Founders:        nodes,
+		QuotaOwners:     nodes,
 		ProbeIntervalMs: 200,
 		ProbeTimeoutMs:  50,
 		LeaseMs:         500,
@@ -78,7 +78,7 @@
 
 func (h *testHost) MarkDuplicating(_ float64, server fleet.ServerID) { h.duplicating[server] = true }
 
-func (h *testHost) NodeCounters() (all [counters.NodeKinds]int) {
+func (h *testHost) NodeCounters() (all [counters.NodeKindCount]int) {
 	all[counters.InFlight] = 4
 	return all
 }
--- a/internal/cluster/participant/traffic.go
+++ b/internal/cluster/participant/traffic.go
@@ -61,19 +61,19 @@
 }
 
 // publishTop publishes the labeled counters with the greatest values.
-func (p *Participant) publishTop(now float64, kind uint8, all []counters.Labeled) {
-	slices.SortFunc(all, counters.Labeled.Compare)
+func (p *Participant) publishTop(now float64, kind uint8, all []counters.LabeledSum) {
+	slices.SortFunc(all, counters.LabeledSum.Compare)
 	for _, c := range all[:min(len(all), counters.TopN)] {
 		p.Gossip.SetCounter(now, counters.Key{Kind: kind, Label: c.Label}, c.Value)
 	}
 }
 
 // labeled returns a labeled counter. The label 0 is reserved for the node as a whole.
-func labeled(label uint32, value int) counters.Labeled {
-	return counters.Labeled{Label: max(1, label), Sum: counters.Sum{Value: value}}
+func labeled(label uint32, value int) counters.LabeledSum {
+	return counters.LabeledSum{Label: max(1, label), Sum: counters.Sum{Value: value}}
 }
 
-func (p *Participant) connectionCounters() (open, inUse []counters.Labeled) {
+func (p *Participant) connectionCounters() (open, inUse []counters.LabeledSum) {
 	for i := range p.servers {
 		s := &p.servers[i]
 		if !s.listed {
@@ -87,7 +87,7 @@
 }
 
 // tenantCounters updates the request rates of the tenants and returns them.
-func (p *Participant) tenantCounters() (all []counters.Labeled) {
+func (p *Participant) tenantCounters() (all []counters.LabeledSum) {
 	for id := range p.traffic.tenants {
 		t := &p.traffic.tenants[id]
 		t.perMinute += rateSmoothing * (float64(t.requests)*pollsPerMinute - t.perMinute)
@@ -101,7 +101,7 @@
 }
 
 // keyCounters returns the request rates of the most requested keys, then decays the counts.
-func (p *Participant) keyCounters() (all []counters.Labeled) {
+func (p *Participant) keyCounters() (all []counters.LabeledSum) {
 	p.traffic.keyNames = map[uint32]string{}
 	p.traffic.topKeys.Each(func(key uint64, name []byte) {
 		label := wire.HashName("key " + string(name))
--- a/internal/cluster/quota/ledger_test.go
+++ b/internal/cluster/quota/ledger_test.go
@@ -127,7 +127,7 @@
 		if f.maxSpent > 1 {
 			t.Errorf("seed %d: all nodes together may spend %.4f of the budget at %s", seed+1, f.maxSpent, f.maxSpentAt)
 		}
-		if f.Malformed == 0 {
+		if f.MalformedDatagrams == 0 {
 			t.Errorf("seed %d: no datagram was corrupted", seed+1)
 		}
 	}
@@ -142,7 +142,7 @@
 	case 1:
 		f.start(i)
 	case 2:
-		node.Frozen = !node.Frozen
+		node.Suspended = !node.Suspended
 	case 3:
 		f.Links.Set([]int{i}, all, func(link *faultrelay.Link) { link.Cut = !link.Cut })
 	case 4:
--- a/internal/cluster/simnet/simnet.go
+++ b/internal/cluster/simnet/simnet.go
@@ -32,7 +32,7 @@
 	SkewMs      float64                    // by which the node's clock is ahead
 	Drift       float64                    // by which the clock is too fast, as a share of the elapsed time
 	Up          bool
-	Frozen      bool // suspended: the process does not run, and datagrams wait for it
+	Suspended   bool // suspended: the process does not run, and datagrams wait for it
 
 	starts int // distinguishes the present process from earlier ones
 }
@@ -42,17 +42,17 @@
 
 // Network is a set of nodes and the links between them.
 type Network struct {
-	Now     float64 // true time, Unix ms
-	Nodes   []*Node
-	Links   *faultrelay.Links
-	Rng     *rand.Rand
-	HopMs   float64 // latency of a datagram; up to as much again is added at random
-	TickMs  float64 // between two ticks of a node
-	OnEvent func()  // called after each event; nil: nothing
-
-	Sent      int // datagrams
-	Bytes     int // of the datagrams sent
-	Malformed int // datagrams that were received and could not be parsed
+	Now            float64 // true time, Unix ms
+	Nodes          []*Node
+	Links          *faultrelay.Links
+	Rng            *rand.Rand
+	MinLatencyMs   float64 // latency of a datagram; up to as much again is added at random
+	TickIntervalMs float64 // between two ticks of a node
+	OnEvent        func()  // called after each event; nil: nothing
+
+	SentDatagrams      int // datagrams
+	SentBytes          int // of the datagrams sent
+	MalformedDatagrams int // datagrams that were received and could not be parsed
 
 	queue eventQueue
 	seq   int
@@ -61,11 +61,11 @@
 // New returns a network of nodes that are down.
 func New(nodes int, seed uint64) *Network {
 	n := &Network{
-		Links:  faultrelay.NewLinks(seed),
-		Rng:    rand.New(rand.NewPCG(seed, randomStreamID)),
-		HopMs:  defaultHopMs,
-		TickMs: defaultTickMs,
-		Now:    startTime,
+		Links:          faultrelay.NewLinks(seed),
+		Rng:            rand.New(rand.NewPCG(seed, randomStreamID)),
+		MinLatencyMs:   defaultHopMs,
+		TickIntervalMs: defaultTickMs,
+		Now:            startTime,
 	}
 	for range nodes {
 		n.Nodes = append(n.Nodes, &Node{})
@@ -83,7 +83,7 @@
 func (n *Network) Start(index int, process Process, incarnation func() cluster.Incarnation) {
 	node := n.Nodes[index]
 	node.Process, node.Incarnation = process, incarnation
-	node.Up, node.Frozen = true, false
+	node.Up, node.Suspended = true, false
 	node.starts++
 	start := node.starts
 	var tick func()
@@ -91,12 +91,12 @@
 		if !node.Up || node.starts != start {
 			return
 		}
-		if !node.Frozen {
+		if !node.Suspended {
 			n.send(index, process.Tick(node.LocalTime(n.Now)))
 		}
-		n.schedule(n.Now+n.TickMs, tick)
+		n.schedule(n.Now+n.TickIntervalMs, tick)
 	}
-	n.schedule(n.Now+n.TickMs*n.Rng.Float64(), tick)
+	n.schedule(n.Now+n.TickIntervalMs*n.Rng.Float64(), tick)
 }
 
 // Kill ends the process on a node without notice.
@@ -111,10 +111,10 @@
 			continue
 		}
 		b := m.Append(nil)
-		n.Sent++
-		n.Bytes += len(b)
+		n.SentDatagrams++
+		n.SentBytes += len(b)
 		for _, delivery := range n.Links.Transmit(n.Now, from, to, b) {
-			at := delivery.AtMs + n.HopMs*(1+n.Rng.Float64())
+			at := delivery.AtMs + n.MinLatencyMs*(1+n.Rng.Float64())
 			n.schedule(at, func() { n.deliver(to, delivery.Data) })
 		}
 	}
@@ -126,13 +126,13 @@
 	switch {
 	case !node.Up:
 		return
-	case node.Frozen:
-		n.schedule(n.Now+n.TickMs, func() { n.deliver(to, b) })
+	case node.Suspended:
+		n.schedule(n.Now+n.TickIntervalMs, func() { n.deliver(to, b) })
 		return
 	}
 	m, err := wire.Parse(b)
 	if err != nil {
-		n.Malformed++
+		n.MalformedDatagrams++
 		return
 	}
 	n.send(to, node.Process.Handle(node.LocalTime(n.Now), m))
--- a/internal/cluster/simnet/simnet_test.go
+++ b/internal/cluster/simnet/simnet_test.go
@@ -46,8 +46,8 @@
 		all := network.NodeIndexes()
 		network.Links.Set(all, all, func(link *faultrelay.Link) { link.LossRate, link.JitterMs, link.CorruptRate = 0.2, 30, 0.1 })
 		network.Run(2000)
-		if network.Malformed == 0 || network.Sent == 0 || network.Bytes <= network.Sent {
-			t.Errorf("%d datagrams of %d bytes sent, %d malformed", network.Sent, network.Bytes, network.Malformed)
+		if network.MalformedDatagrams == 0 || network.SentDatagrams == 0 || network.SentBytes <= network.SentDatagrams {
+			t.Errorf("%d datagrams of %d bytes sent, %d malformed", network.SentDatagrams, network.SentBytes, network.MalformedDatagrams)
 		}
 		return fmt.Sprint(pingers[0].received, pingers[1].received, pingers[2].received)
 	}
@@ -64,14 +64,14 @@
 func TestSuspendedAndKilledNodes(t *testing.T) {
 	network, pingers := newPingers(3, 1)
 	network.Run(500)
-	network.Nodes[1].Frozen = true
+	network.Nodes[1].Suspended = true
 	network.Kill(2)
 	before := [3]int{len(pingers[0].received), len(pingers[1].received), len(pingers[2].received)}
 	network.Run(500)
 	if got := len(pingers[1].received); got != before[1] {
 		t.Errorf("a suspended node has received %d datagrams", got-before[1])
 	}
-	network.Nodes[1].Frozen = false
+	network.Nodes[1].Suspended = false
 	network.Run(2 * defaultTickMs)
 	if got := len(pingers[1].received) - before[1]; got < 20 {
 		t.Errorf("a node that resumes has received %d datagrams, of 25 that were sent", got)
--- a/internal/config/operatorfile/fleet.go
+++ b/internal/config/operatorfile/fleet.go
@@ -89,7 +89,7 @@
 	return gossip.Config{
 		Fleet:           f.Name,
 		MaxNodes:        max(maxNodes, nodes),
-		Founders:        quotaOwners,
+		QuotaOwners:     quotaOwners,
 		ProbeIntervalMs: f.ProbeInterval.Milliseconds(),
 		ProbeTimeoutMs:  f.ProbeInterval.Milliseconds() / probeTimeoutsPerInterval,
 		LeaseMs:         f.Lease.Milliseconds(),
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -265,7 +265,7 @@
 }
 
 // NodeCounters returns the counters of this node, those of events since the last call.
-func (c *clusterMember) NodeCounters() (all [counters.NodeKinds]int) {
+func (c *clusterMember) NodeCounters() (all [counters.NodeKindCount]int) {
 	opened := c.node.upstreams.Stats().Opened
 	all[counters.InFlight] = c.node.inflight.Len()
 	all[counters.ClientConnections] = c.node.frontend.OpenConns()
--- a/internal/testbed/simulator/clustermember.go
+++ b/internal/testbed/simulator/clustermember.go
@@ -124,7 +124,7 @@
 }
 
 // NodeCounters implements participant.Host.
-func (m *clusterMember) NodeCounters() (all [counters.NodeKinds]int) {
+func (m *clusterMember) NodeCounters() (all [counters.NodeKindCount]int) {
 	p := m.process
 	opened := p.poolCounters.Opened.Load()
 	all[counters.InFlight] = p.inflight.Len()
