--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -8,24 +8,24 @@
 	MaxNodes        int     // node ids are below this number
 	ProbeIntervalMs float64 // time between two probes
 	ProbeTimeoutMs  float64 // time to wait for an answer before the target is probed through other nodes
-	Seed            uint64  // of the random choices
+	Seed            uint64  // seeds the random choices
 }
 
-// Parameters of SWIM and Lifeguard. Multipliers of times are relative to the probe interval.
+// Parameters of SWIM and Lifeguard.
 const (
-	indirectProbes         = 3 // nodes through which an unresponsive target is probed
-	suspicionMultiplier    = 4 // with log10 of the fleet's size: the shortest suspicion
-	maxSuspicionMultiplier = 6 // the longest suspicion, relative to the shortest
-	suspicionConfirmations = 3 // other suspecting nodes that reduce a suspicion to the shortest
-	verifyPeriods          = 4 // probe intervals before a death is declared, in which this node probes the suspect itself
-	verifyProbesPerPeriod  = 2 // probes per interval during that time
-	maxHealthScore         = 8 // limit of the health score of this node
-	retransmitMultiplier   = 4 // with log10 of the fleet's size: how often an update is passed on
-	isolationPeriods       = 4 // probe intervals without any datagram after which this node considers itself isolated
-	discoveryProbeInterval = 4 // one probe in so many goes to a node that is not known to be a member
-	recoveryMultiplier     = 2 // longest suspicions that other nodes are given to be heard after an isolation
+	indirectProbes                   = 3 // nodes through which an unresponsive target is probed
+	suspicionMultiplier              = 4 // shortest suspicion: this * log10(fleet size) probe intervals
+	maxSuspicionMultiplier           = 6 // longest suspicion: this * the shortest one
+	suspicionConfirmations           = 3 // confirmations by other nodes after which a suspicion has the shortest timeout
+	deathVerificationPeriods         = 4 // probe intervals in which this node probes a suspect itself before it declares it dead
+	deathVerificationProbesPerPeriod = 2 // probes of the suspect per probe interval during that time
+	maxHealthScore                   = 8 // limit of the health score of this node
+	retransmitMultiplier             = 4 // transmissions of an update: this * log10(fleet size)
+	isolationPeriods                 = 4 // probe intervals without any datagram after which this node considers itself isolated
+	probesPerDiscoveryProbe          = 4 // one of this many probes goes to a node that is not known to be a member
+	isolationRecoveryMultiplier      = 2 // after an isolation other nodes have this * the longest suspicion to be heard
 
-	maxIndirectRequests   = 64 // indirect pings of other nodes that are in progress at once
-	indirectExpiryPeriods = 4  // probe intervals after which such a ping is given up
-	maxFillUpdates        = 4  // updates in a datagram up to which unchanged members are repeated
+	maxIndirectPings      = 64 // concurrent pings on behalf of other nodes
+	indirectExpiryPeriods = 4  // probe intervals after which such a ping is abandoned
+	maxFillUpdates        = 4  // unchanged members are added only to datagrams with fewer updates than this
 )
--- a/internal/cluster/membership/example_test.go
+++ b/internal/cluster/membership/example_test.go
@@ -10,7 +10,7 @@
 
 const probeIntervalMs = 1000.0
 
-// exampleFleet connects nodes with links that deliver at once. A real caller sends the messages over UDP.
+// exampleFleet connects nodes with links that deliver immediately. A real caller sends the messages over UDP.
 type exampleFleet struct {
 	lists   []*membership.List
 	stopped map[cluster.NodeID]bool
@@ -27,14 +27,14 @@
 	return f
 }
 
-// deliver adds member updates to messages of a node, as many as fit, and hands them to their receivers, and so with the responses.
+// deliver adds as many member updates as fit to the messages of a node, hands them to their receivers, and delivers the responses likewise.
 func (f *exampleFleet) deliver(now float64, from cluster.NodeID, messages []*wire.Message) {
 	for _, m := range messages {
 		if f.stopped[m.To] {
 			continue
 		}
 		f.lists[from].AppendUpdates(m, m.UpdateCapacity())
-		// The caller states the sender; the rest is as on the wire.
+		// The caller of Tick and Handle sets the sender.
 		m.From, m.Incarnation = from, f.lists[from].Incarnation()
 		f.deliver(now, m.To, f.lists[m.To].Handle(now, m))
 	}
--- a/internal/cluster/membership/golden_test.go
+++ b/internal/cluster/membership/golden_test.go
@@ -9,9 +9,9 @@
 	"mintspring/internal/testbed/wiretest"
 )
 
-// goldenScript returns what one node sends in a scripted sequence: pings, acks, indirect pings, suspicions of its own and of others, deaths and
-// its own refutation, among nodes that answer, are silent, new or restarted.
-func goldenScript() (out []*wire.Message) {
+// runGoldenScript returns the messages that one node sends in a scripted sequence: pings, acks, indirect pings, its own suspicions and
+// those of others, deaths and its own refutation, among nodes that answer, do not answer, are new or have restarted.
+func runGoldenScript() (out []*wire.Message) {
 	node := process{New(1_000_000, Config{Self: 1, MaxNodes: 6, ProbeIntervalMs: 500, ProbeTimeoutMs: 100, Seed: 42}, cluster.Incarnation(0x0123456789abcdef))}
 	now := 1_000_000.0
 	handle := func(m wire.Message) { out = append(out, node.Handle(now, &m)...) }
@@ -31,9 +31,9 @@
 			}
 		}
 		switch step {
-		case 50: // it is suspected itself and refutes that
+		case 50: // another node suspects this one, which refutes the suspicion
 			handle(wire.Message{Kind: wire.Ping, From: 0, Incarnation: 5 << 16, To: 1, Seq: 12, Target: 1, Updates: []wire.MemberUpdate{{Node: 1, Incarnation: 0x0123456789abcdef, State: wire.Suspect, SuspectedBy: 2}}})
-		case 100: // another process has its id
+		case 100: // another process has this node's id
 			handle(wire.Message{Kind: wire.Ping, From: 2, Incarnation: 6 << 16, To: 1, Seq: 13, Target: 1, Updates: []wire.MemberUpdate{{Node: 1, Incarnation: 0x0223456789abcdef, State: wire.Alive}}})
 		}
 	}
@@ -42,7 +42,7 @@
 
 // The datagrams of the membership protocol stay the same byte for byte.
 func TestGoldenDatagrams(t *testing.T) {
-	sent := goldenScript()
+	sent := runGoldenScript()
 	states, kinds := map[wire.State]bool{}, map[wire.Kind]bool{}
 	for i, m := range wiretest.CheckDatagrams(t, "membership.hex", wiretest.Encode(sent)) {
 		if !reflect.DeepEqual(m, sent[i]) {
--- a/internal/cluster/membership/gossip.go
+++ b/internal/cluster/membership/gossip.go
@@ -8,13 +8,14 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// retransmitLimit returns how often an update is passed on.
+// retransmitLimit returns how many times an update is sent.
 func (l *List) retransmitLimit() int {
 	return int(retransmitMultiplier * math.Ceil(math.Log10(float64(l.MemberCount()+1))))
 }
 
-// enqueue schedules the update of a member for gossip. Changes take precedence over members that were only discovered: behind the updates
-// of a whole fleet that has just been discovered, a suspicion took ten seconds per hop among a hundred nodes, and died out among a thousand.
+// enqueue queues the update of a member for gossip. Changes are sent before updates of newly discovered members: a suspicion that was
+// queued behind the updates of a whole discovered fleet took ten seconds per hop among a hundred nodes, and stopped spreading among a
+// thousand.
 func (l *List) enqueue(id cluster.NodeID, discovered bool) {
 	l.members[id].transmits = 0
 	isID := func(other cluster.NodeID) bool { return other == id }
@@ -27,16 +28,16 @@
 	}
 }
 
-// AppendUpdates adds up to limit member updates to a message: what is said against its receiver, this node's own update, the queued
-// updates, and then unchanged members in turn, so that all nodes know all members eventually.
+// AppendUpdates adds member updates to a message until it has limit of them: the claim that the receiver has to refute, this node's own
+// update, the queued updates, and then unchanged members in turn, so that all nodes eventually know all members.
 func (l *List) AppendUpdates(m *wire.Message, limit int) {
 	add := func(update wire.MemberUpdate) {
 		if len(m.Updates) < limit {
 			m.Updates = append(m.Updates, update)
 		}
 	}
-	if accusation, accused := l.accusationOf(m.To); accused {
-		add(accusation)
+	if claim, found := l.claimToRefute(m.To); found {
+		add(claim)
 	}
 	add(l.self)
 	l.appendQueued(m, limit, &l.changed)
@@ -45,16 +46,16 @@
 		if len(m.Updates) >= min(limit, maxFillUpdates) {
 			return
 		}
-		l.syncCursor = (l.syncCursor + 1) % len(l.members)
-		update := l.members[l.syncCursor].update
+		l.fillCursor = (l.fillCursor + 1) % len(l.members)
+		update := l.members[l.fillCursor].update
 		if update.State != wire.Unknown && update.Node != l.config.Self && update.Node != m.To {
 			add(update)
 		}
 	}
 }
 
-// accusationOf returns the update that a node has to refute, if there is one.
-func (l *List) accusationOf(id cluster.NodeID) (update wire.MemberUpdate, accused bool) {
+// claimToRefute returns the claim that a node is suspected or dead, if there is one that the node has not refuted yet.
+func (l *List) claimToRefute(id cluster.NodeID) (claim wire.MemberUpdate, found bool) {
 	if id == l.config.Self {
 		return wire.MemberUpdate{}, false
 	}
@@ -62,11 +63,12 @@
 	if m.update.State >= wire.Suspect {
 		return m.update, true
 	}
-	a := m.accusation
-	return a, a.State >= wire.Suspect && a.Incarnation == m.update.Incarnation && a.Refutation >= m.update.Refutation
+	disputed := m.disputedUpdate
+	return disputed, disputed.State >= wire.Suspect && disputed.Incarnation == m.update.Incarnation && disputed.Refutation >= m.update.Refutation
 }
 
-// appendQueued adds the updates at the head of a queue to a message. Those that were not passed on often enough go back to its end.
+// appendQueued moves updates from the head of a queue into a message. An update returns to the end of the queue until it has been sent as
+// often as the retransmit limit says.
 func (l *List) appendQueued(m *wire.Message, limit int, queue *[]cluster.NodeID) {
 	transmitLimit := l.retransmitLimit()
 	for range len(*queue) {
--- a/internal/cluster/membership/handle.go
+++ b/internal/cluster/membership/handle.go
@@ -32,7 +32,7 @@
 func (l *List) recordSender(now float64, m *wire.Message) {
 	sender := &l.members[m.From]
 	if m.Incarnation < sender.update.Incarnation {
-		return // of a process that has been replaced
+		return // from a process that has been replaced
 	}
 	sender.lastHeardAt = now
 	if m.Incarnation == sender.update.Incarnation && isMember(sender.update.State) {
@@ -40,20 +40,20 @@
 	}
 	update := wire.MemberUpdate{Node: m.From, Incarnation: m.Incarnation, State: wire.Alive}
 	if m.Incarnation == sender.update.Incarnation {
-		update.Refutation = sender.update.Refutation // others may hold it for dead too; it refutes that itself when it hears of it
+		update.Refutation = sender.update.Refutation // only the sender itself raises its refutation, once it learns that others consider it dead
 	}
 	l.apply(now, update, "a datagram was received")
 }
 
 func (l *List) handlePing(m *wire.Message) []*wire.Message {
 	if m.Target != l.config.Self {
-		return nil // for another node that had this address
+		return nil // meant for a node that had this address before
 	}
 	return []*wire.Message{{Kind: wire.Ack, To: m.From, Seq: m.Seq, Target: l.config.Self}}
 }
 
 func (l *List) handleIndirectPing(now float64, m *wire.Message) []*wire.Message {
-	if int(m.Target) >= len(l.members) || m.Target == l.config.Self || len(l.indirect) > maxIndirectRequests {
+	if int(m.Target) >= len(l.members) || m.Target == l.config.Self || len(l.indirect) > maxIndirectPings {
 		return nil
 	}
 	l.seq++
@@ -75,18 +75,18 @@
 	return []*wire.Message{{Kind: wire.Ack, To: request.requester, Seq: request.seq, Target: m.Target}}
 }
 
-// handleUpdate processes what another node says of a node.
+// handleUpdate processes a member update from another node.
 func (l *List) handleUpdate(now float64, update wire.MemberUpdate) {
 	if int(update.Node) >= len(l.members) || update.State == wire.Unknown || update.State > wire.Dead {
 		return
 	}
 	if update.Node == l.config.Self {
-		l.handleOwnUpdate(now, update)
+		l.handleClaimAboutSelf(now, update)
 		return
 	}
 	m := &l.members[update.Node]
 	if sameClaim(update, m.update) {
-		if update.State == wire.Suspect { // counted by the node that suspects, not by the one that passes it on
+		if update.State == wire.Suspect { // confirmed by the node that suspects, not by the one that forwards the update
 			l.confirmSuspicion(now, m, update.SuspectedBy)
 		}
 		return
@@ -96,11 +96,11 @@
 	}
 	sameIncarnation := update.Incarnation == m.update.Incarnation
 	if sameIncarnation && update.State != wire.Alive && now-m.lastHeardAt < l.config.ProbeIntervalMs {
-		m.accusation = update // from the other side of a partition: the node was heard here just now
+		m.disputedUpdate = update // this node has just heard the member: the claim may come from the other side of a partition
 		return
 	}
 	if update.State == wire.Dead {
-		l.handleDeath(now, m, update)
+		l.handleDeathClaim(now, m, update)
 		return
 	}
 	l.apply(now, update, "reported by another node")
@@ -109,20 +109,22 @@
 	}
 }
 
-// handleOwnUpdate processes what another node says of this node: a suspicion is refuted.
-func (l *List) handleOwnUpdate(now float64, update wire.MemberUpdate) {
+// handleClaimAboutSelf processes an update of this node from another node: it refutes a claim that this node is suspected or dead, and
+// detects another process with the same node id.
+func (l *List) handleClaimAboutSelf(now float64, update wire.MemberUpdate) {
 	if update.Incarnation > l.self.Incarnation {
 		l.resolveIDConflict(now, update.Incarnation)
 		return
 	}
 	if update.Incarnation == l.self.Incarnation && update.State != wire.Alive && update.Refutation >= l.self.Refutation {
 		l.self.Refutation = update.Refutation + 1
-		l.raiseHealthScore() // others do not hear this node in time
+		l.raiseHealthScore() // other nodes do not receive the answers of this one in time
 	}
 }
 
-// handleDeath processes another node's claim that a node is dead. A member becomes a suspect first, so that this node probes it itself.
-func (l *List) handleDeath(now float64, m *member, update wire.MemberUpdate) {
+// handleDeathClaim processes another node's claim that a node is dead. A member becomes a suspect first, so that this node probes it
+// itself.
+func (l *List) handleDeathClaim(now float64, m *member, update wire.MemberUpdate) {
 	if l.isolated {
 		return
 	}
@@ -139,13 +141,13 @@
 
 func (l *List) raiseHealthScore() { l.healthScore = min(maxHealthScore, l.healthScore+1) }
 
-// sameClaim reports whether two updates of a node say the same.
+// sameClaim reports whether two updates of a node state the same incarnation, refutation and state.
 func sameClaim(a, b wire.MemberUpdate) bool {
 	return a.Incarnation == b.Incarnation && a.Refutation == b.Refutation && a.State == b.State
 }
 
-// supersedes reports whether an update of a node overrides the one that is in effect: by its incarnation, then by its refutation, then by
-// its state.
+// supersedes reports whether an update of a node overrides the current one. The greater incarnation wins, then the greater refutation, then
+// the greater state.
 func supersedes(update, current wire.MemberUpdate) bool {
 	if update.Incarnation != current.Incarnation {
 		return update.Incarnation > current.Incarnation
--- a/internal/cluster/membership/list.go
+++ b/internal/cluster/membership/list.go
@@ -11,40 +11,40 @@
 
 // Event is a change of this node's view of another node.
 type Event struct {
-	At           float64 // ms
+	At           float64 // by this node's clock, ms
 	Node         cluster.NodeID
 	From         wire.State
 	To           wire.State
 	Incarnation  cluster.Incarnation
 	Reason       string
-	SinceHeardMs float64 // since the last datagram of that node; -1: none was ever received
+	SinceHeardMs float64 // since the last datagram from the node; -1: none was ever received
 }
 
 // member is this node's view of one other node.
 type member struct {
-	update       wire.MemberUpdate // the update that is in effect
-	lastHeardAt  float64           // of the last datagram that the node sent itself; -Inf: none
+	update       wire.MemberUpdate // the current update
+	lastHeardAt  float64           // time of the last datagram from the node itself; -Inf: none
 	stateSince   float64
-	transmits    int     // how often the update has been passed on
+	transmits    int     // number of times that the update has been sent
 	lastProbedAt float64 // -Inf: never
 
-	deadAt      float64                 // of a suspect: when it is declared dead, as far as is known now
-	suspectedBy map[cluster.NodeID]bool // of a suspect: the nodes that suspect it
-	accusation  wire.MemberUpdate       // what others claimed although the node was heard recently; it is sent to the node so that it can refute it
+	declareDeadAt  float64                 // of a suspect: when it is declared dead unless it refutes the suspicion
+	suspectedBy    map[cluster.NodeID]bool // of a suspect: the nodes that suspect it
+	disputedUpdate wire.MemberUpdate       // claim that the node is suspected or dead although it was heard recently; the node has to refute it
 }
 
-// probe is the ping of the current probe interval that has not been answered yet.
-type probe struct {
+// pendingProbe is the ping of the current probe interval that has not been answered yet.
+type pendingProbe struct {
 	target         cluster.NodeID
 	seq            uint32
-	nextIndirectAt float64 // when the target is probed through other nodes
+	nextIndirectAt float64 // when the target is probed through other nodes next
 	indirectRounds int
 }
 
 // indirectRequest is a ping on behalf of another node.
 type indirectRequest struct {
 	requester  cluster.NodeID
-	seq        uint32 // of the requester
+	seq        uint32 // the requester's sequence number
 	receivedAt float64
 }
 
@@ -58,36 +58,36 @@
 	probeOrder  []cluster.NodeID
 	probeIndex  int
 	nextProbeAt float64
-	probe       *probe // nil: answered, or none was sent
+	probe       *pendingProbe // nil: answered, or none was sent
 	seq         uint32
 	indirect    map[uint32]indirectRequest // by the sequence number of this node's ping
 	randomDraws uint64
 
-	healthScore     int // of this node: 0 is healthy
-	lastContactAt   float64
-	isolated        bool
-	declareDeadFrom float64 // no death is declared before this time
-	idConflicts     int
-	lastConflictAt  float64
+	healthScore    int // of this node: 0 is healthy
+	lastContactAt  float64
+	isolated       bool
+	noDeathsBefore float64 // this node declares no death before this time
+	idConflicts    int
+	lastConflictAt float64
 
-	changed    []cluster.NodeID // members whose update has changed and is to be passed on
-	discovered []cluster.NodeID // members found for the first time; passed on with lower priority
-	syncCursor int              // the member that was last passed on although unchanged
+	changed    []cluster.NodeID // members with changed updates, queued for gossip
+	discovered []cluster.NodeID // newly discovered members, queued with lower priority
+	fillCursor int              // the unchanged member whose update was added last
 
-	aliveOthers int // including suspects
-	suspects    int
+	otherMembers int // including suspects
+	suspectCount int
 }
 
 // New returns the view of a node that has just started and knows no other node.
 func New(now float64, config Config, incarnation cluster.Incarnation) *List {
 	l := &List{
-		config:          config,
-		self:            wire.MemberUpdate{Node: config.Self, Incarnation: incarnation, State: wire.Alive},
-		members:         make([]member, config.MaxNodes),
-		indirect:        map[uint32]indirectRequest{},
-		lastContactAt:   now,
-		declareDeadFrom: now,
-		nextProbeAt:     now + config.ProbeIntervalMs*fleet.UnitInterval(config.Seed),
+		config:         config,
+		self:           wire.MemberUpdate{Node: config.Self, Incarnation: incarnation, State: wire.Alive},
+		members:        make([]member, config.MaxNodes),
+		indirect:       map[uint32]indirectRequest{},
+		lastContactAt:  now,
+		noDeathsBefore: now,
+		nextProbeAt:    now + config.ProbeIntervalMs*fleet.UnitInterval(config.Seed),
 	}
 	for i := range l.members {
 		l.members[i] = member{
@@ -99,22 +99,22 @@
 	return l
 }
 
-// Incarnation returns the present incarnation of this node. It changes when another process with the same node id is met.
+// Incarnation returns the current incarnation of this node. It changes when another process with the same node id is detected.
 func (l *List) Incarnation() cluster.Incarnation { return l.self.Incarnation }
 
-// IDConflicts returns how often another process with this node's id was met.
+// IDConflicts returns how often another process with this node's id was detected.
 func (l *List) IDConflicts() int { return l.idConflicts }
 
 // MemberCount returns the number of members, including this node and suspects.
-func (l *List) MemberCount() int { return l.aliveOthers + 1 }
+func (l *List) MemberCount() int { return l.otherMembers + 1 }
 
 // Isolated reports whether this node considers itself cut off from all others.
 func (l *List) Isolated() bool { return l.isolated }
 
-// HealthScore returns how badly this node itself fares, from 0 (healthy) to 8.
+// HealthScore returns the health score of this node, from 0 (healthy) to 8 (worst).
 func (l *List) HealthScore() int { return l.healthScore }
 
-// Lookup returns the update that is in effect for a node, and the time in ms since the node was last heard; +Inf: never.
+// Lookup returns the current update of a node, and the time in ms since the last datagram from it; +Inf: none.
 func (l *List) Lookup(now float64, id cluster.NodeID) (wire.MemberUpdate, float64) {
 	if id == l.config.Self {
 		return l.self, 0
@@ -149,16 +149,16 @@
 	return fleet.UnitInterval(h.Sum64())
 }
 
-// timeMultiplier slows this node down while it is in bad health.
+// timeMultiplier returns the factor by which the health score lengthens the probe interval and probe timeouts.
 func (l *List) timeMultiplier() float64 { return float64(1 + l.healthScore) }
 
-// probeIntervalMs returns the time from one probe to the next at the present health.
+// probeIntervalMs returns the time from one probe to the next at the current health score.
 func (l *List) probeIntervalMs() float64 { return l.config.ProbeIntervalMs * l.timeMultiplier() }
 
-// minSuspicionMs returns the shortest time of a suspicion. Fleets of fewer than ten nodes count as ten.
+// minSuspicionMs returns the shortest timeout of a suspicion. Fleets of fewer than ten nodes count as ten.
 func (l *List) minSuspicionMs() float64 {
 	return suspicionMultiplier * max(1, math.Log10(float64(l.MemberCount()))) * l.config.ProbeIntervalMs
 }
 
-// maxSuspicionMs returns the longest time of a suspicion.
+// maxSuspicionMs returns the longest timeout of a suspicion.
 func (l *List) maxSuspicionMs() float64 { return maxSuspicionMultiplier * l.minSuspicionMs() }
--- a/internal/cluster/membership/probe.go
+++ b/internal/cluster/membership/probe.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// Tick does what is due and returns the messages to be sent.
+// Tick runs the probes and timeouts that are due and returns the messages to be sent.
 func (l *List) Tick(now float64) (out []*wire.Message) {
 	l.detectIsolation(now)
 	l.expireIndirect(now)
@@ -18,7 +18,7 @@
 }
 
 func (l *List) detectIsolation(now float64) {
-	if l.aliveOthers > 0 && now-l.lastContactAt > isolationPeriods*l.config.ProbeIntervalMs {
+	if l.otherMembers > 0 && now-l.lastContactAt > isolationPeriods*l.config.ProbeIntervalMs {
 		l.isolated = true
 	}
 }
@@ -31,8 +31,9 @@
 	}
 }
 
-// probeIndirectly repeats the unanswered probe of this interval, also through other nodes, until the interval is over. With one attempt
-// each way, one probe in fourteen failed where a fifth of all datagrams was lost, and suspicions filled the gossip.
+// probeIndirectly repeats the unanswered probe of this interval, directly and through other nodes, until the interval ends. With a single
+// direct and a single indirect attempt, one probe in fourteen failed when a fifth of all datagrams was lost, and suspicions filled the
+// gossip.
 func (l *List) probeIndirectly(now float64, out []*wire.Message) []*wire.Message {
 	p := l.probe
 	if p == nil || now < p.nextIndirectAt || now >= l.nextProbeAt {
@@ -52,28 +53,28 @@
 		return out
 	}
 	l.nextProbeAt += l.probeIntervalMs()
-	if l.nextProbeAt < now { // the process stood still
+	if l.nextProbeAt < now { // the process was suspended
 		l.nextProbeAt = now + l.probeIntervalMs()*l.random()
 	}
 	if p := l.probe; p != nil {
 		l.probe = nil
 		l.probeFailed(now, p)
 	}
-	target, found := l.nextTarget()
+	target, found := l.nextProbeTarget()
 	if !found {
 		return out
 	}
 	l.seq++
-	l.probe = &probe{target: target, seq: l.seq, nextIndirectAt: now + l.config.ProbeTimeoutMs*l.timeMultiplier()}
+	l.probe = &pendingProbe{target: target, seq: l.seq, nextIndirectAt: now + l.config.ProbeTimeoutMs*l.timeMultiplier()}
 	l.members[target].lastProbedAt = now
 	return append(out, ping(target, l.seq))
 }
 
 // probeFailed handles a probe that was not answered, directly or through others.
-func (l *List) probeFailed(now float64, p *probe) {
+func (l *List) probeFailed(now float64, p *pendingProbe) {
 	m := &l.members[p.target]
 	if !isMember(m.update.State) {
-		return // it was not known to be there
+		return // only a member becomes a suspect
 	}
 	l.raiseHealthScore()
 	if m.update.State == wire.Alive {
@@ -84,24 +85,25 @@
 	l.confirmSuspicion(now, m, l.config.Self)
 }
 
-// checkSuspects probes the suspects, which also sends them the suspicion to refute, and declares dead those whose time is over.
+// checkSuspects probes the suspects and declares dead those whose suspicion has timed out. Each ping also carries the suspicion, so that
+// its target can refute it.
 func (l *List) checkSuspects(now float64, out []*wire.Message) []*wire.Message {
 	for i := range l.members {
-		if l.suspects == 0 {
+		if l.suspectCount == 0 {
 			break
 		}
 		m := &l.members[i]
 		if m.update.State != wire.Suspect {
 			continue
 		}
-		interval, through := l.suspectProbing(now, m)
-		if now-m.lastProbedAt >= interval {
+		intervalMs, viaCount := l.suspectProbeSchedule(now, m)
+		if now-m.lastProbedAt >= intervalMs {
 			m.lastProbedAt = now
 			l.seq++
 			out = append(out, ping(m.update.Node, l.seq))
-			out = l.appendIndirectPings(out, through, m.update.Node, l.seq)
+			out = l.appendIndirectPings(out, viaCount, m.update.Node, l.seq)
 		}
-		if !l.isolated && now >= l.declareDeadFrom && now >= m.deadAt {
+		if !l.isolated && now >= l.noDeathsBefore && now >= m.declareDeadAt {
 			update := m.update
 			update.State = wire.Dead
 			l.apply(now, update, "suspicion timed out")
@@ -110,13 +112,13 @@
 	return out
 }
 
-// suspectProbing returns the time between probes of a suspect and the number of nodes through which it is probed as well. Nodes that
-// suspect it themselves probe it once per interval, because gossip takes longer to go to and fro than a short suspicion lasts. Shortly
-// before the death is declared every node does, more often and through more nodes.
-func (l *List) suspectProbing(now float64, m *member) (intervalMs float64, through int) {
+// suspectProbeSchedule returns the time between probes of a suspect and the number of nodes through which each probe is also sent. A node
+// whose own probe of the suspect failed probes it once per interval, because a suspicion and its refutation take longer to spread by gossip
+// than a short suspicion lasts. Shortly before the suspect is declared dead every node probes it, more often and through more nodes.
+func (l *List) suspectProbeSchedule(now float64, m *member) (intervalMs float64, viaCount int) {
 	switch {
-	case now >= m.deadAt-verifyPeriods*l.config.ProbeIntervalMs:
-		return l.config.ProbeIntervalMs / verifyProbesPerPeriod, indirectProbes
+	case now >= m.declareDeadAt-deathVerificationPeriods*l.config.ProbeIntervalMs:
+		return l.config.ProbeIntervalMs / deathVerificationProbesPerPeriod, indirectProbes
 	case m.suspectedBy[l.config.Self]:
 		return l.config.ProbeIntervalMs, 1
 	default:
@@ -136,15 +138,15 @@
 	return out
 }
 
-// nextTarget returns the next node to probe: the members in an order that is shuffled for each round, and now and then a node that is
-// not a member.
-func (l *List) nextTarget() (id cluster.NodeID, found bool) {
-	if l.aliveOthers == 0 || l.seq%discoveryProbeInterval == discoveryProbeInterval-1 {
+// nextProbeTarget returns the next node to probe: a member, in an order that is shuffled for each round, or every few probes a node that
+// is not a member.
+func (l *List) nextProbeTarget() (id cluster.NodeID, found bool) {
+	if l.otherMembers == 0 || l.seq%probesPerDiscoveryProbe == probesPerDiscoveryProbe-1 {
 		if id, found = l.nextDiscoveryTarget(); found {
 			return id, true
 		}
 	}
-	for range 2 { // what is left of this round, then the next one
+	for range 2 { // the rest of this round, then the next one
 		for l.probeIndex < len(l.probeOrder) {
 			id = l.probeOrder[l.probeIndex]
 			l.probeIndex++
@@ -157,7 +159,7 @@
 	return 0, false
 }
 
-// nextDiscoveryTarget returns the node that is not a member and was not probed for the longest time.
+// nextDiscoveryTarget returns the node that is not a member and whose last probe is the oldest; ties are broken at random.
 func (l *List) nextDiscoveryTarget() (id cluster.NodeID, found bool) {
 	best := -1
 	start := int(l.random() * float64(len(l.members)))
@@ -187,14 +189,14 @@
 	}
 }
 
-// sampleExcept returns up to n alive nodes other than one, chosen at random.
-func (l *List) sampleExcept(n int, except cluster.NodeID) (out []cluster.NodeID) {
+// sampleExcept returns up to n alive nodes, chosen at random, without the excluded one.
+func (l *List) sampleExcept(n int, excluded cluster.NodeID) (out []cluster.NodeID) {
 	for range 4 * n {
 		if len(l.probeOrder) == 0 || len(out) == n {
 			break
 		}
 		id := l.probeOrder[int(l.random()*float64(len(l.probeOrder)))]
-		if id != except && l.members[id].update.State == wire.Alive && !slices.Contains(out, id) {
+		if id != excluded && l.members[id].update.State == wire.Alive && !slices.Contains(out, id) {
 			out = append(out, id)
 		}
 	}
--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -21,7 +21,7 @@
 	m.suspectedBy = nil
 	if update.State == wire.Suspect {
 		m.suspectedBy = map[cluster.NodeID]bool{}
-		m.deadAt = now + l.maxSuspicionMs()
+		m.declareDeadAt = now + l.maxSuspicionMs()
 	}
 	l.enqueue(update.Node, previous.State == wire.Unknown && update.State == wire.Alive)
 }
@@ -29,10 +29,10 @@
 // countState adjusts the numbers of members and suspects.
 func (l *List) countState(s wire.State, delta int) {
 	if isMember(s) {
-		l.aliveOthers += delta
+		l.otherMembers += delta
 	}
 	if s == wire.Suspect {
-		l.suspects += delta
+		l.suspectCount += delta
 	}
 }
 
@@ -53,7 +53,7 @@
 		return
 	}
 	m.suspectedBy[by] = true
-	if m.update.SuspectedBy != by { // each suspecting node is passed on: others count them to shorten the suspicion
+	if m.update.SuspectedBy != by { // gossip each suspecting node: other nodes count them to shorten the suspicion
 		m.update.SuspectedBy = by
 		l.enqueue(m.update.Node, false)
 	}
@@ -63,16 +63,17 @@
 	l.shortenSuspicion(now, m, m.stateSince+max(shortest, timeout))
 }
 
-// shortenSuspicion moves the death of a suspect forward, but leaves this node the time to probe the suspect itself. Where two fifths of
-// all datagrams are lost among hundreds of nodes, refutations spread more slowly than suspicions; without that time a node which believed
-// a suspicion, or heard that another node's had timed out, declared living nodes dead, and the rest of the fleet followed.
+// shortenSuspicion lets a suspicion time out at deadAt if that is earlier, but leaves this node the time to probe the suspect itself. When
+// two fifths of all datagrams are lost among hundreds of nodes, refutations spread more slowly than suspicions. Without that time, a node
+// that received a suspicion, or learned that another node's suspicion had timed out, declared live nodes dead, and the rest of the fleet
+// did the same.
 func (l *List) shortenSuspicion(now float64, m *member, deadAt float64) {
-	m.deadAt = min(m.deadAt, max(deadAt, now+verifyPeriods*l.config.ProbeIntervalMs))
+	m.declareDeadAt = min(m.declareDeadAt, max(deadAt, now+deathVerificationPeriods*l.config.ProbeIntervalMs))
 }
 
-// resolveIDConflict handles another process with this node's id: the greater incarnation wins, so this node takes a greater one yet. The
-// usual cause is a clock that stands behind that of an earlier process. Two live processes would outbid each other for ever; hence no more
-// than one step per probe interval.
+// resolveIDConflict handles another process with this node's id: the greater incarnation wins, so this node chooses one that is greater
+// still. The usual cause is a clock that is behind that of an earlier process. Two live processes would raise their incarnations without
+// end, so this node raises its own at most once per probe interval.
 func (l *List) resolveIDConflict(now float64, other cluster.Incarnation) {
 	if other <= l.self.Incarnation {
 		return
@@ -86,17 +87,17 @@
 	l.self.Refutation = 0
 }
 
-// recordContact notes that a datagram was received, which ends an isolation.
+// recordContact records that a datagram was received, which ends an isolation.
 func (l *List) recordContact(now float64) {
 	l.lastContactAt = now
 	if !l.isolated {
 		return
 	}
 	l.isolated = false
-	l.declareDeadFrom = now + recoveryMultiplier*l.maxSuspicionMs()
-	for i := range l.members { // suspicions of the isolation start over
+	l.noDeathsBefore = now + isolationRecoveryMultiplier*l.maxSuspicionMs()
+	for i := range l.members { // suspicions from the time of the isolation are extended
 		if m := &l.members[i]; m.update.State == wire.Suspect {
-			m.deadAt = max(m.deadAt, l.declareDeadFrom)
+			m.declareDeadAt = max(m.declareDeadAt, l.noDeathsBefore)
 		}
 	}
 }
