--- a/internal/cluster/counters/counters.go
+++ b/internal/cluster/counters/counters.go
@@ -1,10 +1,10 @@
-// Package counters makes the counters of each node known to all others, with their age. Of each node only the latest value of its present
-// incarnation counts, so that nothing is counted twice or goes back when messages are duplicated, a node restarts, or two halves of a fleet
-// meet again. A sum comes with the number of nodes it includes and the age of the oldest value.
+// Package counters makes the counters of each node known to all others, with their age. Only the latest value from the current incarnation
+// of a node counts, so that no value is counted twice or replaced by an earlier one when messages are duplicated, a node restarts or a
+// partition heals. A sum comes with the number of nodes that it includes and the age of the oldest value.
 //
-// Some counters belong to a node as a whole. Labeled ones belong to one server, tenant or key at a node, which publishes the greatest few of
-// each kind. They fill the room that other sections leave in datagrams, so that their cost does not depend on the size of the fleet. A node
-// knows all counters of a small fleet, and of a large one a sample, which the number of nodes in a sum shows.
+// Some counters belong to a node as a whole. Labeled ones belong to one server, tenant or key at a node, which publishes the greatest few
+// of each kind. Counters fill the room that other sections leave in datagrams, so that their cost does not depend on the size of the fleet.
+// In a small fleet a node knows all counters, in a large one only a sample; the number of nodes in a sum shows how complete it is.
 //
 // The package does no I/O and reads no clock; times are float64 ms. One goroutine must own a Store.
 package counters
@@ -20,8 +20,8 @@
 const (
 	InFlight          = iota // requests in flight
 	ClientConnections        // open connections of clients
-	ConnectionsOpened        // connections opened to servers lately
-	NodeKindCount            // the number of these kinds
+	ConnectionsOpened        // connections opened to servers since the last publication
+	NodeKindCount            // the number of kinds above
 )
 
 // Kinds of labeled counters.
@@ -30,11 +30,11 @@
 	ConnectionsInUse                        // to one server
 	TenantRate                              // requests of one tenant per minute
 	KeyRate                                 // requests for one key per minute
-	allKinds                                // the number of all kinds
+	kindCount                               // the number of all kinds
 )
 
-// KindNames are the names of the kinds, as operators see them.
-var KindNames = [allKinds]string{
+// KindNames are the names of the kinds in the status that operators see.
+var KindNames = [kindCount]string{
 	InFlight:          "in_hand",
 	ClientConnections: "clients",
 	ConnectionsOpened: "connections_opened",
@@ -48,9 +48,9 @@
 const TopN = 8
 
 const (
-	publishedSamples = NodeKindCount + (allKinds-NodeKindCount)*TopN // counters that a node publishes at a time
-	expirySamples    = 2 * publishedSamples                          // samples of a node from which expired ones are dropped
-	maxSamples       = 8 * publishedSamples                          // samples of a node; bounds the memory that a faulty node can take
+	publishedSamples = NodeKindCount + (kindCount-NodeKindCount)*TopN // counters that a node publishes at a time
+	expirySamples    = 2 * publishedSamples                           // number of samples of a node at which expired ones are dropped
+	maxSamples       = 8 * publishedSamples                           // maximum per node; bounds the memory that a faulty node can take
 )
 
 // Key identifies a counter of a node.
@@ -69,9 +69,9 @@
 // nodeSamples are the samples of one node.
 type nodeSamples struct {
 	incarnationTag uint16
-	order          []Key // keys of samples in the order of their arrival, so that nothing depends on the order of a map
+	order          []Key // keys of samples in the order of their arrival, so that iteration is deterministic
 	samples        map[Key]*sample
-	cursor         int // index into order of the sample that was passed on last
+	cursor         int // index into order of the sample that was sent last
 }
 
 // Store holds the counters of all nodes as far as one node knows them.
@@ -79,7 +79,7 @@
 	self       cluster.NodeID
 	nodes      []nodeSamples // by node id
 	seq        uint16
-	nodeCursor int // the node whose samples were passed on last
+	nodeCursor int // the node whose samples were sent last
 	ttlMs      float64
 }
 
@@ -99,7 +99,7 @@
 	s.put(&s.nodes[s.self], key, sample{value: clamped, seq: s.seq, observedAt: now})
 }
 
-// SetIncarnation sets the present incarnation of a node; the samples of another node's earlier incarnation are dropped.
+// SetIncarnation sets the current incarnation of a node. For another node it drops the samples of the earlier incarnation.
 func (s *Store) SetIncarnation(id cluster.NodeID, incarnation cluster.Incarnation) {
 	tag := incarnation.Tag()
 	if int(id) >= len(s.nodes) || s.nodes[id].incarnationTag == tag {
@@ -114,8 +114,8 @@
 
 // put stores a sample of a node, unless there are too many already.
 func (s *Store) put(n *nodeSamples, key Key, added sample) {
-	if known := n.samples[key]; known != nil {
-		*known = added
+	if stored := n.samples[key]; stored != nil {
+		*stored = added
 		return
 	}
 	if len(n.order) >= expirySamples {
--- a/internal/cluster/counters/counters_test.go
+++ b/internal/cluster/counters/counters_test.go
@@ -15,8 +15,8 @@
 
 func allMembers(cluster.NodeID) bool { return true }
 
-// randomFleet is a fleet whose counters are gossiped with messages that are lost, delayed, duplicated and reordered at random. Each node counts
-// up one counter, and goes on counting after it restarts.
+// randomFleet is a fleet whose counters are gossiped with messages that are lost, delayed, duplicated and reordered at random. Each node
+// increments one counter, and continues with its value after a restart.
 type randomFleet struct {
 	key          Key
 	now          float64
@@ -24,23 +24,23 @@
 	incarnations []cluster.Incarnation
 	sent         []*wire.Message
 
-	latest []int   // by node: the value of its counter
-	first  []int   // by node: the least value in its present incarnation
-	known  [][]int // by observer and node: the value that the observer knew last
+	latest           []int   // by node: the value of its counter
+	minInIncarnation []int   // by node: the least value in its current incarnation
+	lastObserved     [][]int // by observer and node: the value that the observer knew last
 }
 
 func newRandomFleet(nodes int, key Key) *randomFleet {
 	f := &randomFleet{
-		key:          key,
-		now:          1e6,
-		stores:       make([]*Store, nodes),
-		incarnations: make([]cluster.Incarnation, nodes),
-		latest:       make([]int, nodes),
-		first:        make([]int, nodes),
-		known:        make([][]int, nodes),
+		key:              key,
+		now:              1e6,
+		stores:           make([]*Store, nodes),
+		incarnations:     make([]cluster.Incarnation, nodes),
+		latest:           make([]int, nodes),
+		minInIncarnation: make([]int, nodes),
+		lastObserved:     make([][]int, nodes),
 	}
 	for i := range nodes {
-		f.known[i] = make([]int, nodes)
+		f.lastObserved[i] = make([]int, nodes)
 	}
 	for i := range nodes {
 		f.start(i)
@@ -52,19 +52,19 @@
 func (f *randomFleet) start(i int) {
 	f.incarnations[i] = f.incarnations[i].Next()
 	f.stores[i] = New(cluster.NodeID(i), len(f.stores), 30_000)
-	f.first[i] = f.latest[i] + 1
-	clear(f.known[i])
+	f.minInIncarnation[i] = f.latest[i] + 1
+	clear(f.lastObserved[i])
 	for k, other := range f.stores {
 		if other == nil {
 			continue
 		}
 		other.SetIncarnation(cluster.NodeID(i), f.incarnations[i])
 		f.stores[i].SetIncarnation(cluster.NodeID(k), f.incarnations[k])
-		f.known[k][i] = 0
+		f.lastObserved[k][i] = 0
 	}
 }
 
-func (f *randomFleet) count(i int) {
+func (f *randomFleet) increment(i int) {
 	f.latest[i]++
 	f.stores[i].Set(f.now, f.key, f.latest[i])
 }
@@ -79,34 +79,34 @@
 	f.sent = append(f.sent, parsed)
 }
 
-// deliverAny delivers any message to a node, perhaps once more.
-func (f *randomFleet) deliverAny(t *rapid.T, i int) {
+// deliverRandom delivers one of the sent messages to a node, which may have received it before.
+func (f *randomFleet) deliverRandom(t *rapid.T, i int) {
 	if len(f.sent) > 0 {
 		f.stores[i].MergeCounters(f.now, f.sent[rapid.IntRange(0, len(f.sent)-1).Draw(t, "message")])
 	}
 }
 
-// check fails if a node knows a value of another that is not of its present incarnation, or less than one that it knew before.
-func (f *randomFleet) check(t *rapid.T) {
+// checkValues fails the test if the value that a node knows of another is not from the other's current incarnation, or is less than before.
+func (f *randomFleet) checkValues(t *rapid.T) {
 	for observer, store := range f.stores {
 		for i := range f.stores {
 			sample := store.nodes[i].samples[f.key]
 			if sample == nil || i == observer {
 				continue
 			}
-			value, before := int(sample.value), f.known[observer][i]
-			if value < f.first[i] || value > f.latest[i] || value < before {
+			value, before := int(sample.value), f.lastObserved[observer][i]
+			if value < f.minInIncarnation[i] || value > f.latest[i] || value < before {
 				t.Fatalf("node %d knows %d of node %d, which has had %d to %d in this incarnation; it knew %d before",
-					observer, value, i, f.first[i], f.latest[i], before)
+					observer, value, i, f.minInIncarnation[i], f.latest[i], before)
 			}
-			f.known[observer][i] = value
+			f.lastObserved[observer][i] = value
 		}
 	}
 }
 
-// Whatever messages are lost, duplicated, late and reordered, and whichever nodes restart: the known value of a node is one that its present
-// incarnation has had, and never goes back to an earlier one.
-func TestValuesNeverGoBack(t *testing.T) {
+// However messages are lost, duplicated, delayed and reordered, and whichever nodes restart, the value that a node knows of another is one
+// that the other's current incarnation has had, and it is never replaced by an earlier one.
+func TestValuesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 4
 		f := newRandomFleet(nodes, rapid.SampledFrom([]Key{{InFlight, 0}, {OpenConnections, 7}}).Draw(t, "key"))
@@ -115,21 +115,21 @@
 			i := rapid.IntRange(0, nodes-1).Draw(t, "node")
 			switch rapid.IntRange(0, 6).Draw(t, "action") {
 			case 0, 1:
-				f.count(i)
+				f.increment(i)
 			case 2, 3:
 				f.send(t, i)
 			case 4:
 				f.start(i)
 			default:
-				f.deliverAny(t, i)
+				f.deliverRandom(t, i)
 			}
-			f.check(t)
+			f.checkValues(t)
 		}
 	})
 }
 
-// A node that died or restarted is not included in sums until it sends counters itself.
-func TestSumOfPresentIncarnations(t *testing.T) {
+// Values of an earlier incarnation, earlier values of the same incarnation and expired values are not included in a sum.
+func TestSumOfCurrentIncarnations(t *testing.T) {
 	s := New(0, 3, 5000)
 	s.MergeCounters(1000, &wire.Message{Counters: []wire.Counter{
 		{Node: 1, Kind: InFlight, Value: 5, AgeMs: 100, Seq: 2},
@@ -153,7 +153,7 @@
 	}
 }
 
-// Each node publishes the few labeled counters that it has, and all nodes learn of them; a sum includes the number of its nodes.
+// All nodes learn of the labeled counters that each node publishes, and a sum includes the number of its nodes.
 func TestLabeledCounters(t *testing.T) {
 	const nodes = 5
 	stores := make([]*Store, nodes)
@@ -181,7 +181,8 @@
 	}
 }
 
-// setLabeledCounters sets the counters of a node: all without a label, those of the servers that all nodes have, and those of its own tenants.
+// setLabeledCounters sets the counters of a node: all without a label, those of the servers that all nodes have, and those of its own
+// tenants.
 func setLabeledCounters(store *Store, now float64, node uint32) {
 	for kind := range NodeKindCount {
 		store.Set(now, Key{Kind: uint8(kind)}, 1)
@@ -208,7 +209,7 @@
 	}
 }
 
-// A node that sends ever new labels does not fill the memory of others.
+// A node that keeps sending new labels does not fill the memory of others.
 func TestSamplesAreBounded(t *testing.T) {
 	const incarnation cluster.Incarnation = 9 << 16
 	s := New(1, 2, 10_000)
@@ -228,7 +229,7 @@
 	for name, c := range map[string]wire.Counter{
 		"unknown node":      {Node: 3, Kind: InFlight},
 		"this node":         {Node: 0, Kind: InFlight},
-		"unknown kind":      {Node: 1, Kind: allKinds, Label: 1},
+		"unknown kind":      {Node: 1, Kind: kindCount, Label: 1},
 		"missing label":     {Node: 1, Kind: KeyRate},
 		"unexpected label":  {Node: 1, Kind: InFlight, Label: 1},
 		"expired":           {Node: 1, Kind: InFlight, AgeMs: 5000},
--- a/internal/cluster/counters/golden_test.go
+++ b/internal/cluster/counters/golden_test.go
@@ -9,15 +9,15 @@
 	"mintspring/internal/testbed/wiretest"
 )
 
-// goldenScript returns what one node sends that has counters of all kinds and passes on those of others.
-func goldenScript() (sent []*wire.Message) {
+// runGoldenScript returns the messages of a node that has counters of all kinds and forwards those of another node.
+func runGoldenScript() (sent []*wire.Message) {
 	s := New(1, 4, 10_000)
 	s.SetIncarnation(1, 0x0123456789ab0000)
 	s.SetIncarnation(2, 0x0223456789ab0000)
 	now := 1_000_000.0
 	for step := range 20 {
 		now += 100
-		for kind := range uint8(allKinds) {
+		for kind := range uint8(kindCount) {
 			key := Key{Kind: kind}
 			if kind >= NodeKindCount {
 				key.Label = 0x01020304 * uint32(kind)
@@ -40,7 +40,7 @@
 
 // The datagrams with counters stay the same byte for byte.
 func TestGoldenDatagrams(t *testing.T) {
-	sent := goldenScript()
+	sent := runGoldenScript()
 	kinds := map[uint8]bool{}
 	for i, m := range wiretest.CheckDatagrams(t, "counts.hex", wiretest.Encode(sent)) {
 		if !reflect.DeepEqual(m.Counters, labeledLast(sent[i].Counters)) {
@@ -50,12 +50,12 @@
 			kinds[x.Kind] = true
 		}
 	}
-	if len(kinds) != allKinds {
+	if len(kinds) != kindCount {
 		t.Errorf("the script covers kinds %v", kinds)
 	}
 }
 
-// labeledLast returns counters in the order in which they are decoded: those with a label behind those without.
+// labeledLast returns counters in the order in which they are decoded: those with a label after those without.
 func labeledLast(all []wire.Counter) (out []wire.Counter) {
 	for _, labeled := range []bool{false, true} {
 		for _, x := range all {
--- a/internal/cluster/counters/gossip.go
+++ b/internal/cluster/counters/gossip.go
@@ -5,23 +5,24 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// MergeCounters takes over the counters in a message that belong to the present incarnations of their nodes and are later than what is known.
-// Their sequence numbers decide, not their ages: a datagram that was delayed would seem recent and replace a later value.
+// MergeCounters stores the counters in a message that belong to the current incarnations of their nodes and are later than the stored ones.
+// Sequence numbers decide which is later, not ages: by its age, a counter in a delayed datagram would seem recent and replace a later
+// value.
 func (s *Store) MergeCounters(now float64, m *wire.Message) {
 	for _, c := range m.Counters {
 		if !s.accepts(c) {
 			continue
 		}
 		n, key := &s.nodes[c.Node], Key{Kind: c.Kind, Label: c.Label}
-		if known := n.samples[key]; known == nil || isLater(c.Seq, known.seq) {
+		if stored := n.samples[key]; stored == nil || isLater(c.Seq, stored.seq) {
 			s.put(n, key, sample{value: c.Value, seq: c.Seq, observedAt: now - c.AgeMs})
 		}
 	}
 }
 
-// accepts reports whether a counter is valid, of another node's present incarnation, and has not expired.
+// accepts reports whether a counter is valid, belongs to the current incarnation of another node, and has not expired.
 func (s *Store) accepts(c wire.Counter) bool {
-	if int(c.Node) >= len(s.nodes) || c.Node == s.self || c.Kind >= allKinds {
+	if int(c.Node) >= len(s.nodes) || c.Node == s.self || c.Kind >= kindCount {
 		return false
 	}
 	needsLabel := c.Kind >= NodeKindCount
@@ -31,27 +32,28 @@
 // isLater reports whether a sequence number follows another; both wrap around.
 func isLater(seq, than uint16) bool { return int16(seq-than) > 0 }
 
-// AppendCounters fills a message with counters: this node's own first, those of the node as a whole always and the labeled ones in turn,
-// then those of other nodes in turn.
+// AppendCounters fills a message with counters. This node's own come first: all that belong to the node as a whole, then labeled ones in
+// turn. Counters of other nodes follow in turn.
 func (s *Store) AppendCounters(now float64, m *wire.Message) {
 	self := int(s.self)
 	for kind := range uint8(NodeKindCount) {
 		s.appendCounter(now, m, self, Key{Kind: kind})
 	}
-	s.appendSome(now, m, self, m.CounterCapacity()/2)
+	s.appendInTurn(now, m, self, m.CounterCapacity()/2)
 	for range s.nodes {
 		if m.CounterCapacity() == 0 {
 			return
 		}
 		s.nodeCursor = (s.nodeCursor + 1) % len(s.nodes)
 		if s.nodeCursor != self {
-			s.appendSome(now, m, s.nodeCursor, max(NodeKindCount, m.CounterCapacity()/2))
+			s.appendInTurn(now, m, s.nodeCursor, max(NodeKindCount, m.CounterCapacity()/2))
 		}
 	}
 }
 
-// appendSome adds up to limit counters of a node in turn; of this node itself labeled ones only.
-func (s *Store) appendSome(now float64, m *wire.Message, id, limit int) {
+// appendInTurn adds up to limit counters of a node, starting behind the one that was sent last. Of this node itself it adds only labeled
+// ones.
+func (s *Store) appendInTurn(now float64, m *wire.Message, id, limit int) {
 	n := &s.nodes[id]
 	for range n.order {
 		if limit <= 0 || m.CounterCapacity() == 0 {
@@ -71,18 +73,18 @@
 // appendCounter adds a counter, if it is known and there is room for it.
 func (s *Store) appendCounter(now float64, m *wire.Message, id int, key Key) (added bool) {
 	n := &s.nodes[id]
-	known := n.samples[key]
-	if known == nil || now-known.observedAt >= s.ttlMs || m.CounterCapacity() == 0 {
+	latest := n.samples[key]
+	if latest == nil || now-latest.observedAt >= s.ttlMs || m.CounterCapacity() == 0 {
 		return false
 	}
 	m.Counters = append(m.Counters, wire.Counter{
 		Node:           cluster.NodeID(id),
 		IncarnationTag: n.incarnationTag,
-		Seq:            known.seq,
+		Seq:            latest.seq,
 		Kind:           key.Kind,
 		Label:          key.Label,
-		Value:          known.value,
-		AgeMs:          max(0, now-known.observedAt),
+		Value:          latest.value,
+		AgeMs:          max(0, now-latest.observedAt),
 	})
 	return true
 }
--- a/internal/cluster/counters/sum.go
+++ b/internal/cluster/counters/sum.go
@@ -10,27 +10,27 @@
 // Sum is the sum of one counter over the nodes of the fleet.
 type Sum struct {
 	Value       int     `json:"value"`
-	Nodes       int     `json:"nodes"`  // whose values it includes
-	OldestAgeMs float64 `json:"oldest"` // age of the oldest of them
+	Nodes       int     `json:"nodes"`  // number of nodes whose values are included
+	OldestAgeMs float64 `json:"oldest"` // age of the oldest included value
 }
 
 // LabeledSum is the sum of a labeled counter.
 type LabeledSum struct {
 	Label uint32 `json:"name"`
-	Name  string `json:"text,omitempty"` // what the label stands for, where this node knows it
+	Name  string `json:"text,omitempty"` // the name whose hash is the label, if this node knows it
 	Sum
 }
 
 // Sum returns the sum of a counter over the members of the fleet.
 func (s *Store) Sum(now float64, key Key, isMember func(cluster.NodeID) bool) (sum Sum) {
 	for i := range s.nodes {
-		known := s.nodes[i].samples[key]
-		if known == nil || now-known.observedAt >= s.ttlMs || !isMember(cluster.NodeID(i)) {
+		latest := s.nodes[i].samples[key]
+		if latest == nil || now-latest.observedAt >= s.ttlMs || !isMember(cluster.NodeID(i)) {
 			continue
 		}
-		sum.Value += int(known.value)
+		sum.Value += int(latest.value)
 		sum.Nodes++
-		sum.OldestAgeMs = max(sum.OldestAgeMs, now-known.observedAt)
+		sum.OldestAgeMs = max(sum.OldestAgeMs, now-latest.observedAt)
 	}
 	return sum
 }
--- a/internal/cluster/gossip/exchange.go
+++ b/internal/cluster/gossip/exchange.go
@@ -7,38 +7,38 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// New evidence is pushed to a few random nodes at once, which do the same: it reaches all nodes within a few hops, and not within a few
-// probe intervals.
+// New evidence is pushed to a few random nodes at once, which forward it in the same way, so that it reaches all nodes within a few hops
+// rather than a few probe intervals.
 const (
 	pushFanout      = 3
-	pushesPerPeriod = 10 // the limit per probe interval
+	pushesPerPeriod = 10 // limit per probe interval
 )
 
-// Entries of a datagram that member updates and evidence may take, so that there is room for other sections.
+// Limits of the member updates and of the evidence in a datagram, which leave room for other sections.
 const (
 	maxUpdates  = 5
 	maxEvidence = 8
 )
 
-// leaseChecks is the number of times in the duration of a lease at which the need of leases is checked.
-const leaseChecks = 10
+// checksPerLease is how many times, during one lease, a node checks for leases that it needs and for leases that have expired.
+const checksPerLease = 10
 
-// Tick does what is due and returns the messages to be sent.
+// Tick runs what is due in each protocol and returns the messages to be sent.
 func (n *Node) Tick(now float64) []*wire.Message {
 	out := n.membership.Tick(now)
 	n.collectEvents()
 	if n.config.ShareEvidence {
 		out = n.pushEvidence(now, out)
 	}
-	if n.config.ShareQuotas && now >= n.nextBorrowAt {
-		n.nextBorrowAt = now + n.config.LeaseMs/leaseChecks
+	if n.config.ShareQuotas && now >= n.nextLeaseCheckAt {
+		n.nextLeaseCheckAt = now + n.config.LeaseMs/checksPerLease
 		out = n.requestLeases(now, out)
 		n.detectExpiredLeases(now)
 	}
 	return n.fill(now, out)
 }
 
-// pushEvidence updates the evidence and adds the messages that carry what is new of it.
+// pushEvidence updates the evidence. If some of it is new, it adds messages to random nodes, which fill completes with the evidence.
 func (n *Node) pushEvidence(now float64, out []*wire.Message) []*wire.Message {
 	n.outlierChanges = append(n.outlierChanges, n.outliers.Tick(now, n.membership.MemberCount())...)
 	if now < n.nextPushAt || !n.outliers.TakeUnsent() {
@@ -51,7 +51,7 @@
 	return out
 }
 
-// requestLeases adds the requests for leases, those to one lender in as few datagrams as they fit into.
+// requestLeases adds the requests for leases to the messages. Requests to the same lender share datagrams as far as they fit.
 func (n *Node) requestLeases(now float64, out []*wire.Message) []*wire.Message {
 	for _, request := range n.quotas.Tick(now, n.membership.IsMember) {
 		i := slices.IndexFunc(out, func(m *wire.Message) bool { return m.To == request.To && m.QuotaRequestCapacity() > 0 })
@@ -69,7 +69,7 @@
 	return out
 }
 
-// detectExpiredLeases marks the budgets of which this node may spend more or less of its own since leases have expired.
+// detectExpiredLeases marks the budgets for which this node may spend a different number of its own units because leases have expired.
 func (n *Node) detectExpiredLeases(now float64) {
 	for _, account := range n.quotas.Accounts(now) {
 		if account.Own != n.ownUnits[account.Budget] {
@@ -120,7 +120,7 @@
 	return n.fill(now, out)
 }
 
-// handleQuotas takes over the granted leases of a message and adds the answers to its requests.
+// handleQuotas processes the lease grants in a message and adds the answers to its lease requests.
 func (n *Node) handleQuotas(now float64, m *wire.Message, out []*wire.Message) []*wire.Message {
 	for _, grant := range m.QuotaGrants {
 		n.quotas.HandleGrant(now, m.From, grant)
@@ -140,7 +140,7 @@
 	return out
 }
 
-// fill completes the messages that are to be sent: the sender, and as much gossip as there is room for.
+// fill sets the sender of each message and adds as much gossip as there is room for.
 func (n *Node) fill(now float64, out []*wire.Message) []*wire.Message {
 	for _, m := range out {
 		m.Fleet, m.From, m.Incarnation = n.fleet, n.config.Self, n.membership.Incarnation()
--- a/internal/cluster/gossip/golden_test.go
+++ b/internal/cluster/gossip/golden_test.go
@@ -39,7 +39,7 @@
 	return datagrams, status
 }
 
-// Three nodes that share everything send the same datagrams, byte for byte, and show the same status.
+// The datagrams and the status of three nodes that share everything stay the same, byte for byte.
 func TestGoldenFleet(t *testing.T) {
 	datagrams, status := recordFleet(t)
 	all := wire.Message{} // the sections of all datagrams
--- a/internal/cluster/gossip/gossip_test.go
+++ b/internal/cluster/gossip/gossip_test.go
@@ -20,9 +20,9 @@
 // testFleet is a simulated network of nodes that share everything.
 type testFleet struct {
 	*simnet.Network
-	nodes    []*SimulatedNode
-	config   Config
-	maxSpent float64 // the greatest share of the budget that all nodes together could spend at any moment
+	nodes             []*SimulatedNode
+	config            Config
+	maxSpendableShare float64 // the greatest share of the budget that all nodes together could spend at any moment
 }
 
 func newFleet(nodes int, seed uint64) *testFleet {
@@ -49,12 +49,12 @@
 				sum += node.AllowedShare(f.Nodes[i].LocalTime(f.Now), budget)
 			}
 		}
-		f.maxSpent = max(f.maxSpent, sum)
+		f.maxSpendableShare = max(f.maxSpendableShare, sum)
 	}
 	return f
 }
 
-// start starts a node as a new incarnation that remembers nothing but its demands.
+// start starts a node as a new incarnation, which keeps only the demands of the earlier one.
 func (f *testFleet) start(i int) {
 	config := f.config
 	config.Self, config.Seed = cluster.NodeID(i), f.Rng.Uint64()
@@ -73,8 +73,8 @@
 	f.Links.Set(from, to, func(link *faultrelay.Link) { link.Cut = true })
 }
 
-// budgetFaults are the hard cases of a shared budget: each lets faults happen to a fleet that shares one.
-var budgetFaults = map[string]func(f *testFleet){
+// faultScenarios are the cases in which a shared budget is most likely to be exceeded. Each injects faults into a fleet.
+var faultScenarios = map[string]func(f *testFleet){
 	"all isolated": func(f *testFleet) {
 		f.cutLinks(f.NodeIndexes(), f.NodeIndexes())
 		f.Run(10_000)
@@ -127,7 +127,7 @@
 			f.start(i + 4)
 		}
 	},
-	noise: func(f *testFleet) {
+	corruptionCase: func(f *testFleet) {
 		f.Links.Set(f.NodeIndexes(), f.NodeIndexes(), func(link *faultrelay.Link) {
 			link.CorruptRate, link.TruncateRate, link.LossRate, link.JitterMs = 0.1, 0.1, 0.1, 700
 		})
@@ -136,30 +136,30 @@
 	},
 }
 
-// noise is the case in which datagrams are corrupted.
-const noise = "noise"
+// corruptionCase names the scenario in which some datagrams must be corrupted.
+const corruptionCase = "corruption, loss and jitter"
 
-// Whatever happens between nodes that share everything, the allowances that their drivers hold never exceed the whole budget, and afterwards
-// the nodes share it again.
+// The allowances in effect at all nodes together never exceed the budget in any fault scenario, and afterwards the nodes can use most of it
+// again.
 func TestBudgetIsNeverExceeded(t *testing.T) {
-	for name, injectFaults := range budgetFaults {
+	for name, injectFaults := range faultScenarios {
 		t.Run(name, func(t *testing.T) {
 			f := startSkewedFleet(8)
 			f.Run(8000)
 			injectFaults(f)
-			if f.maxSpent > 1 {
-				t.Errorf("%.4f of the budget could be spent", f.maxSpent)
+			if f.maxSpendableShare > 1 {
+				t.Errorf("%.4f of the budget could be spent", f.maxSpendableShare)
 			}
-			if name == noise && f.MalformedDatagrams == 0 {
+			if name == corruptionCase && f.MalformedDatagrams == 0 {
 				t.Error("no datagram was corrupted")
 			}
 			f.Run(60_000)
-			used := f.usableShare()
-			if used < 0.8 || f.nodes[2].MemberCount() != 8 {
-				t.Errorf("long afterwards %.3f of the budget can be used, and node 2 knows %d nodes", used, f.nodes[2].MemberCount())
+			usable := f.usableShare()
+			if usable < 0.8 || f.nodes[2].MemberCount() != 8 {
+				t.Errorf("long afterwards %.3f of the budget can be used, and node 2 knows %d nodes", usable, f.nodes[2].MemberCount())
 			}
-			if f.maxSpent > 1 {
-				t.Errorf("%.4f of the budget could be spent afterwards", f.maxSpent)
+			if f.maxSpendableShare > 1 {
+				t.Errorf("%.4f of the budget could be spent afterwards", f.maxSpendableShare)
 			}
 		})
 	}
@@ -176,7 +176,7 @@
 	return f
 }
 
-// usableShare returns how much of the budget all nodes together demand and may use.
+// usableShare returns the share of the budget that all nodes together both demand and may spend.
 func (f *testFleet) usableShare() float64 {
 	share := 0.0
 	for i, node := range f.nodes {
--- a/internal/cluster/gossip/node.go
+++ b/internal/cluster/gossip/node.go
@@ -1,9 +1,9 @@
-// Package gossip is the protocol core of one node in its fleet: it combines membership, shared quotas, outlier evidence and counters in
-// common datagrams.
+// Package gossip is the protocol core of one node in its fleet: it combines membership, shared quotas, outlier evidence and counters in the
+// same datagrams.
 //
 // The package does no I/O and reads no clock: its caller passes the time in milliseconds, the received datagrams and the node's own
-// observations, and sends the messages that are returned. Changes must be drained and applied before the returned messages are sent: units
-// that are leased out must not be spent any more when the borrower learns of the lease. One goroutine must own a Node.
+// observations, and sends the messages that are returned. Changed allowances must be drained and applied before the returned messages are
+// sent: a node must stop spending the units that it leases out before the borrower learns of the lease. One goroutine must own a Node.
 package gossip
 
 import (
@@ -20,12 +20,12 @@
 	Fleet           string // datagrams of other fleets are dropped
 	Self            cluster.NodeID
 	MaxNodes        int     // node ids are below this number
-	QuotaOwners     int     // the nodes below this number own the budgets
+	QuotaOwners     int     // the nodes with ids below this number own the budgets
 	ProbeIntervalMs float64 // see membership.Config
 	ProbeTimeoutMs  float64 // see membership.Config
 	LeaseMs         float64 // see quota.Config
 	EvidenceTTLMs   float64 // lifetime of evidence and counters
-	Seed            uint64  // of the random choices
+	Seed            uint64  // seeds the random choices
 
 	ShareQuotas, ShareEvidence, ShareCounters bool
 }
@@ -51,13 +51,13 @@
 	outliers   *outlier.Detector
 	counters   *counters.Store
 
-	received       ReceiveStats
-	events         []membership.Event
-	outlierChanges []outlier.Change
-	changedBudgets []uint32
-	ownUnits       map[uint32]uint32 // by budget: the units of its own that this node was last allowed to spend
-	nextBorrowAt   float64
-	nextPushAt     float64
+	received         ReceiveStats
+	events           []membership.Event
+	outlierChanges   []outlier.Change
+	changedBudgets   []uint32
+	ownUnits         map[uint32]uint32 // by budget: this node's own units in the allowance that was drained last
+	nextLeaseCheckAt float64
+	nextPushAt       float64
 }
 
 // New returns the state of a node that has just started.
@@ -84,13 +84,13 @@
 // Config returns the configuration that the node was created with.
 func (n *Node) Config() Config { return n.config }
 
-// Incarnation returns the present incarnation of this node.
+// Incarnation returns the current incarnation of this node.
 func (n *Node) Incarnation() cluster.Incarnation { return n.membership.Incarnation() }
 
 // Received returns the numbers of datagrams received so far.
 func (n *Node) Received() ReceiveStats { return n.received }
 
-// MemberCount returns the number of members, including this node.
+// MemberCount returns the number of members, including this node and suspects.
 func (n *Node) MemberCount() int { return n.membership.MemberCount() }
 
 // Isolated reports whether this node considers itself cut off from all others.
@@ -153,7 +153,7 @@
 	return events
 }
 
-// collectEvents takes over the events of the membership list; counters of earlier incarnations are dropped with them.
+// collectEvents appends the events of the membership list to n.events and drops the counters of earlier incarnations.
 func (n *Node) collectEvents() {
 	for _, event := range n.membership.DrainEvents() {
 		n.counters.SetIncarnation(event.Node, event.Incarnation)
@@ -161,7 +161,7 @@
 	}
 }
 
-// DrainOutlierChanges returns the changes of indirect evidence since the last call.
+// DrainOutlierChanges returns what has changed since the last call in the evidence from other nodes.
 func (n *Node) DrainOutlierChanges() []outlier.Change {
 	changes := n.outlierChanges
 	n.outlierChanges = nil
--- a/internal/cluster/gossip/simulated.go
+++ b/internal/cluster/gossip/simulated.go
@@ -5,12 +5,12 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// SimulatedNode is a node together with the allowances that it has handed out: what the driver of a node does, for a simulated network.
+// SimulatedNode runs a Node on a simulated network. Like the driver of a real node it applies changed allowances before messages are sent.
 type SimulatedNode struct {
 	*Node
-	Allowances map[uint32]quota.Allowance // by budget
+	Allowances map[uint32]quota.Allowance // in effect, by budget
 	Demands    map[uint32]float64         // by budget: the share of the whole that the node could spend
-	OnTick     func(now float64)          // called before each tick; nil: nothing
+	OnTick     func(now float64)          // called before each tick; may be nil
 }
 
 // NewSimulatedNode returns a simulated node.
@@ -34,13 +34,13 @@
 	return s.apply(now, s.Node.Handle(now, m))
 }
 
-// apply takes over the changed allowances before messages are sent.
+// apply puts the changed allowances into effect before messages are sent.
 func (s *SimulatedNode) apply(now float64, out []*wire.Message) []*wire.Message {
 	s.DrainAllowances(now, func(budget uint32, a quota.Allowance) { s.Allowances[budget] = a })
 	return out
 }
 
-// AllowedShare returns what the node may spend of a budget, as a share of the whole.
+// AllowedShare returns the share of a budget that the node may spend.
 func (s *SimulatedNode) AllowedShare(now float64, budget uint32) float64 {
 	allowance, known := s.Allowances[budget]
 	if !known {
--- a/internal/cluster/gossip/status.go
+++ b/internal/cluster/gossip/status.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// MemberStatus is the status of one node.
+// MemberStatus is the state of one node in the membership list.
 type MemberStatus struct {
 	Node        cluster.NodeID `json:"node"`
 	State       string         `json:"state"`
@@ -18,7 +18,7 @@
 	HeardAgoMs  float64        `json:"heard_ms_ago"` // -1: never
 }
 
-// Status is the state of a node as its operators see it.
+// Status is the state of a node as it is shown to operators.
 type Status struct {
 	Self        cluster.NodeID          `json:"self"`
 	Incarnation uint64                  `json:"life"`
@@ -39,7 +39,7 @@
 // maxLabeledStatus is the number of labeled counters of each kind that the status lists.
 const maxLabeledStatus = 2 * counters.TopN
 
-// Status returns the present state.
+// Status returns the current state.
 func (n *Node) Status(now float64) Status {
 	s := Status{
 		Self:        n.config.Self,
@@ -50,7 +50,7 @@
 		HealthScore: n.membership.HealthScore(),
 		IDConflicts: n.membership.IDConflicts(),
 		Received:    n.received,
-		Members:     n.memberStatus(now),
+		Members:     n.memberStatuses(now),
 		Budgets:     n.quotas.Accounts(now),
 		Servers:     n.outliers.Status(now),
 
@@ -70,8 +70,8 @@
 	return s
 }
 
-// memberStatus lists the nodes that this one knows of.
-func (n *Node) memberStatus(now float64) (members []MemberStatus) {
+// memberStatuses returns the status of each node that this one knows of.
+func (n *Node) memberStatuses(now float64) (members []MemberStatus) {
 	for i := range n.config.MaxNodes {
 		update, heardAgoMs := n.membership.Lookup(now, cluster.NodeID(i))
 		if update.State == wire.Unknown {
