--- a/internal/cluster/datagram/receive.go
+++ b/internal/cluster/datagram/receive.go
@@ -1,4 +1,4 @@
-// Package datagram receives the datagrams of a socket, and outlasts a socket that fails.
+// Package datagram receives datagrams from a socket and retries with a backoff while reads fail.
 package datagram
 
 import (
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// After a read of a socket has failed, the next is made later, and the later the more of them have failed one after another.
+// Limits of the backoff after a failed read. It doubles with each consecutive failure.
 const (
 	minBackoff = time.Millisecond
 	maxBackoff = time.Second
@@ -22,9 +22,9 @@
 	ReadFromUDPAddrPort(b []byte) (n int, addr netip.AddrPort, err error)
 }
 
-// Receive passes each datagram that is not empty to handle, which must not keep the payload, until the socket is closed. Errors that go on until the
-// longest backoff is reached are reported once, and again only if a read has succeeded between. Once stopping is closed, which may be nil, it does not
-// wait for a backoff to end.
+// Receive passes each non-empty datagram to handle until the socket is closed. The payload is valid only during the call of handle. When
+// reads fail until the backoff reaches its maximum, Receive reports the error once, and reports another only after a read has succeeded.
+// Once stopping, which may be nil, is closed, Receive returns instead of backing off.
 func Receive(socket Reader, stopping <-chan struct{}, reportError func(error), handle func(payload []byte, from netip.AddrPort)) {
 	buffer := make([]byte, bufferSize)
 	backoff := minBackoff
--- a/internal/cluster/datagram/receive_test.go
+++ b/internal/cluster/datagram/receive_test.go
@@ -11,10 +11,11 @@
 
 var errSocket = errors.New("socket failed")
 
-// maxFailingReads ends a test whose reads do not back off, in which no time passes.
+// maxFailingReads ends the test if reads do not back off: without a backoff the fake clock of synctest never advances.
 const maxFailingReads = 10_000
 
-// failingSocket fails at each read for a time, then receives one datagram, and then the same again. It is closed after a number of rounds.
+// failingSocket fails each read for the duration of failure, then receives one datagram, and repeats this for a number of rounds. Then it
+// is closed.
 type failingSocket struct {
 	failure     time.Duration
 	rounds      int
@@ -35,11 +36,11 @@
 	return copy(b, "datagram"), netip.AddrPort{}, nil
 }
 
-// A socket whose reads fail for long is read seldom, and the failure is reported once for each time; a short failure is not reported.
+// While reads fail for long, they become rare, and each such failure is reported once. A short failure is not reported.
 func TestReadsOfAFailingSocketBackOff(t *testing.T) {
 	for _, x := range []struct {
 		failure           time.Duration
-		maxReads, reports int // in all, of two rounds
+		maxReads, reports int // total of both rounds
 	}{
 		{failure: 20 * time.Second, maxReads: 80, reports: 2},
 		{failure: 100 * time.Millisecond, maxReads: 30, reports: 0},
@@ -55,7 +56,7 @@
 	}
 }
 
-// stoppedSocket closes a channel and fails at its first read, and is closed at the second.
+// stoppedSocket closes stopping and fails at its first read, and is closed at the second.
 type stoppedSocket struct {
 	stopping chan struct{}
 	reads    int
@@ -75,7 +76,7 @@
 		socket, start := &stoppedSocket{stopping: make(chan struct{})}, time.Now()
 		Receive(socket, socket.stopping, func(error) {}, func([]byte, netip.AddrPort) {})
 		if waited := time.Since(start); waited > 0 {
-			t.Errorf("it waits %v", waited)
+			t.Errorf("Receive waits %v after the stop", waited)
 		}
 	})
 }
--- a/internal/cluster/faultrelay/links.go
+++ b/internal/cluster/faultrelay/links.go
@@ -1,6 +1,6 @@
 // Package faultrelay injects faults into the datagrams between the processes of a fleet: loss, delay, duplication, reordering, corruption,
-// truncation and limited bandwidth, for each ordered pair of nodes. Links decides what becomes of a datagram, without I/O and determined by a
-// seed; Relay applies that on loopback sockets between real processes, and the simulator on its virtual clock.
+// truncation and limited bandwidth, for each ordered pair of nodes. Links decides when and how a datagram is delivered; it does no I/O, and
+// a seed determines its decisions. Relay applies them on loopback sockets between real processes, and the simulator on its virtual clock.
 package faultrelay
 
 import (
@@ -12,7 +12,7 @@
 // randomStreamID distinguishes the random numbers of the links from others with the same seed.
 const randomStreamID = 17
 
-// Link holds the faults of the way from one node to another. The zero value delivers everything at once.
+// Link holds the faults of datagrams from one node to another. The zero value delivers everything immediately.
 type Link struct {
 	Cut              bool    // nothing is delivered
 	LossRate         float64 // share of datagrams that is lost
@@ -25,8 +25,8 @@
 	BytesPerSecond   float64 // bandwidth; 0: unlimited
 }
 
-// edge is an ordered pair of nodes.
-type edge struct{ from, to int }
+// nodePair is an ordered pair of nodes.
+type nodePair struct{ from, to int }
 
 // Delivery is a datagram that arrives at a time.
 type Delivery struct {
@@ -36,32 +36,32 @@
 
 // Links holds the faults of all links. One goroutine must own it.
 type Links struct {
-	links     map[edge]*Link   // without an entry: no faults
-	busyUntil map[edge]float64 // of links with limited bandwidth
+	links     map[nodePair]*Link   // without an entry: no faults
+	busyUntil map[nodePair]float64 // of links with limited bandwidth
 	rng       *rand.Rand
 }
 
 // NewLinks returns links without faults.
 func NewLinks(seed uint64) *Links {
 	return &Links{
-		links:     map[edge]*Link{},
-		busyUntil: map[edge]float64{},
+		links:     map[nodePair]*Link{},
+		busyUntil: map[nodePair]float64{},
 		rng:       rand.New(rand.NewPCG(seed, randomStreamID)),
 	}
 }
 
-// Set changes the links from each of some nodes to each of others.
+// Set applies change to each link that leads from a node in from to another node in to.
 func (l *Links) Set(from, to []int, change func(*Link)) {
 	for _, a := range from {
 		for _, b := range to {
 			if a == b {
 				continue
 			}
-			e := edge{a, b}
-			if l.links[e] == nil {
-				l.links[e] = &Link{}
+			pair := nodePair{a, b}
+			if l.links[pair] == nil {
+				l.links[pair] = &Link{}
 			}
-			change(l.links[e])
+			change(l.links[pair])
 		}
 	}
 }
@@ -71,8 +71,8 @@
 
 // Transmit returns the deliveries of a datagram that is sent now, in the order of their times. They do not share memory with it.
 func (l *Links) Transmit(now float64, from, to int, b []byte) []Delivery {
-	e := edge{from, to}
-	link := l.links[e]
+	pair := nodePair{from, to}
+	link := l.links[pair]
 	if link == nil {
 		return []Delivery{{AtMs: now, Data: slices.Clone(b)}}
 	}
@@ -81,8 +81,8 @@
 	}
 	sentAt := now
 	if link.BytesPerSecond > 0 {
-		sentAt = max(now, l.busyUntil[e]) + 1000*float64(len(b))/link.BytesPerSecond
-		l.busyUntil[e] = sentAt
+		sentAt = max(now, l.busyUntil[pair]) + 1000*float64(len(b))/link.BytesPerSecond
+		l.busyUntil[pair] = sentAt
 	}
 	var deliveries []Delivery
 	for i := range 1 + link.Duplicates {
@@ -107,7 +107,7 @@
 	return Delivery{AtMs: at, Data: b}
 }
 
-// happens decides whether a fault of some probability happens. It draws no random number for one that cannot.
+// happens decides at random whether a fault of the given probability happens. For a probability of 0 it draws no random number.
 func (l *Links) happens(probability float64) bool {
 	return probability > 0 && l.rng.Float64() < probability
 }
--- a/internal/cluster/faultrelay/relay.go
+++ b/internal/cluster/faultrelay/relay.go
@@ -8,11 +8,11 @@
 	"time"
 )
 
-// maxDatagram is the size of the read buffers in bytes.
-const maxDatagram = 64 << 10
+// readBufferSize is the size of the read buffers in bytes, enough for any datagram.
+const readBufferSize = 64 << 10
 
-// Relay has a datagram socket on loopback for each ordered pair of nodes. What a node sends to its address for another node arrives at that node's
-// own socket from the address that the other knows the sender by. Its methods may be called from any goroutine.
+// Relay has a UDP socket on loopback for each ordered pair of nodes. A datagram that node a sends to Addr(a, b) arrives at node b's own
+// socket from Addr(b, a), the address that b uses for a. Methods may be called from any goroutine.
 type Relay struct {
 	sockets [][]*net.UDPConn // by sender and receiver; not changed after Start
 	readers sync.WaitGroup   // the goroutines in readLoop, which Close ends
@@ -22,7 +22,7 @@
 	destinations []*net.UDPAddr // the nodes' own sockets
 	closed       bool
 	sent         []int // datagrams by sender
-	sentBytes    []int // bytes of these
+	sentBytes    []int // bytes by sender
 }
 
 // Start opens the sockets for a number of nodes.
@@ -91,14 +91,14 @@
 // readLoop relays the datagrams from one node to another until the relay is closed.
 func (r *Relay) readLoop(from, to int) {
 	defer r.readers.Done()
-	b := make([]byte, maxDatagram)
+	b := make([]byte, readBufferSize)
 	for {
 		n, _, err := r.sockets[from][to].ReadFromUDP(b)
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
 		if err != nil {
-			continue // an ICMP error, of a process that has ended
+			continue // an ICMP error after the destination process has ended
 		}
 		r.relay(from, to, b[:n])
 	}
@@ -124,7 +124,7 @@
 
 func unixMs(t time.Time) float64 { return float64(t.UnixNano()) / 1e6 }
 
-// deliver sends a datagram to a node from the address that it knows the sender by.
+// deliver sends a datagram to a node from the address that this node uses for the sender.
 func (r *Relay) deliver(from, to int, b []byte, destination *net.UDPAddr) {
 	r.mu.Lock()
 	closed := r.closed
@@ -132,7 +132,7 @@
 	if closed || destination == nil {
 		return
 	}
-	_, _ = r.sockets[to][from].WriteToUDP(b, destination) // the receiver may not run; its datagrams are lost then
+	_, _ = r.sockets[to][from].WriteToUDP(b, destination) // if the receiver does not run, the datagram is lost
 }
 
 // Close closes all sockets and waits for the goroutines that read them.
@@ -143,7 +143,7 @@
 	for _, row := range r.sockets {
 		for _, conn := range row {
 			if conn != nil {
-				_ = conn.Close() // nothing is left to be lost
+				_ = conn.Close() // an error loses nothing: the socket is no longer used
 			}
 		}
 	}
--- a/internal/cluster/faultrelay/relay_test.go
+++ b/internal/cluster/faultrelay/relay_test.go
@@ -12,13 +12,13 @@
 
 var payload = []byte("twenty bytes of text")
 
-// transmitMany returns the deliveries of 200 datagrams over a link with faults, and checks that the way back has none.
+// transmitMany returns the deliveries of 200 datagrams over a link with faults, and checks that the reverse link has no faults.
 func transmitMany(t *testing.T, faults Link) (deliveries []Delivery) {
 	t.Helper()
 	links := NewLinks(5)
 	links.Set([]int{0}, []int{0, 1}, func(link *Link) { *link = faults })
 	if back := links.Transmit(1000, 1, 0, payload); len(back) != 1 || back[0].AtMs != 1000 || !bytes.Equal(back[0].Data, payload) {
-		t.Errorf("%+v: the way back delivers %+v", faults, back)
+		t.Errorf("%+v: the reverse link delivers %+v", faults, back)
 	}
 	for range 200 {
 		deliveries = append(deliveries, links.Transmit(1000, 0, 1, payload)...)
@@ -26,7 +26,7 @@
 	return deliveries
 }
 
-// Each fault has its effect, one way only, and the same under one seed.
+// Each fault has its effect in one direction only, and the same effect for the same seed.
 func TestFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults Link
@@ -49,7 +49,7 @@
 				t.Errorf("%d deliveries, %+v ...", len(all), all[:min(2, len(all))])
 			}
 			if again := transmitMany(t, c.faults); fmt.Sprint(all) != fmt.Sprint(again) {
-				t.Error("one seed gives two outcomes")
+				t.Error("two runs with one seed differ")
 			}
 		})
 	}
@@ -114,7 +114,7 @@
 	return string(b[:n]), addr.String()
 }
 
-// Datagrams arrive from the address that the receiver knows the sender by, unless the link is cut.
+// Datagrams arrive from the address that the receiver uses for the sender, unless the link is cut.
 func TestRelay(t *testing.T) {
 	r := newRelayTest(t, 3)
 	r.send(0, 2, "one")
@@ -125,9 +125,9 @@
 	r.send(0, 2, "lost")
 	r.send(2, 0, "back")
 	if text, _ := r.receive(0); text != "back" {
-		t.Errorf("the way back delivers %q", text)
+		t.Errorf("the reverse link delivers %q", text)
 	}
-	for n := 0; n < 2; n, _ = r.Sent(0) { // a datagram that the relay has not read when the link heals is not lost
+	for n := 0; n < 2; n, _ = r.Sent(0) { // a datagram that the relay reads only after the link heals would be delivered
 		time.Sleep(time.Millisecond)
 	}
 	r.UpdateLinks(func(l *Links) { l.Heal() })
--- a/internal/cluster/simnet/queue.go
+++ b/internal/cluster/simnet/queue.go
@@ -1,6 +1,6 @@
 package simnet
 
-// event is something that happens at a true time.
+// event is a function that runs at a true time.
 type event struct {
 	at  float64
 	seq int // orders events at the same time
--- a/internal/cluster/simnet/simnet.go
+++ b/internal/cluster/simnet/simnet.go
@@ -13,13 +13,13 @@
 )
 
 const (
-	startTime      = 1_700_000_000_000 // Unix ms at which a simulation starts
-	defaultHopMs   = 1
-	defaultTickMs  = 20
-	randomStreamID = 29 // distinguishes the random numbers from those of the links
+	startTimeMs           = 1_700_000_000_000 // Unix ms at which a simulation starts
+	defaultMinLatencyMs   = 1
+	defaultTickIntervalMs = 20
+	randomStreamID        = 29 // distinguishes the random numbers from those of the links
 )
 
-// Process is the protocol core that runs on a node. Both methods return the messages to be sent; the time is that of the node's clock.
+// Process is the protocol core that runs on a node. Both methods return the messages to be sent; now is the time of the node's clock.
 type Process interface {
 	Tick(now float64) []*wire.Message
 	Handle(now float64, m *wire.Message) []*wire.Message
@@ -29,12 +29,12 @@
 type Node struct {
 	Process     Process
 	Incarnation func() cluster.Incarnation // of the process
-	SkewMs      float64                    // by which the node's clock is ahead
-	Drift       float64                    // by which the clock is too fast, as a share of the elapsed time
+	SkewMs      float64                    // time by which the node's clock is ahead
+	Drift       float64                    // by how much the clock is too fast, as a share of the elapsed time
 	Up          bool
-	Suspended   bool // suspended: the process does not run, and datagrams wait for it
+	Suspended   bool // the process does not run, and its datagrams wait until it resumes
 
-	starts int // distinguishes the present process from earlier ones
+	starts int // number of starts; distinguishes the current process from earlier ones
 }
 
 // LocalTime returns what the node's clock shows at a true time.
@@ -46,13 +46,13 @@
 	Nodes          []*Node
 	Links          *faultrelay.Links
 	Rng            *rand.Rand
-	MinLatencyMs   float64 // latency of a datagram; up to as much again is added at random
+	MinLatencyMs   float64 // minimal latency of a datagram; up to as much again is added at random
 	TickIntervalMs float64 // between two ticks of a node
-	OnEvent        func()  // called after each event; nil: nothing
+	OnEvent        func()  // called after each event; may be nil
 
-	SentDatagrams      int // datagrams
-	SentBytes          int // of the datagrams sent
-	MalformedDatagrams int // datagrams that were received and could not be parsed
+	SentDatagrams      int
+	SentBytes          int
+	MalformedDatagrams int // received, but could not be parsed
 
 	queue eventQueue
 	seq   int
@@ -63,9 +63,9 @@
 	n := &Network{
 		Links:          faultrelay.NewLinks(seed),
 		Rng:            rand.New(rand.NewPCG(seed, randomStreamID)),
-		MinLatencyMs:   defaultHopMs,
-		TickIntervalMs: defaultTickMs,
-		Now:            startTime,
+		MinLatencyMs:   defaultMinLatencyMs,
+		TickIntervalMs: defaultTickIntervalMs,
+		Now:            startTimeMs,
 	}
 	for range nodes {
 		n.Nodes = append(n.Nodes, &Node{})
@@ -73,13 +73,13 @@
 	return n
 }
 
-// schedule has a function run at a true time.
+// schedule queues a function to run at a true time.
 func (n *Network) schedule(at float64, run func()) {
 	n.seq++
 	heap.Push(&n.queue, event{at: at, seq: n.seq, run: run})
 }
 
-// Start starts a process on a node, in place of the one that may run there.
+// Start starts a process on a node. It replaces the one that runs there, if any.
 func (n *Network) Start(index int, process Process, incarnation func() cluster.Incarnation) {
 	node := n.Nodes[index]
 	node.Process, node.Incarnation = process, incarnation
--- a/internal/cluster/simnet/simnet_test.go
+++ b/internal/cluster/simnet/simnet_test.go
@@ -39,12 +39,12 @@
 	return network, pingers
 }
 
-// One seed is one run, also with faults; another seed is another run.
+// Two runs with the same seed are the same, also with faults; runs with different seeds differ.
 func TestSeedDeterminesRun(t *testing.T) {
 	run := func(seed uint64) string {
 		network, pingers := newPingers(3, seed)
-		all := network.NodeIndexes()
-		network.Links.Set(all, all, func(link *faultrelay.Link) { link.LossRate, link.JitterMs, link.CorruptRate = 0.2, 30, 0.1 })
+		allNodes := network.NodeIndexes()
+		network.Links.Set(allNodes, allNodes, func(link *faultrelay.Link) { link.LossRate, link.JitterMs, link.CorruptRate = 0.2, 30, 0.1 })
 		network.Run(2000)
 		if network.MalformedDatagrams == 0 || network.SentDatagrams == 0 || network.SentBytes <= network.SentDatagrams {
 			t.Errorf("%d datagrams of %d bytes sent, %d malformed", network.SentDatagrams, network.SentBytes, network.MalformedDatagrams)
@@ -72,7 +72,7 @@
 		t.Errorf("a suspended node has received %d datagrams", got-before[1])
 	}
 	network.Nodes[1].Suspended = false
-	network.Run(2 * defaultTickMs)
+	network.Run(2 * defaultTickIntervalMs)
 	if got := len(pingers[1].received) - before[1]; got < 20 {
 		t.Errorf("a node that resumes has received %d datagrams, of 25 that were sent", got)
 	}
--- a/internal/cluster/wire/decode.go
+++ b/internal/cluster/wire/decode.go
@@ -30,7 +30,7 @@
 	return m, nil
 }
 
-// checkFrame checks what surrounds the sections.
+// checkFrame checks the length, the magic bytes and the checksum of a datagram.
 func checkFrame(b []byte) error {
 	if len(b) < headerSize+checksumSize {
 		return ErrTruncated
--- a/internal/cluster/wire/encode.go
+++ b/internal/cluster/wire/encode.go
@@ -16,7 +16,7 @@
 	b = appendQuotaRequests(b, sectionTrafficQuotaRequests, m.TrafficQuotaRequests)
 	b = appendQuotaGrants(b, m.QuotaGrants)
 	b = appendEvidence(b, m.Evidence)
-	labeled := m.labeledCounters()
+	labeled := m.labeledCounterCount()
 	b = appendCounters(b, sectionCounters, len(m.Counters)-labeled, m.Counters)
 	b = appendCounters(b, sectionLabeledCounters, labeled, m.Counters)
 	return append(b[:start], appendChecksum(b[start:])...)
@@ -32,7 +32,7 @@
 	return binary.BigEndian.AppendUint16(b, uint16(m.Target))
 }
 
-// appendSectionHeader appends the header of a section with so many entries; a section without entries has none.
+// appendSectionHeader appends the header of a section with count entries. A section without entries is left out.
 func appendSectionHeader(b []byte, kind byte, count int) []byte {
 	if count == 0 {
 		return b
@@ -83,7 +83,7 @@
 	return b
 }
 
-// appendCounters appends the counters that belong into a section: those with a label or those without.
+// appendCounters appends a section with the count counters that belong in it: those with a label or those without.
 func appendCounters(b []byte, kind byte, count int, counters []Counter) []byte {
 	b = appendSectionHeader(b, kind, count)
 	for _, c := range counters {
--- a/internal/cluster/wire/golden_test.go
+++ b/internal/cluster/wire/golden_test.go
@@ -32,7 +32,8 @@
 	}
 }
 
-// The files were written by version 1 of the format: each kind of datagram, full and without a section, and one section at a time.
+// Messages are encoded and decoded as in the files, which version 1 of the format has written: each kind of datagram with all sections and
+// with none, and each section alone.
 func TestGoldenMessages(t *testing.T) {
 	cases := map[string]*Message{}
 	for kind, name := range map[Kind]string{Ping: "ping", Ack: "ack", IndirectPing: "indirect-ping", Gossip: "gossip"} {
--- a/internal/cluster/wire/message.go
+++ b/internal/cluster/wire/message.go
@@ -1,5 +1,5 @@
 // Package wire defines the datagrams that the nodes of a fleet exchange, and the UDP socket that carries them. A datagram has at most 256
-// bytes, the limit of some platforms:
+// bytes, the limit of some platforms. Its fields, with their sizes in bytes:
 //
 //	2 "mp", 1 version, 1 kind, 4 hash of the fleet's name, 2 from, 8 incarnation, 2 to, 4 sequence number, 2 target, sections,
 //	4 CRC-32C of everything before
@@ -63,7 +63,7 @@
 	Units  uint32
 }
 
-// QuotaGrant answers the request with the same number. It leases that many units to the requester; 0 for none.
+// QuotaGrant answers the request with the same sequence number and leases Units to the requester; 0: no lease.
 type QuotaGrant struct {
 	IncarnationTag uint16 // of the requester
 	Budget         uint32
@@ -71,22 +71,22 @@
 	Units          uint32
 }
 
-// Verdict is what evidence says of a server.
+// Verdict is what evidence asserts about a server.
 type Verdict uint8
 
 // Verdicts.
 const (
-	Healthy     Verdict = iota // responds again after it was said to fail
+	Healthy     Verdict = iota // responds again after it was reported as failing
 	Failing                    // fails or does not respond
-	Duplicating                // sends duplicate responses, late
+	Duplicating                // sends a second, late response to a request
 )
 
-// Evidence is what a node has seen of a server by its own traffic.
+// Evidence is what a node has observed of a server in its own traffic.
 type Evidence struct {
 	Source   cluster.NodeID `json:"Source"`
 	Server   uint32         `json:"Server"` // HashName of the server
 	Verdict  Verdict        `json:"Verdict"`
-	Attempts uint8          `json:"Weight"` // that it rests on, up to 255
+	Attempts uint8          `json:"Weight"` // number of attempts that it is based on, up to 255
 	AgeMs    float64        `json:"Age"`    // up to 25,500
 }
 
@@ -138,7 +138,7 @@
 	sectionLabeledCounters
 )
 
-// Sizes in bytes; those of entries are of one entry of a section.
+// Sizes in bytes: first of one entry of each kind of section, then of the other parts of a datagram.
 const (
 	updateSize         = 15
 	quotaRequestSize   = 12
@@ -175,8 +175,8 @@
 	}
 }
 
-// labeledCounters returns the number of counters with a label.
-func (m *Message) labeledCounters() int {
+// labeledCounterCount returns the number of counters with a label.
+func (m *Message) labeledCounterCount() int {
 	n := 0
 	for i := range m.Counters {
 		if m.Counters[i].Label != 0 {
@@ -188,7 +188,7 @@
 
 // Size returns the length of the encoded message in bytes.
 func (m *Message) Size() int {
-	labeled := m.labeledCounters()
+	labeled := m.labeledCounterCount()
 	return headerSize + checksumSize +
 		sectionSize(len(m.Updates), updateSize) +
 		sectionSize(len(m.QuotaRequests), quotaRequestSize) +
--- a/internal/cluster/wire/socket.go
+++ b/internal/cluster/wire/socket.go
@@ -11,14 +11,14 @@
 )
 
 // Socket is the UDP socket through which a node exchanges datagrams with the others. It identifies nodes by their addresses and drops
-// datagrams from any other address, so that no node can speak for a node at another address.
+// datagrams from any other address, so that a node cannot impersonate one at another address.
 type Socket struct {
 	conn      udpConn
 	addresses []netip.AddrPort // by node id
 	nodes     map[netip.AddrPort]cluster.NodeID
 }
 
-// udpConn is what a Socket needs of a *net.UDPConn.
+// udpConn has the methods of *net.UDPConn that a Socket uses.
 type udpConn interface {
 	datagram.Reader
 	WriteToUDPAddrPort(b []byte, addr netip.AddrPort) (int, error)
@@ -26,14 +26,14 @@
 }
 
 // Listen opens the socket on an address. The addresses of all nodes are given in the order of their ids.
-func Listen(address string, nodes []string) (*Socket, error) {
+func Listen(address string, nodeAddresses []string) (*Socket, error) {
 	local, err := net.ResolveUDPAddr("udp", address)
 	if err != nil {
 		return nil, fmt.Errorf("resolve gossip address %q: %w", address, err)
 	}
 	s := &Socket{nodes: map[netip.AddrPort]cluster.NodeID{}}
-	for i, text := range nodes {
-		remote, err := netip.ParseAddrPort(text)
+	for i, nodeAddress := range nodeAddresses {
+		remote, err := netip.ParseAddrPort(nodeAddress)
 		if err != nil {
 			return nil, fmt.Errorf("address of peer %d: %w", i, err)
 		}
@@ -53,13 +53,13 @@
 	}
 }
 
-// ReadLoop passes each datagram of a known node to handle, which owns the bytes, until the socket is closed. It reports an error of the socket that lasts,
-// and reads seldom while it does.
+// ReadLoop passes each datagram of a known node to handle, which owns the bytes, until the socket is closed. It reports an error that
+// persists, and backs off while reads fail.
 func (s *Socket) ReadLoop(reportError func(error), handle func(from cluster.NodeID, b []byte)) {
 	datagram.Receive(s.conn, nil, reportError, func(payload []byte, addr netip.AddrPort) {
 		remote := netip.AddrPortFrom(addr.Addr().Unmap(), addr.Port())
 		if from, known := s.nodes[remote]; known {
-			kept := payload[:min(len(payload), MaxSize+1)] // one byte more, so that a datagram that is too large is not mistaken for one that fits
+			kept := payload[:min(len(payload), MaxSize+1)] // one byte above the maximum, so that Parse rejects a datagram that is too large
 			handle(from, slices.Clone(kept))
 		}
 	})
@@ -67,5 +67,5 @@
 
 // Close closes the socket, which ends ReadLoop.
 func (s *Socket) Close() {
-	_ = s.conn.Close() // nothing is left to be lost
+	_ = s.conn.Close() // an error loses nothing: the socket is no longer used
 }
--- a/internal/cluster/wire/socket_test.go
+++ b/internal/cluster/wire/socket_test.go
@@ -14,12 +14,12 @@
 var errRead = errors.New("read failed")
 
 const (
-	readFailure = 20 * time.Second
-	// maxFailingReads ends a test whose reads do not back off, in which no time passes.
+	failureDuration = 20 * time.Second
+	// maxFailingReads ends the test if reads do not back off: without a backoff the fake clock of synctest never advances.
 	maxFailingReads = 10_000
 )
 
-// failingConn fails at each read for readFailure, then receives one datagram that is too large, and is closed then.
+// failingConn fails each read for failureDuration, then receives one datagram that is too large, and is then closed.
 type failingConn struct {
 	peer        netip.AddrPort
 	failedSince time.Time
@@ -32,7 +32,7 @@
 	switch {
 	case c.received || c.reads > maxFailingReads:
 		return 0, netip.AddrPort{}, net.ErrClosed
-	case time.Since(c.failedSince) < readFailure:
+	case time.Since(c.failedSince) < failureDuration:
 		return 0, netip.AddrPort{}, errRead
 	}
 	c.received = true
@@ -43,8 +43,8 @@
 
 func (c *failingConn) Close() error { return nil }
 
-// A socket whose reads fail for long is read seldom, the failure is reported once, and the next datagram is handled. One that is too large keeps one
-// byte too many, by which decoding refuses it.
+// While reads fail for long, they become rare, the failure is reported once, and the next datagram is handled. A datagram that is too large
+// is cut to one byte above the maximum, which Parse rejects.
 func TestReadsOfAFailingSocketBackOff(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		peer := netip.MustParseAddrPort("127.0.0.1:9")
@@ -62,7 +62,7 @@
 			t.Errorf("%d reads, %d reports", conn.reads, reports)
 		}
 		if len(sizes) != 1 || sizes[0] != MaxSize+1 {
-			t.Errorf("datagrams of the sizes %v, want one of %d", sizes, MaxSize+1)
+			t.Errorf("datagrams of the sizes %v, want one of %d bytes", sizes, MaxSize+1)
 		}
 	})
 }
