--- a/internal/cluster/wire/message.go
+++ b/internal/cluster/wire/message.go
@@ -74,7 +74,7 @@
 // Verdict is what evidence asserts about a server.
 type Verdict uint8
 
-// Verdicts.
+// Verdicts about a server, by their numbers on the wire.
 const (
 	Healthy     Verdict = iota // responds again after it was reported as failing
 	Failing                    // fails or does not respond
