--- a/internal/cluster/counters/sum.go
+++ b/internal/cluster/counters/sum.go
@@ -9,34 +9,34 @@
 
 // Sum is the sum of one counter over the nodes of the fleet.
 type Sum struct {
-	Value    int     `json:"value"`
-	Nodes    int     `json:"nodes"`  // whose values it includes
-	OldestMs float64 `json:"oldest"` // age of the oldest of them
+	Value       int     `json:"value"`
+	Nodes       int     `json:"nodes"`  // number of nodes whose values are included
+	OldestAgeMs float64 `json:"oldest"` // age of the oldest included value
 }
 
-// Labeled is the sum of a labeled counter.
-type Labeled struct {
+// LabeledSum is the sum of a labeled counter.
+type LabeledSum struct {
 	Label uint32 `json:"name"`
-	Name  string `json:"text,omitempty"` // what the label stands for, where this node knows it
+	Name  string `json:"text,omitempty"` // the name whose hash is the label, if this node knows it
 	Sum
 }
 
 // Sum returns the sum of a counter over the members of the fleet.
 func (s *Store) Sum(now float64, key Key, isMember func(cluster.NodeID) bool) (sum Sum) {
 	for i := range s.nodes {
-		known := s.nodes[i].samples[key]
-		if known == nil || now-known.observedAt >= s.ttlMs || !isMember(cluster.NodeID(i)) {
+		latest := s.nodes[i].samples[key]
+		if latest == nil || now-latest.observedAt >= s.ttlMs || !isMember(cluster.NodeID(i)) {
 			continue
 		}
-		sum.Value += int(known.value)
+		sum.Value += int(latest.value)
 		sum.Nodes++
-		sum.OldestMs = max(sum.OldestMs, now-known.observedAt)
+		sum.OldestAgeMs = max(sum.OldestAgeMs, now-latest.observedAt)
 	}
 	return sum
 }
 
 // Sums returns the sums of all labeled counters of a kind in the order of Compare.
-func (s *Store) Sums(now float64, kind uint8, isMember func(cluster.NodeID) bool) (sums []Labeled) {
+func (s *Store) Sums(now float64, kind uint8, isMember func(cluster.NodeID) bool) (sums []LabeledSum) {
 	seen := map[uint32]bool{}
 	for i := range s.nodes {
 		for _, key := range s.nodes[i].order {
@@ -45,15 +45,15 @@
 			}
 			seen[key.Label] = true
 			if sum := s.Sum(now, key, isMember); sum.Nodes > 0 {
-				sums = append(sums, Labeled{Label: key.Label, Sum: sum})
+				sums = append(sums, LabeledSum{Label: key.Label, Sum: sum})
 			}
 		}
 	}
-	slices.SortFunc(sums, Labeled.Compare)
+	slices.SortFunc(sums, LabeledSum.Compare)
 	return sums
 }
 
 // Compare orders labeled counters by value, the greatest first, and then by label.
-func (l Labeled) Compare(other Labeled) int {
+func (l LabeledSum) Compare(other LabeledSum) int {
 	return cmp.Or(cmp.Compare(other.Value, l.Value), cmp.Compare(l.Label, other.Label))
 }
--- a/internal/cluster/membership/example_test.go
+++ b/internal/cluster/membership/example_test.go
@@ -10,7 +10,7 @@
 
 const probeIntervalMs = 1000.0
 
-// exampleFleet connects nodes with links that deliver at once. A real caller sends the messages over UDP.
+// exampleFleet connects nodes with links that deliver immediately. A real caller sends the messages over UDP.
 type exampleFleet struct {
 	lists   []*membership.List
 	stopped map[cluster.NodeID]bool
@@ -27,14 +27,14 @@
 	return f
 }
 
-// deliver adds member updates to messages of a node, as many as fit, and hands them to their receivers, and so with the responses.
+// deliver adds as many member updates as fit to the messages of a node, hands them to their receivers, and delivers the responses likewise.
 func (f *exampleFleet) deliver(now float64, from cluster.NodeID, messages []*wire.Message) {
 	for _, m := range messages {
 		if f.stopped[m.To] {
 			continue
 		}
 		f.lists[from].AppendUpdates(m, m.UpdateCapacity())
-		// The caller states the sender; the rest is as on the wire.
+		// The caller of Tick and Handle sets the sender.
 		m.From, m.Incarnation = from, f.lists[from].Incarnation()
 		f.deliver(now, m.To, f.lists[m.To].Handle(now, m))
 	}
@@ -56,7 +56,7 @@
 	f := newExampleFleet(3)
 	f.run(0, 10*probeIntervalMs)
 	observer := f.lists[0]
-	fmt.Println("members:", observer.AliveCount())
+	fmt.Println("members:", observer.MemberCount())
 	observer.DrainEvents()
 
 	f.stopped[2] = true
@@ -64,7 +64,7 @@
 	for _, e := range observer.DrainEvents() {
 		fmt.Printf("node %d: %v -> %v\n", e.Node, e.From, e.To)
 	}
-	fmt.Println("members:", observer.AliveCount(), "node 2 is one:", observer.IsMember(2))
+	fmt.Println("members:", observer.MemberCount(), "node 2 is one:", observer.IsMember(2))
 	// Output:
 	// members: 3
 	// node 2: alive -> suspect
