--- a/internal/cluster/consensus/storage/log.go
+++ b/internal/cluster/consensus/storage/log.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return 0, fmt.Errorf("read %s: %w", s.markFile.Name(), err)
 	}
-	numbers, err := recordlog.ParseMark(s.markFile.Name(), b, 1)
+	numbers, err := recordlog.ParseSyncMark(s.markFile.Name(), b, 1)
 	if err != nil {
 		return 0, err
 	}
@@ -104,7 +104,7 @@
 // writeMark records that the log file is synced up to logSize. It does not sync the mark itself: after a crash the mark may be too low, but never
 // too high.
 func (s *Store) writeMark() error {
-	return recordlog.WriteMark(s.markFile, uint64(s.logSize))
+	return recordlog.WriteSyncMark(s.markFile, uint64(s.logSize))
 }
 
 // rewrite replaces the log file with one that contains only the current state.
--- a/internal/cluster/idempotency/storage/read.go
+++ b/internal/cluster/idempotency/storage/read.go
@@ -78,7 +78,7 @@
 	case err != nil && !errors.Is(err, fs.ErrNotExist):
 		return syncMark{}, err
 	}
-	numbers, err := recordlog.ParseMark(name, contents, syncMarkNumbers)
+	numbers, err := recordlog.ParseSyncMark(name, contents, syncMarkNumbers)
 	if err != nil {
 		return syncMark{}, err
 	}
--- a/internal/cluster/idempotency/storage/write.go
+++ b/internal/cluster/idempotency/storage/write.go
@@ -214,7 +214,7 @@
 }
 
 func writeMark(f *os.File, mark syncMark) error {
-	return recordlog.WriteMark(f, mark.firstSegment, mark.lastSegment, mark.syncedSize)
+	return recordlog.WriteSyncMark(f, mark.firstSegment, mark.lastSegment, mark.syncedSize)
 }
 
 func (s *Store) rewrite(entries, header [][]byte) error {
--- a/internal/config/operatorfile/fleet.go
+++ b/internal/config/operatorfile/fleet.go
@@ -13,7 +13,7 @@
 	Name          string            `toml:"name"`
 	Listen        string            `toml:"listen"`       // left out: the platform's peer_listen
 	Peers         []string          `toml:"peers"`        // by number from 0, this node among them; left out: the platform's
-	Number        *int              `toml:"number"`       // of this node; left out: the settings' SelfIndex
+	NodeNumber    *int              `toml:"number"`       // of this node; left out: the settings' SelfIndex
 	MaxNodes      int               `toml:"max_nodes"`    // left out: as many as peers
 	QuotaOwners   int               `toml:"quota_owners"` // the first so many own the quotas; left out: as many as peers
 	Share         []string          `toml:"share"`        // left out: everything
@@ -52,8 +52,8 @@
 		}
 	}
 	switch {
-	case f.Number != nil && (*f.Number < 0 || len(f.Peers) > 0 && *f.Number >= len(f.Peers)):
-		return source.FieldErrorf("fleet.number", "%d is the number of no peer", *f.Number)
+	case f.NodeNumber != nil && (*f.NodeNumber < 0 || len(f.Peers) > 0 && *f.NodeNumber >= len(f.Peers)):
+		return source.FieldErrorf("fleet.number", "%d is the number of no peer", *f.NodeNumber)
 	case f.MaxNodes < 0 || f.MaxNodes > maxFleetNodes || f.MaxNodes > 0 && f.MaxNodes < len(f.Peers):
 		return source.FieldErrorf("fleet.max_nodes", "%d is not between the number of peers and %d", f.MaxNodes, maxFleetNodes)
 	case f.QuotaOwners < 0 || f.MaxNodes > 0 && f.QuotaOwners > f.MaxNodes:
--- a/internal/config/operatorfile/golden_test.go
+++ b/internal/config/operatorfile/golden_test.go
@@ -28,7 +28,7 @@
 		},
 		Fleet: &Fleet{
 			Name: "north", Listen: "10.0.0.4:7946", Peers: []string{"10.0.0.4:7946", "10.0.0.5:7946", "10.0.0.6:7946"},
-			Number: &number, MaxNodes: 12, QuotaOwners: 3, Share: []string{"budgets", "judgements", "counts"}, ProbeInterval: span(time.Second),
+			NodeNumber: &number, MaxNodes: 12, QuotaOwners: 3, Share: []string{"budgets", "judgements", "counts"}, ProbeInterval: span(time.Second),
 			Lease: span(2 * time.Second), EvidenceTTL: span(10 * time.Second),
 		},
 		Consensus: &Consensus{
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -64,8 +64,8 @@
 		c.listenAddr = config.PeerListen
 	}
 	number := config.Deployment.NodeIndex
-	if section.Number != nil {
-		number = *section.Number
+	if section.NodeNumber != nil {
+		number = *section.NodeNumber
 	}
 	switch {
 	case c.listenAddr == "" || len(c.peers) == 0:
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -21,7 +21,7 @@
 	defer closeQuietly(taken)
 	number := 0
 	f := &operatorfile.Fleet{
-		Name: "f", Listen: taken.LocalAddr().String(), Peers: []string{taken.LocalAddr().String(), "127.0.0.1:9"}, Number: &number,
+		Name: "f", Listen: taken.LocalAddr().String(), Peers: []string{taken.LocalAddr().String(), "127.0.0.1:9"}, NodeNumber: &number,
 		Share: []string{operatorfile.ShareQuotas}, ProbeInterval: 1e9, Lease: 2e9, EvidenceTTL: 1e10,
 	}
 	tc := newTestCluster(t, 3, serveHit, echoOrigin, func(c *Config) {
--- a/internal/state/recordlog/golden_test.go
+++ b/internal/state/recordlog/golden_test.go
@@ -46,13 +46,13 @@
 			t.Error(err)
 		}
 	})
-	if err := WriteMark(f, numbers...); err != nil {
+	if err := WriteSyncMark(f, numbers...); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := os.ReadFile(f.Name()); err != nil || !bytes.Equal(got, mark) {
 		t.Errorf("numbers are written as %x, %v; want %x", got, err, mark)
 	}
-	if got, err := ParseMark("mark.bin", mark, len(numbers)); err != nil || !reflect.DeepEqual(got, numbers) {
+	if got, err := ParseSyncMark("mark.bin", mark, len(numbers)); err != nil || !reflect.DeepEqual(got, numbers) {
 		t.Errorf("numbers are read as %v, %v; want %v", got, err, numbers)
 	}
 	if size := binary.BigEndian.Uint32(records); int(size) != len(want[0].Payload) {
--- a/internal/state/recordlog/recordlog.go
+++ b/internal/state/recordlog/recordlog.go
@@ -90,9 +90,9 @@
 	return offset, nil
 }
 
-// WriteMark writes numbers to the beginning of f with a checksum. It does not sync: a mark read after a crash may be older than the file it
+// WriteSyncMark writes numbers to the beginning of f with a checksum. It does not sync: a mark read after a crash may be older than the file it
 // describes, and is never newer.
-func WriteMark(f io.WriterAt, numbers ...uint64) error {
+func WriteSyncMark(f io.WriterAt, numbers ...uint64) error {
 	mark := make([]byte, 0, markNumberSize*len(numbers)+markChecksumSize)
 	for _, number := range numbers {
 		mark = binary.BigEndian.AppendUint64(mark, number)
@@ -102,9 +102,9 @@
 	return err
 }
 
-// ParseMark decodes a mark of count numbers. In an empty mark, as a file has before its first WriteMark, all of them are 0. The name is for errors
+// ParseSyncMark decodes a mark of count numbers. In an empty mark, as a file has before its first WriteSyncMark, all of them are 0. The name is for errors
 // only.
-func ParseMark(name string, mark []byte, count int) ([]uint64, error) {
+func ParseSyncMark(name string, mark []byte, count int) ([]uint64, error) {
 	numbers := make([]uint64, count)
 	if len(mark) == 0 {
 		return numbers, nil
--- a/internal/state/recordlog/recordlog_test.go
+++ b/internal/state/recordlog/recordlog_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestParseMarkOfDamagedFiles(t *testing.T) {
+func TestParseSyncMarkOfDamagedFiles(t *testing.T) {
 	mark := goldentest.Read(t, "mark.bin")
 	flipped := append([]byte{}, mark...)
 	flipped[3] ^= 1
@@ -59,7 +59,7 @@
 		"another number": {flipped, 3, ErrCorrupt},
 		"another count":  {mark, 2, ErrCorrupt},
 	} {
-		if _, err := ParseMark("mark", c.mark, c.count); !errors.Is(err, c.wantError) {
+		if _, err := ParseSyncMark("mark", c.mark, c.count); !errors.Is(err, c.wantError) {
 			t.Errorf("%s: %v, want %v", name, err, c.wantError)
 		}
 	}
