--- a/internal/config/operatorfile/aliases.go
+++ b/internal/config/operatorfile/aliases.go
@@ -2,7 +2,7 @@
 
 import "mintspring/internal/config/tomlfile"
 
-// SnapshotAliases returns the old names of the section [snapshot] and of its fields, for other files that have it too.
+// SnapshotAliases returns the old names of the section [snapshot] and of its fields, for other files that have this section.
 func SnapshotAliases() []tomlfile.Alias {
 	return []tomlfile.Alias{
 		{Old: "learnt", New: "snapshot"},
@@ -12,7 +12,7 @@
 	}
 }
 
-// aliases are the old names of sections and fields, which are still read. Tables are given by their new names.
+// aliases are the old names of sections and fields, which are still accepted. The tables of fields have their new names here.
 var aliases = append(SnapshotAliases(), []tomlfile.Alias{
 	{Table: "connections", Old: "per_server", New: "max_per_server"},
 	{Table: "connections", Old: "per_origin", New: "max_per_origin"},
--- a/internal/config/operatorfile/connections.go
+++ b/internal/config/operatorfile/connections.go
@@ -5,12 +5,12 @@
 	"mintspring/internal/node/connpool"
 )
 
-// Connections bounds the pools of connections to servers. docs/operators/connections.md says what each field does.
+// Connections configures the pools of connections to servers. docs/operators/connections.md describes each field.
 type Connections struct {
-	MaxPerServer        int               `toml:"max_per_server"` // that a server takes from all nodes together
-	MaxPerOrigin        int               `toml:"max_per_origin"` // the same of the origin
-	MinPerServer        int               `toml:"min_per_server"` // kept open to each server
-	Prewarm             bool              `toml:"prewarm"`        // opened before they are needed
+	MaxPerServer        int               `toml:"max_per_server"` // that a cache server accepts from all nodes together
+	MaxPerOrigin        int               `toml:"max_per_origin"` // that the origin accepts from all nodes together
+	MinPerServer        int               `toml:"min_per_server"` // kept open to each cache server
+	Prewarm             bool              `toml:"prewarm"`        // open connections before they are needed
 	OpensPerSecond      float64           `toml:"opens_per_second"`
 	StartOpensPerSecond float64           `toml:"start_opens_per_second"`
 	StartFor            tomlfile.Duration `toml:"start_for"`
@@ -45,10 +45,10 @@
 	return nil
 }
 
-// PoolConfigs returns the pools' configuration for cache servers and for the origin: base, which follows from the
-// platform's settings, with what the section states. An idle timeout can only become shorter, because servers close
-// connections by their own. The origin's connections are bounded by max_per_origin and the times alone: how many requests
-// may be in flight there is up to the decision module.
+// PoolConfigs returns the configuration of the connection pools to a cache server and to the origin: base, which comes from the
+// platform's settings, with the values of this section. The section can only shorten the idle timeout, because servers close
+// idle connections after their own. The origin's pool is limited by max_per_origin, idle_timeout and max_age alone, because the
+// decision module limits the requests in flight at the origin.
 func (c *Connections) PoolConfigs(base connpool.Config) (cache, origin connpool.Config) {
 	base.MaxAge = c.MaxAge.Milliseconds()
 	if idle := c.IdleTimeout.Milliseconds(); idle > 0 && (base.IdleTimeout <= 0 || idle < base.IdleTimeout) {
--- a/internal/config/operatorfile/fleet.go
+++ b/internal/config/operatorfile/fleet.go
@@ -8,21 +8,21 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// Fleet has the nodes of a fleet exchange gossip messages. docs/operators/fleet.md says what each field does.
+// Fleet configures the gossip between the nodes of a fleet. docs/operators/fleet.md describes each field.
 type Fleet struct {
 	Name          string            `toml:"name"`
-	Listen        string            `toml:"listen"`       // left out: the platform's peer_listen
-	Peers         []string          `toml:"peers"`        // by number from 0, this node among them; left out: the platform's
-	NodeNumber    *int              `toml:"number"`       // of this node; left out: the settings' SelfIndex
-	MaxNodes      int               `toml:"max_nodes"`    // left out: as many as peers
-	QuotaOwners   int               `toml:"quota_owners"` // the first so many own the quotas; left out: as many as peers
-	Share         []string          `toml:"share"`        // left out: everything
+	Listen        string            `toml:"listen"`       // default: the platform's peer_listen
+	Peers         []string          `toml:"peers"`        // addresses by node number from 0, including this node; default: the platform's
+	NodeNumber    *int              `toml:"number"`       // of this node; default: the settings' SelfIndex
+	MaxNodes      int               `toml:"max_nodes"`    // default: the number of peers
+	QuotaOwners   int               `toml:"quota_owners"` // how many nodes, from number 0 on, own the quotas; default: the number of peers
+	Share         []string          `toml:"share"`        // default: everything
 	ProbeInterval tomlfile.Duration `toml:"probe_interval"`
 	Lease         tomlfile.Duration `toml:"lease"`
 	EvidenceTTL   tomlfile.Duration `toml:"evidence_ttl"`
 }
 
-// What nodes may share, as the field share names it.
+// Values of the field share: what the nodes share.
 const (
 	ShareQuotas   = "budgets"
 	ShareOutliers = "judgements"
@@ -31,11 +31,11 @@
 
 const (
 	maxFleetNodes = 4096
-	// probeTimeoutsPerInterval is how many probe timeouts make a probe interval.
+	// probeTimeoutsPerInterval is the ratio of the probe interval to the probe timeout.
 	probeTimeoutsPerInterval = 5
 )
 
-// check validates the section, if it is there, and fills in the defaults.
+// check validates the section, if it is present, and fills in the defaults.
 func (f *Fleet) check(source *tomlfile.File) error {
 	if f == nil {
 		return nil
@@ -53,7 +53,7 @@
 	}
 	switch {
 	case f.NodeNumber != nil && (*f.NodeNumber < 0 || len(f.Peers) > 0 && *f.NodeNumber >= len(f.Peers)):
-		return source.FieldErrorf("fleet.number", "%d is the number of no peer", *f.NodeNumber)
+		return source.FieldErrorf("fleet.number", "%d is not the number of a peer", *f.NodeNumber)
 	case f.MaxNodes < 0 || f.MaxNodes > maxFleetNodes || f.MaxNodes > 0 && f.MaxNodes < len(f.Peers):
 		return source.FieldErrorf("fleet.max_nodes", "%d is not between the number of peers and %d", f.MaxNodes, maxFleetNodes)
 	case f.QuotaOwners < 0 || f.MaxNodes > 0 && f.QuotaOwners > f.MaxNodes:
@@ -64,7 +64,7 @@
 	}
 	for _, s := range f.Share {
 		if s != ShareQuotas && s != ShareOutliers && s != ShareCounters {
-			return source.FieldErrorf("fleet.share", "%q is none of %s, %s and %s", s, ShareQuotas, ShareOutliers, ShareCounters)
+			return source.FieldErrorf("fleet.share", "%q is not %s, %s or %s", s, ShareQuotas, ShareOutliers, ShareCounters)
 		}
 	}
 	return applyDurations(source, "fleet", []durationLimit{
@@ -74,10 +74,10 @@
 	})
 }
 
-// shares reports whether something is shared.
-func (f *Fleet) shares(what string) bool { return slices.Contains(f.Share, what) }
+// shares reports whether the nodes share a topic, which is one of the values of the field share.
+func (f *Fleet) shares(topic string) bool { return slices.Contains(f.Share, topic) }
 
-// GossipConfig returns the configuration of gossip among so many nodes.
+// GossipConfig returns the configuration of gossip between the given number of nodes.
 func (f *Fleet) GossipConfig(nodes int) gossip.Config {
 	maxNodes, quotaOwners := f.MaxNodes, f.QuotaOwners
 	if maxNodes == 0 {
--- a/internal/config/operatorfile/idempotency.go
+++ b/internal/config/operatorfile/idempotency.go
@@ -10,20 +10,20 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// Idempotency has the nodes of a fleet replicate the records of requests that must not run twice.
-// docs/operators/idempotency.md says what each field does.
+// Idempotency configures the replication of idempotency records, which keep requests from being executed twice.
+// docs/operators/idempotency.md describes each field.
 type Idempotency struct {
 	Name                string            `toml:"name"`
-	Members             []string          `toml:"members"`  // addresses of all nodes, by number from 1; variables of the environment are expanded
-	MemberNumber        int               `toml:"member"`   // this node's number; left out: one more than the settings' SelfIndex
-	Listen              string            `toml:"listen"`   // left out: the member's address
-	DataDir             string            `toml:"data_dir"` // of a replica; variables of the environment are expanded
-	Replicas            []int             `toml:"replicas"` // numbers of the members that hold records; left out: all
+	Members             []string          `toml:"members"`  // addresses of all nodes, by number from 1; environment variables are expanded
+	MemberNumber        int               `toml:"member"`   // this node's number; default: the settings' SelfIndex plus 1
+	Listen              string            `toml:"listen"`   // default: the member's address
+	DataDir             string            `toml:"data_dir"` // required for a replica; environment variables are expanded
+	Replicas            []int             `toml:"replicas"` // numbers of the members that hold records; default: all
 	PreviousReplicas    []int             `toml:"previous_replicas"`
 	Zones               []string          `toml:"zones"` // of all members, by number
 	PreviousZones       []string          `toml:"previous_zones"`
 	ReplicationFactor   int               `toml:"replication_factor"`
-	RequestClasses      []string          `toml:"request_classes"` // left out: all that must not run twice
+	RequestClasses      []string          `toml:"request_classes"` // default: all classes whose requests must not be executed twice
 	NoQuorum            map[string]string `toml:"no_quorum"`       // by request class: noQuorumRefuse or noQuorumOrigin
 	Retention           tomlfile.Duration `toml:"retention"`
 	ClaimTimeout        tomlfile.Duration `toml:"claim_timeout"`
@@ -36,7 +36,7 @@
 	MaxDiskMB           int               `toml:"max_disk_mb"`
 }
 
-// What happens to requests of a class when no quorum of replicas can be reached, as the field no_quorum names it.
+// Values of the field no_quorum: what happens to requests of a class while no quorum of replicas can be reached.
 const (
 	noQuorumRefuse = "refuse" // they are rejected
 	noQuorumOrigin = "origin" // they are executed without a record
@@ -47,7 +47,7 @@
 	defaultReplicationFactor = 3
 )
 
-// check validates the section, if it is there, and fills in the defaults.
+// check validates the section, if it is present, and fills in the defaults.
 func (c *Idempotency) check(source *tomlfile.File) error {
 	if c == nil {
 		return nil
@@ -80,7 +80,7 @@
 		}
 	}
 	if c.MemberNumber < 0 || c.MemberNumber > len(c.Members) {
-		return source.FieldErrorf("idempotency.member", "%d is the number of no member", c.MemberNumber)
+		return source.FieldErrorf("idempotency.member", "%d is not the number of a member", c.MemberNumber)
 	}
 	if c.Listen != "" && !hasVariable(c.Listen) && !isAddrPort(c.Listen) {
 		return source.FieldErrorf("idempotency.listen", "%q is not address:port", c.Listen)
@@ -96,7 +96,7 @@
 		seen := map[int]bool{}
 		for _, number := range f.replicas {
 			if number < 1 || number > len(c.Members) || seen[number] {
-				return source.FieldErrorf("idempotency."+f.name, "%d is the number of no member, or there twice", number)
+				return source.FieldErrorf("idempotency."+f.name, "%d is not the number of a member, or is listed twice", number)
 			}
 			seen[number] = true
 		}
@@ -110,7 +110,7 @@
 		}
 	}
 	if n := c.ReplicationFactor; n != 1 && n != 3 && n != 5 {
-		return source.FieldErrorf("idempotency.replication_factor", "%d is none of 1, 3 and 5", n)
+		return source.FieldErrorf("idempotency.replication_factor", "%d is not 1, 3 or 5", n)
 	}
 	return nil
 }
@@ -143,17 +143,18 @@
 	})
 }
 
-// IsReplica reports whether the member with this number, from 1, holds records, or did before a change of the replicas.
+// IsReplica reports whether the member with this number, from 1, holds records or held them before the current change of the
+// replicas.
 func (c *Idempotency) IsReplica(number int) bool {
 	return len(c.Replicas) == 0 || slices.Contains(c.Replicas, number) || slices.Contains(c.PreviousReplicas, number)
 }
 
-// ForwardsWithoutQuorum reports whether requests of a class are executed when no quorum can be reached.
+// ForwardsWithoutQuorum reports whether requests of a class are executed while no quorum can be reached.
 func (c *Idempotency) ForwardsWithoutQuorum(class string) bool {
 	return c.NoQuorum[class] == noQuorumOrigin
 }
 
-// replicaSet returns the replicas with the given numbers; none stands for all members.
+// replicaSet returns the set of the replicas with the given numbers, or of all members if there are no numbers.
 func (c *Idempotency) replicaSet(numbers []int, zones []string) idempotency.ReplicaSet {
 	set := idempotency.ReplicaSet{Zones: zones}
 	for _, number := range numbers {
@@ -167,7 +168,8 @@
 	return set
 }
 
-// replicaSets returns the replica set, and behind it the one before while the replicas or their zones change.
+// replicaSets returns the current replica set and, while the replicas or their zones are being changed, the previous one after
+// it.
 func (c *Idempotency) replicaSets() []idempotency.ReplicaSet {
 	sets := []idempotency.ReplicaSet{c.replicaSet(c.Replicas, c.Zones)}
 	if len(c.PreviousReplicas) == 0 && len(c.PreviousZones) == 0 {
@@ -180,7 +182,7 @@
 	return append(sets, c.replicaSet(c.PreviousReplicas, zones))
 }
 
-// ReplicaConfig returns the configuration of the member self, which is its number less one.
+// ReplicaConfig returns the configuration of a member. The id self is the member's number minus 1.
 func (c *Idempotency) ReplicaConfig(self idempotency.MemberID) replica.Config {
 	config := replica.Config{
 		Group:      c.Name,
--- a/internal/config/operatorfile/limits.go
+++ b/internal/config/operatorfile/limits.go
@@ -9,14 +9,14 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// durationLimit is the default and the bounds of a time.
+// durationLimit holds the default and the bounds of a duration field.
 type durationLimit struct {
 	value         *tomlfile.Duration
 	name          string
 	def, min, max time.Duration
 }
 
-// applyDurations fills in the defaults of a section's times, and checks their bounds.
+// applyDurations fills in the defaults of a section's durations and checks their bounds.
 func applyDurations(source *tomlfile.File, section string, limits []durationLimit) error {
 	for _, l := range limits {
 		if *l.value == 0 {
@@ -29,14 +29,14 @@
 	return nil
 }
 
-// countLimit is the default and the bounds of a number.
+// countLimit holds the default and the bounds of a number field.
 type countLimit struct {
 	value         *int
 	name          string
 	def, min, max int
 }
 
-// applyCounts fills in the defaults of a section's numbers, and checks their bounds.
+// applyCounts fills in the defaults of a section's numbers and checks their bounds.
 func applyCounts(source *tomlfile.File, section string, limits []countLimit) error {
 	for _, l := range limits {
 		if *l.value == 0 {
@@ -49,16 +49,17 @@
 	return nil
 }
 
-// hasVariable reports whether an address holds a variable of the environment, which is known only where the node runs.
+// hasVariable reports whether an address contains an environment variable. Such an address is not validated, because only the
+// machine that runs the node knows the variable's value.
 func hasVariable(addr string) bool { return strings.Contains(addr, "$") }
 
-// isAddrPort reports whether an address is an IP address and a port.
+// isAddrPort reports whether an address consists of an IP address and a port.
 func isAddrPort(addr string) bool {
 	_, err := netip.ParseAddrPort(addr)
 	return err == nil
 }
 
-// isHostPort reports whether an address is a host, which may be empty, and a port.
+// isHostPort reports whether an address consists of a host, which may be empty, and a port.
 func isHostPort(addr string) bool {
 	_, _, err := net.SplitHostPort(addr)
 	return err == nil
--- a/internal/config/operatorfile/log.go
+++ b/internal/config/operatorfile/log.go
@@ -6,7 +6,7 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// Log is how the node writes its log.
+// Log configures the format and the level of the node's log.
 type Log struct {
 	Format string `toml:"format"` // "text" or "json"
 	Level  string `toml:"level"`  // "debug", "info", "warning" or "error"
@@ -19,7 +19,7 @@
 	timestampFormat = "2006-01-02T15:04:05.000Z07:00"
 )
 
-// Check validates the section, if it is there, and fills in the defaults.
+// Check validates the section, if it is present, and fills in the defaults.
 func (l *Log) Check(source *tomlfile.File) error {
 	if l == nil {
 		return nil
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// Apply sets up a log as the section says. Without the section it is text from info on.
+// Apply configures a logger as the section says. Without the section it writes text at level info and above.
 func (l *Log) Apply(log *logrus.Logger) {
 	format, level := formatText, logrus.InfoLevel
 	if l != nil {
--- a/internal/config/operatorfile/operatorfile.go
+++ b/internal/config/operatorfile/operatorfile.go
@@ -1,8 +1,8 @@
-// Package operatorfile reads the operator's file: what an installation switches on beyond the platform's configuration.
+// Package operatorfile reads the operator's file, which enables subsystems beyond the platform's configuration.
 //
-// Each subsystem has a section; one that is absent is off, and without a file everything is. docs/operators/file.md has
-// every field with its unit and default, and deploy/operator.toml has all of them as comments. Sections and fields that were
-// renamed are still read under their old names (see aliases).
+// Each subsystem has a section. A subsystem without a section is disabled, and without a file all of them are.
+// docs/operators/file.md lists every field with its unit and default, and deploy/operator.toml contains all fields as comments.
+// The old names of renamed sections and fields are still accepted (see aliases).
 package operatorfile
 
 import (
@@ -13,7 +13,7 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// File is the file. A section that is nil is off.
+// File holds the sections of the operator's file. A section that is nil is disabled.
 type File struct {
 	Log         *Log         `toml:"log"`
 	Connections *Connections `toml:"connections"`
@@ -26,7 +26,7 @@
 	Deprecated []tomlfile.Deprecation `toml:"-"`
 }
 
-// Read reads and validates a file, and fills in the defaults. An empty name stands for no file.
+// Read reads and validates a file, and fills in the defaults. If the name is empty, it returns a File without sections.
 func Read(name string) (*File, error) {
 	f := &File{}
 	if name == "" {
@@ -52,18 +52,18 @@
 	return nil
 }
 
-// WarnDeprecated logs a line for each old name that a file uses.
+// WarnDeprecated logs a warning for each old name that a file uses.
 func WarnDeprecated(log logrus.FieldLogger, deprecated []tomlfile.Deprecation) {
 	for _, d := range deprecated {
 		log.WithFields(logrus.Fields{"old": d.Old, "new": d.New, "line": d.Line}).Warn("deprecated name in the operator's file")
 	}
 }
 
-// section is a section by its name.
+// section is a section of the file with its name.
 type section struct {
-	name  string
-	value any
-	on    bool
+	name    string
+	value   any
+	enabled bool
 }
 
 // sections returns all sections in the order of File.
@@ -78,19 +78,19 @@
 	}
 }
 
-// EnabledSections returns the names of the sections that are on.
+// EnabledSections returns the names of the sections that are present.
 func (f *File) EnabledSections() []string {
 	var names []string
 	for _, s := range f.sections() {
-		if s.on {
+		if s.enabled {
 			names = append(names, s.name)
 		}
 	}
 	return names
 }
 
-// RestartRequired returns the names of the sections that differ in another file and take effect after a restart only. That
-// is all but the log's.
+// RestartRequired returns the names of the sections that differ in another file and take effect only after a restart. Only the
+// section log takes effect without one.
 func (f *File) RestartRequired(other *File) []string {
 	var names []string
 	others := other.sections()
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -14,7 +14,7 @@
 
 var allSections = []string{"log", "connections", "snapshot", "fleet", "consensus", "idempotency"}
 
-// TestSections: each field of File but the list of old names is a section, under its name in the file.
+// TestSections: each field of File except Deprecated is a section, and sections lists them under their names in the file.
 func TestSections(t *testing.T) {
 	var names []string
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[File]()) {
@@ -40,22 +40,22 @@
 	return Read(name)
 }
 
-// idempotencySection is a section of three members, on four lines.
+// idempotencySection is a section with three members, on four lines.
 const idempotencySection = "[idempotency]\nname = \"b\"\nmembers = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]\ndata_dir = \"f\"\n"
 
-// TestDeployed: what deploy/operator.toml has as comments can be switched on as it stands.
+// TestDeployed: all sections in deploy/operator.toml, which are comments there, are valid when uncommented.
 func TestDeployed(t *testing.T) {
 	b, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "operator.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, fields, _ := strings.Cut(string(b), "\n\n") // behind the head
+	_, fields, _ := strings.Cut(string(b), "\n\n") // after the introduction
 	f, err := readText(t, strings.ReplaceAll("\n"+fields, "\n# ", "\n"))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if on := f.EnabledSections(); !slices.Equal(on, allSections) || len(f.Deprecated) > 0 {
-		t.Errorf("sections %v are on, with old names %v", on, f.Deprecated)
+	if enabled := f.EnabledSections(); !slices.Equal(enabled, allSections) || len(f.Deprecated) > 0 {
+		t.Errorf("sections %v are enabled, with old names %v", enabled, f.Deprecated)
 	}
 	c := f.Idempotency.ReplicaConfig(1)
 	if len(c.MemberAddrs) != 3 || c.DataDir == "" || c.ListenAddr != c.MemberAddrs[1] || len(c.Core.ReplicaSets) != 1 {
@@ -98,8 +98,8 @@
 		"[consensus]\nname = \"c\"\ninitial_members = 3\nmembers = [\"127.0.0.1:1\", \"127.0.0.1:2\"]\n":                "consensus.initial_members: 3 is not an odd number",
 		"[consensus]\nname = \"c\"\ninitial_members = 1\nmembers = [" + strings.Repeat("\"127.0.0.1:1\", ", 16) + "]\n": "consensus.members: there are 16, at most 15",
 		"[idempotency]\nname = \"b\"\n":                                "idempotency.members: there are 0",
-		idempotencySection + "member = 4\n":                            "op.toml:5: idempotency.member: 4 is the number of no member",
-		idempotencySection + "replication_factor = 2\n":                "op.toml:5: idempotency.replication_factor: 2 is none of 1, 3 and 5",
+		idempotencySection + "member = 4\n":                            "op.toml:5: idempotency.member: 4 is not the number of a member",
+		idempotencySection + "replication_factor = 2\n":                "op.toml:5: idempotency.replication_factor: 2 is not 1, 3 or 5",
 		idempotencySection + "replicas = [1, 1]\n":                     "op.toml:5: idempotency.replicas: 1 is",
 		idempotencySection + "zones = [\"a\"]\n":                       "op.toml:5: idempotency.zones: there are 1 for 3 members",
 		idempotencySection + "retention = \"1ms\"\n":                   "op.toml:5: idempotency.retention: 1ms is not between",
@@ -118,7 +118,7 @@
 	}
 }
 
-// TestWarnDeprecated: each old name is one line of the log, with the new name.
+// TestWarnDeprecated: each old name is logged in one line, with its new name.
 func TestWarnDeprecated(t *testing.T) {
 	f, err := readText(t, "[council]\nname = \"c\"\nmembers = [\"127.0.0.1:1\"]\nask = \"2s\"\n")
 	if err != nil || f.Consensus.PollInterval.Milliseconds() != 2000 {
--- a/internal/config/operatorfile/snapshot.go
+++ b/internal/config/operatorfile/snapshot.go
@@ -6,9 +6,10 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// Snapshot has the node keep what it has learned across restarts. docs/operators/snapshot.md says what each field does.
+// Snapshot configures the snapshots that keep what the node has learned across restarts. docs/operators/snapshot.md describes
+// each field.
 type Snapshot struct {
-	DataDir  string            `toml:"data_dir"` // variables of the environment are expanded
+	DataDir  string            `toml:"data_dir"` // environment variables are expanded
 	Interval tomlfile.Duration `toml:"interval"`
 	HalfLife tomlfile.Duration `toml:"half_life"`
 	MaxAge   tomlfile.Duration `toml:"max_age"`
@@ -45,7 +46,7 @@
 	}
 }
 
-// Check validates the section, if it is there, and fills in the defaults.
+// Check validates the section, if it is present, and fills in the defaults.
 func (s *Snapshot) Check(source *tomlfile.File) error {
 	if s == nil {
 		return nil
--- a/internal/config/platform/complete.go
+++ b/internal/config/platform/complete.go
@@ -7,25 +7,25 @@
 	"slices"
 )
 
-// optionalKeys are keys that come and go by the specification of the configuration: which servers and peers are known, what
-// a request class may leave out, and what only some objectives have.
+// optionalKeys are the keys that the specification of the configuration allows to be absent: the lists of known servers and
+// of peers, optional keys of a request class, and keys that only some objectives have.
 var optionalKeys = map[string]bool{"known": true, "peers": true, "AimStretch": true, "Availability": true, "NinesWanted": true}
 
-// MissingKeyError names a key that a configuration lacks, or has as null, and the active one has.
+// MissingKeyError names a key that the active configuration has and another configuration lacks or has as null.
 type MissingKeyError struct{ Path string }
 
-// Error returns the path and what is wrong with it.
+// Error returns the path of the key and the reason.
 func (e *MissingKeyError) Error() string {
-	return e.Path + ": missing, and the active configuration has it"
+	return e.Path + ": missing, but the active configuration has it"
 }
 
-// CheckComplete returns a *MissingKeyError if another configuration lacks a key that this one has. The keys of a
-// deployment's file are known from the one that the node runs with; a file that was cut short where it can still be
-// parsed, or is half written, shows by what is missing.
+// CheckComplete returns a *MissingKeyError if the other configuration lacks a key that this one, the active one, has. A
+// truncated or partially written file may still parse; its missing keys reveal it. Only the active configuration says which
+// keys a deployment's file has to have.
 func (c *Config) CheckComplete(other *Config) error {
 	var active, reloaded any
 	if json.Unmarshal(c.raw, &active) != nil || json.Unmarshal(other.raw, &reloaded) != nil {
-		return nil // neither happens: Load has parsed both
+		return nil // cannot happen: Load has parsed both
 	}
 	if path := missingPath(active, reloaded, ""); path != "" {
 		return &MissingKeyError{Path: path[1:]} // without the leading dot
@@ -33,7 +33,7 @@
 	return nil
 }
 
-// missingPath returns the path of the first part of active that reloaded lacks, empty for none.
+// missingPath returns the path of the first value in active that reloaded lacks, or an empty string.
 func missingPath(active, reloaded any, path string) string {
 	switch a := active.(type) {
 	case map[string]any:
@@ -67,7 +67,8 @@
 	return ""
 }
 
-// missingInElements compares arrays. Elements come and go, but each has the keys that all active ones have.
+// missingInElements compares arrays. Elements may be added and removed, but each reloaded element has to have the keys that all
+// active elements have.
 func missingInElements(active, reloaded []any, path string) string {
 	common := commonKeys(active)
 	if common == nil {
@@ -81,7 +82,7 @@
 	return ""
 }
 
-// commonKeys returns what all elements have in common, nil if one of them is no object.
+// commonKeys returns the first element without the keys that any other element lacks, nil if an element is not an object.
 func commonKeys(elements []any) map[string]any {
 	var common map[string]any
 	for i, element := range elements {
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/node/discovery"
 )
 
-// Variables of the environment.
+// Environment variables.
 const (
 	configVariable    = "LB_CONFIG"
 	nameVariable      = "LB_NAME"
@@ -23,25 +23,25 @@
 	adminVariable     = "LB_ADMIN"
 )
 
-// Config is the configuration. Its name and addresses may stand in variables of the environment instead.
+// Config is a node's configuration. Its name and addresses may be set by environment variables instead.
 type Config struct {
 	Name       string           `json:"name"`
 	Listen     string           `json:"listen"`
 	Discovery  string           `json:"discovery"`
-	PeerListen string           `json:"peer_listen"` // where peers reach this node
+	PeerListen string           `json:"peer_listen"` // address at which peers reach this node
 	Peers      []string         `json:"peers"`       // addresses by node number
-	Admin      string           `json:"admin"`       // address of the admin port; empty: there is none
+	Admin      string           `json:"admin"`       // address of the admin port; empty: no admin port
 	Seed       string           `json:"seed"`        // 16 hex digits
 	Limits     Limits           `json:"limits"`
-	Known      discovery.Update `json:"known"` // an endpoint list to start with
+	CachedList discovery.Update `json:"known"` // endpoint list to start with
 	Settings   json.RawMessage  `json:"settings"`
 
 	Deployment settings.Deployment `json:"-"` // the parsed Settings
 
-	raw []byte // the file
+	raw []byte // contents of the file
 }
 
-// Limits are the process's limits. 0 stands for none.
+// Limits are the resource limits of the process; 0: no limit.
 type Limits struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
@@ -73,7 +73,7 @@
 	return c, nil
 }
 
-// applyEnvironment fills in what the file leaves to variables of the environment.
+// applyEnvironment sets the fields that the file leaves empty from environment variables.
 func (c *Config) applyEnvironment(getenv func(string) string) {
 	for _, f := range []struct {
 		field    *string
@@ -149,17 +149,17 @@
 
 func (c *Config) checkLimits() error {
 	if c.Limits.MemoryMB < 0 || c.Limits.Sockets < 0 || c.Limits.Cores < 0 {
-		return errors.New("limits: below 0")
+		return errors.New("limits: a limit is below 0")
 	}
 	return nil
 }
 
-// NodeConfig returns what the node is started with.
+// NodeConfig returns the configuration in the form that package node takes.
 func (c *Config) NodeConfig() node.Config {
 	return node.Config{
 		Name:         c.Name,
 		Discovery:    c.Discovery,
-		CachedList:   c.Known,
+		CachedList:   c.CachedList,
 		Deployment:   c.Deployment,
 		MemoryMB:     c.Limits.MemoryMB,
 		Descriptors:  c.Limits.Sockets,
--- a/internal/config/platform/reload.go
+++ b/internal/config/platform/reload.go
@@ -5,8 +5,9 @@
 	"reflect"
 )
 
-// RestartRequired returns the names of the fields that differ in another configuration and take effect after a restart
-// only. The known endpoint list and the seed matter at a start alone, and the settings are taken over.
+// RestartRequired returns the names of the fields that differ in another configuration and take effect only after a restart.
+// The cached endpoint list and the seed are left out, because they are used only at a start. Of the settings, only the two
+// connection timeouts need a restart.
 func (c *Config) RestartRequired(other *Config) (names []string) {
 	d, o := &c.Deployment, &other.Deployment
 	for _, f := range []struct {
@@ -27,15 +28,14 @@
 	return names
 }
 
-// SettingsChanged reports whether the settings of another configuration differ.
+// SettingsChanged reports whether the settings of another configuration differ, except for the seed.
 func (c *Config) SettingsChanged(other *Config) bool {
 	deployment := other.Deployment
-	deployment.Limits.Seed = c.Deployment.Limits.Seed // new at each start
+	deployment.Limits.Seed = c.Deployment.Limits.Seed // differs at each start
 	return !reflect.DeepEqual(c.Deployment, deployment)
 }
 
-// Merged returns the configuration that is in force once everything of another one is taken over that can be without a
-// restart.
+// Merged returns this configuration with every change from another one that takes effect without a restart.
 func (c *Config) Merged(other *Config) *Config {
 	merged := *c
 	merged.Discovery, merged.Deployment, merged.raw = other.Discovery, other.Deployment, other.raw
@@ -45,5 +45,5 @@
 	return &merged
 }
 
-// SameFile reports whether two configurations were read from the same text.
+// SameFile reports whether the files of two configurations had the same contents.
 func (c *Config) SameFile(other *Config) bool { return bytes.Equal(c.raw, other.raw) }
--- a/internal/config/platform/reload_test.go
+++ b/internal/config/platform/reload_test.go
@@ -13,7 +13,8 @@
  "Workloads":[{"Name":"read","Effect":"pure","SloTime":1000,"StatementTimeout":2000,"AimStretch":0.5},
   {"Name":"put","Effect":"token","SloTime":1000,"StatementTimeout":2000,"MemorySpan":5000000}]}}`
 
-// reloadError returns the error with which a node that runs with another configuration refuses a file.
+// reloadError returns the error with which a node that runs with the active configuration refuses a file with this text, nil if
+// it accepts the file.
 func reloadError(t *testing.T, active *Config, text string) error {
 	t.Helper()
 	c, err := loadText(t, text)
@@ -23,7 +24,7 @@
 	return err
 }
 
-// TestIncompleteFiles: a file that is truncated at any byte, or lacks any one key, or has null in its place, is refused.
+// TestIncompleteFiles: a file that is truncated at any byte, or in which any required key is missing or null, is refused.
 func TestIncompleteFiles(t *testing.T) {
 	active, err := loadText(t, fullConfig)
 	if err != nil {
@@ -43,29 +44,29 @@
 	}
 	k := &keyTester{t: t, active: active, tree: tree}
 	k.walk(tree, "")
-	if k.tried < 50 {
-		t.Errorf("only %d keys were tried", k.tried)
+	if k.cases < 50 {
+		t.Errorf("only %d cases were checked", k.cases)
 	}
 }
 
-// keyTester tries a configuration without each of its keys in turn.
+// keyTester reloads a configuration with each of its keys in turn set to null, and then removed.
 type keyTester struct {
 	t      *testing.T
 	active *Config
 	tree   map[string]any
-	tried  int
+	cases  int
 }
 
 func (k *keyTester) walk(node any, path string) {
 	switch v := node.(type) {
 	case map[string]any:
 		for key, value := range v {
-			// What only some classes have may be missing in one.
+			// A key that only some classes have, such as MemorySpan, may be missing.
 			optional := optionalKeys[key] || strings.HasPrefix(path, ".known") || key == "MemorySpan"
 			v[key] = nil
-			k.try(path+"."+key+" set to null", optional)
+			k.check(path+"."+key+" set to null", optional)
 			delete(v, key)
-			k.try(path+"."+key+" missing", optional)
+			k.check(path+"."+key+" missing", optional)
 			v[key] = value
 			k.walk(value, path+"."+key)
 		}
@@ -76,33 +77,34 @@
 	}
 }
 
-// try checks whether the tree as it is now is accepted.
-func (k *keyTester) try(what string, accepted bool) {
+// check reports an error unless the modified tree is accepted, or refused, as expected. The change describes the modification.
+func (k *keyTester) check(change string, accepted bool) {
 	k.t.Helper()
-	k.tried++
+	k.cases++
 	text, err := json.Marshal(k.tree)
 	if err != nil {
 		k.t.Fatal(err)
 	}
 	if err := reloadError(k.t, k.active, string(text)); (err == nil) != accepted {
-		k.t.Errorf("%s: %v", what, err)
+		k.t.Errorf("%s: %v", change, err)
 	}
 }
 
-// TestReloadedSettings: request classes may be added and removed, and each time and number of attempts has to be above 0.
+// TestReloadedSettings: request classes may be added and removed. Timeouts, latency objectives and attempt limits have to be
+// above 0.
 func TestReloadedSettings(t *testing.T) {
 	active, err := loadText(t, fullConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
-	more := strings.Replace(fullConfig, `{"Name":"put"`, `{"Name":"new","Effect":"side_effect","SloTime":5,"StatementTimeout":9},{"Name":"put"`, 1)
-	c, err := loadText(t, more)
+	withAddedClass := strings.Replace(fullConfig, `{"Name":"put"`, `{"Name":"new","Effect":"side_effect","SloTime":5,"StatementTimeout":9},{"Name":"put"`, 1)
+	c, err := loadText(t, withAddedClass)
 	if err != nil || active.CheckComplete(c) != nil || !active.SettingsChanged(c) || len(c.Deployment.RequestClasses) != 3 {
-		t.Errorf("one class more: %v, %v", err, active.CheckComplete(c))
+		t.Errorf("a class added: %v, %v", err, active.CheckComplete(c))
 	}
-	less := strings.Replace(fullConfig, `{"Name":"read","Effect":"pure","SloTime":1000,"StatementTimeout":2000,"AimStretch":0.5},`, "", 1)
-	if err := reloadError(t, active, less); err != nil {
-		t.Errorf("one class less: %v", err)
+	withRemovedClass := strings.Replace(fullConfig, `{"Name":"read","Effect":"pure","SloTime":1000,"StatementTimeout":2000,"AimStretch":0.5},`, "", 1)
+	if err := reloadError(t, active, withRemovedClass); err != nil {
+		t.Errorf("a class removed: %v", err)
 	}
 	for _, bad := range []string{`0`, `-1`, `"2000"`, `"NaN"`, `NaN`, `null`, `1e999`, `[2000]`, `{}`, `true`, `""`, `-0.5`} {
 		for _, good := range []string{`"StatementTimeout":2000`, `"MaxExecutions":4`, `"SloTime":1000`} {
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// TestGolden reads an object with every key into the same values as an earlier build.
+// TestGolden checks that a settings object with every key is read into the same values as by earlier builds.
 func TestGolden(t *testing.T) {
 	text := goldentest.Read(t, "settings.json")
 	want := Deployment{
--- a/internal/config/settings/parse.go
+++ b/internal/config/settings/parse.go
@@ -8,8 +8,8 @@
 	"mintspring/internal/fleet"
 )
 
-// object is the object of settings. Times are in µs.
-type object struct {
+// settingsObject is the JSON object of settings. Times are in µs.
+type settingsObject struct {
 	NInstances     int            `json:"NInstances"`
 	SelfIndex      *int           `json:"SelfIndex"`
 	Workloads      []requestClass `json:"Workloads"`
@@ -72,22 +72,22 @@
 	TipAfter          float64 `json:"TipAfter"`
 }
 
-// Values of the settings.
+// Values of string settings.
 const (
 	discoverySubscribe = "subscribe"
-	modeAside          = "aside"
+	modeCacheAside     = "aside"
 	effectPure         = "pure"
 	effectToken        = "token"
 	dedupScopeAll      = "all"
 	dedupScopeZone     = "zone"
 )
 
-// msPerMicrosecond converts the settings' times to ms.
+// msPerMicrosecond converts the times in the settings to ms.
 const msPerMicrosecond = 1.0 / 1000
 
-// Parse parses the settings. Keys may be absent; unknown ones are skipped.
+// Parse parses the settings. Keys may be absent, and unknown keys are ignored.
 func Parse(text []byte, seed uint64) (Deployment, error) {
-	var o object
+	var o settingsObject
 	if err := json.Unmarshal(text, &o); err != nil {
 		return Deployment{}, fmt.Errorf("settings: %w", err)
 	}
@@ -96,7 +96,7 @@
 		return Deployment{}, err
 	}
 	d := Deployment{
-		Limits:          o.limits(seed, maxAttempts),
+		Limits:          o.fleetLimits(seed, maxAttempts),
 		Kinds:           o.Kinds,
 		Zones:           o.FailureDomains,
 		NodeIndex:       -1,
@@ -111,26 +111,26 @@
 		d.Tenants = append(d.Tenants, t.Name)
 	}
 	for _, class := range o.Workloads {
-		d.Limits.Classes = append(d.Limits.Classes, class.class(maxAttempts))
+		d.Limits.Classes = append(d.Limits.Classes, class.fleetClass(maxAttempts))
 		d.RequestClasses = append(d.RequestClasses, class.Name)
 	}
 	return d, nil
 }
 
-// parseMaxAttempts reads a number of attempts, 0 if it is absent.
+// parseMaxAttempts parses a number of attempts; it returns 0 if the number is absent.
 func parseMaxAttempts(text json.RawMessage) (int, error) {
 	if text == nil {
 		return 0, nil
 	}
 	var v float64
 	if json.Unmarshal(text, &v) != nil || string(text) == "null" || v < 1 || v > 1e9 || v != math.Trunc(v) {
-		return 0, fmt.Errorf("settings: PolicyLimits.MaxExecutions: %.40s is no number above 0", text)
+		return 0, fmt.Errorf("settings: PolicyLimits.MaxExecutions: %.40s is not a whole number above 0", text)
 	}
 	return int(v), nil
 }
 
-// limits returns the limits of the decision module, but for the request classes.
-func (o *object) limits(seed uint64, maxAttempts int) fleet.Limits {
+// fleetLimits returns the limits of the decision module, without the request classes.
+func (o *settingsObject) fleetLimits(seed uint64, maxAttempts int) fleet.Limits {
 	g, p := &o.Guarantees, &o.PolicyLimits
 	limits := fleet.Limits{
 		Seed:              seed,
@@ -154,15 +154,15 @@
 		Quantum:           o.Quantum * msPerMicrosecond,
 		UnusedAttemptCost: o.Penalties.Waste,
 	}
-	if o.FamilyInfo.Mode == modeAside && o.FamilyInfo.OriginKind != nil {
+	if o.FamilyInfo.Mode == modeCacheAside && o.FamilyInfo.OriginKind != nil {
 		limits.OriginKind = fleet.KindID(*o.FamilyInfo.OriginKind)
 	}
 	return limits
 }
 
-// class returns the request class as the decision module takes it. Effects and scopes that are not known are taken for the
-// strictest.
-func (c *requestClass) class(maxAttempts int) fleet.Class {
+// fleetClass converts the request class for the decision module. An unknown effect or deduplication scope becomes the strictest
+// one.
+func (c *requestClass) fleetClass(maxAttempts int) fleet.Class {
 	class := fleet.Class{
 		Effect:           fleet.NonIdempotent,
 		DedupScope:       fleet.DedupCell,
--- a/internal/config/settings/report.go
+++ b/internal/config/settings/report.go
@@ -2,8 +2,9 @@
 
 import "mintspring/internal/fleet"
 
-// ReportField returns the field of a load report for the name of a value, nil for an unknown name. Reports use the names that
-// the settings list; the examples of the protocol's page write some of them differently, so both are known.
+// ReportField returns the field of a load report that holds the value with this name, nil for an unknown name. Load reports
+// use the names in the platform's settings. The examples on the protocol's page use other names for some values, so both are
+// accepted.
 func ReportField(r *fleet.LoadReport, name []byte) *float64 {
 	switch string(name) {
 	case "cpu", "util":
--- a/internal/config/settings/settings_test.go
+++ b/internal/config/settings/settings_test.go
@@ -19,12 +19,12 @@
 		len(d.Kinds) != 2 || d.ConnIdleTimeout != 60000 || d.MaxInFlight != 7 || d.Limits.Seed != 9 {
 		t.Errorf("read as %+v", d)
 	}
-	w := d.Limits.Classes
-	if w[0].LatencyObjective != 300 || w[0].ClientTimeout != 900.5 || w[1].DedupScope != fleet.DedupZone || w[1].DedupWindow != 5000 {
-		t.Errorf("request classes %+v", w)
+	classes := d.Limits.Classes
+	if classes[0].LatencyObjective != 300 || classes[0].ClientTimeout != 900.5 || classes[1].DedupScope != fleet.DedupZone || classes[1].DedupWindow != 5000 {
+		t.Errorf("request classes %+v", classes)
 	}
-	// Unknown effects and scopes are taken for the strictest, and servers that fetch for themselves have no origin beside them.
-	if w[2].Effect != fleet.NonIdempotent || w[2].DedupScope != fleet.DedupCell || d.Limits.OriginKind != -1 {
+	// An unknown effect or scope becomes the strictest one. There is no origin kind if servers fetch missing keys themselves.
+	if classes[2].Effect != fleet.NonIdempotent || classes[2].DedupScope != fleet.DedupCell || d.Limits.OriginKind != -1 {
 		t.Errorf("read as %+v", d.Limits)
 	}
 	if _, err := Parse([]byte(`{"Workloads":7}`), 1); err == nil {
@@ -32,16 +32,16 @@
 	}
 }
 
-// TestReportField: each name of a value, as in the settings and as on the page of the protocol, has a field.
+// TestReportField: each name of a value, from the settings and from the protocol's page, has a field.
 func TestReportField(t *testing.T) {
 	var r fleet.LoadReport
-	names := map[*float64]int{}
+	namesPerField := map[*float64]int{}
 	for _, name := range []string{
 		"cpu", "util", "waiting", "queue", "active", "inflight", "avg_ms", "latency_ms", "rps", "qps", "err_rps", "eps", "x0", "x1",
 	} {
-		names[ReportField(&r, []byte(name))]++
+		namesPerField[ReportField(&r, []byte(name))]++
 	}
-	if len(names) != 8 || names[nil] != 0 || ReportField(&r, []byte("cpus")) != nil {
-		t.Errorf("names by field: %v", names)
+	if len(namesPerField) != 8 || namesPerField[nil] != 0 || ReportField(&r, []byte("cpus")) != nil {
+		t.Errorf("names by field: %v", namesPerField)
 	}
 }
--- a/internal/config/tomlfile/alias.go
+++ b/internal/config/tomlfile/alias.go
@@ -6,22 +6,22 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// Alias is an old name of a key or table that is still read.
+// Alias is an old name of a key or table that is still accepted.
 type Alias struct {
-	Table string // path of the table that it stands in, by new names; empty: at the top of the file
+	Table string // path of the table that contains the key, in new names; empty: the top level
 	Old   string
 	New   string
 }
 
-// Deprecation is an old name in a file.
+// Deprecation is an old name that a file uses.
 type Deprecation struct {
-	Line int    // where it stands first
-	Old  string // path of the field or table, as in the file
-	New  string // its path by new names
+	Line int    // of its first use
+	Old  string // path of the field or table as written in the file
+	New  string // its path in new names
 }
 
-// resolveAliases replaces old names by new ones, and returns those that it has replaced. Lines stay as they are. What cannot
-// be parsed is left for the decoder to report.
+// resolveAliases replaces old names with new ones, and returns the new text and the old names found. Line numbers do not change.
+// Text that cannot be parsed stays as it is, because the decoder reports it.
 func resolveAliases(text []byte, aliases []Alias) ([]byte, []Deprecation) {
 	if len(aliases) == 0 {
 		return text, nil
@@ -31,12 +31,12 @@
 		r.aliases[joinPath(a.Table, a.Old)] = a.New
 	}
 	r.parser.Reset(text)
-	var table keyNames
+	var table resolvedPath
 	for r.parser.NextExpression() {
 		e := r.parser.Expression()
 		switch e.Kind {
 		case unstable.Table, unstable.ArrayTable:
-			table = r.resolveKey(e, keyNames{})
+			table = r.resolveKey(e, resolvedPath{})
 		case unstable.KeyValue:
 			r.resolveKeyValue(e, table)
 		}
@@ -44,26 +44,26 @@
 	return r.apply(text), r.deprecated
 }
 
-// aliasResolver collects the old names of a file.
+// aliasResolver collects the old names in a file and the edits that replace them.
 type aliasResolver struct {
 	parser     unstable.Parser
-	aliases    map[string]string // new name by path
-	seen       map[string]bool   // paths of the aliases found
+	aliases    map[string]string // new name by the path of the old one
+	seen       map[string]bool   // paths of the old names found so far
 	deprecated []Deprecation
 	edits      []edit
 }
 
-// edit replaces the bytes of a key.
+// edit replaces the bytes of a key with its new name.
 type edit struct {
 	start, end int
 	name       string
 }
 
-// keyNames is a path as the file has it, and by new names.
-type keyNames struct{ old, new string }
+// resolvedPath is a path as written in the file (old) and in new names (new).
+type resolvedPath struct{ old, new string }
 
-// resolveKeyValue resolves the key of an assignment, and those of an inline table behind it.
-func (r *aliasResolver) resolveKeyValue(e *unstable.Node, table keyNames) {
+// resolveKeyValue resolves the key of an assignment and, if its value is an inline table, the keys in that table.
+func (r *aliasResolver) resolveKeyValue(e *unstable.Node, table resolvedPath) {
 	names := r.resolveKey(e, table)
 	value := e.Value()
 	if value.Kind != unstable.InlineTable {
@@ -74,8 +74,8 @@
 	}
 }
 
-// resolveKey resolves each part of a key that stands in the given table, and returns its path.
-func (r *aliasResolver) resolveKey(e *unstable.Node, table keyNames) keyNames {
+// resolveKey resolves each part of a key in the given table, and returns the path of the key.
+func (r *aliasResolver) resolveKey(e *unstable.Node, table resolvedPath) resolvedPath {
 	names := table
 	for it := e.Key(); it.Next(); {
 		key := it.Node()
@@ -98,7 +98,7 @@
 	return names
 }
 
-// apply returns the text with all edits made.
+// apply returns a copy of the text with all edits made.
 func (r *aliasResolver) apply(text []byte) []byte {
 	text = slices.Clone(text)
 	for _, e := range slices.Backward(r.edits) {
--- a/internal/config/tomlfile/alias_test.go
+++ b/internal/config/tomlfile/alias_test.go
@@ -58,7 +58,7 @@
 	}
 }
 
-// Errors have the lines of the file, and a field that is there under both names is refused.
+// Errors contain the line numbers of the file with old names, and a field that is given under both its names is refused.
 func TestAliasErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		"[shell]\n\ntitle = 7\n":                     "f.toml:3: outer.name: ",
@@ -94,7 +94,7 @@
 	}
 }
 
-// Whatever the text, aliases change nothing but names: lines stay, and a text without an old name stays as it is.
+// In any text, aliases change only names: the number of lines stays the same, and so does a text without old names.
 func FuzzAliases(f *testing.F) {
 	for _, text := range []string{"old_top = 1", "[shell]\ntitle = \"x\"", "shell = {title = 1}", "[[shell]]", "\"old_top\" = 1", "a.b = [{title = 1}]", "[shell.'core']"} {
 		f.Add(text)
--- a/internal/config/tomlfile/duration.go
+++ b/internal/config/tomlfile/duration.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Duration is a time that a file states with its unit, such as "250ms". It is never negative.
+// Duration is a non-negative duration that a file states with its unit, such as "250ms".
 type Duration time.Duration
 
-var errNegative = errors.New("a time below 0")
+var errNegative = errors.New("duration is below 0")
 
 // UnmarshalText implements encoding.TextUnmarshaler.
 func (d *Duration) UnmarshalText(b []byte) error {
@@ -23,13 +23,13 @@
 // MarshalText implements encoding.TextMarshaler.
 func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// Milliseconds returns the time in ms.
+// Milliseconds returns the duration in ms.
 func (d Duration) Milliseconds() float64 { return float64(d) / float64(time.Millisecond) }
 
-// Duration returns the time as a time.Duration.
+// Duration returns the duration as a time.Duration.
 func (d Duration) Duration() time.Duration { return time.Duration(d) }
 
-// Round returns the time rounded to the nearest multiple.
-func (d Duration) Round(multiple time.Duration) Duration {
-	return Duration(d.Duration().Round(multiple))
+// Round returns the duration rounded to the nearest multiple of unit.
+func (d Duration) Round(unit time.Duration) Duration {
+	return Duration(d.Duration().Round(unit))
 }
--- a/internal/config/tomlfile/lines.go
+++ b/internal/config/tomlfile/lines.go
@@ -6,47 +6,49 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// fieldLines returns the line of each field and table. What cannot be parsed is left for the decoder to report.
+// fieldLines returns the line number of each field and table by its path. Text that cannot be parsed is skipped, because the
+// decoder reports it.
 func fieldLines(text []byte) map[string]int {
 	lines := map[string]int{}
-	tables := map[string]int{} // how often each array table has occurred
+	arrayLengths := map[string]int{} // elements of each array table so far
 	table := ""
 	var p unstable.Parser
 	p.Reset(text)
 	for p.NextExpression() {
 		e := p.Expression()
-		path, row := keyPath(&p, e, tables)
+		path, line := keyPath(&p, e, arrayLengths)
 		switch e.Kind {
 		case unstable.ArrayTable:
-			n := tables[path]
-			tables[path]++
+			n := arrayLengths[path]
+			arrayLengths[path]++
 			table = path + "[" + strconv.Itoa(n) + "]"
-			lines[table] = row
+			lines[table] = line
 		case unstable.Table:
 			table = path
-			lines[table] = row
+			lines[table] = line
 		case unstable.KeyValue:
-			lines[joinPath(table, path)] = row
+			lines[joinPath(table, path)] = line
 		}
 	}
 	return lines
 }
 
-// keyPath returns the path of an expression's key, with the index of each array table on it, and its line.
-func keyPath(p *unstable.Parser, e *unstable.Node, tables map[string]int) (path string, row int) {
+// keyPath returns the path of an expression's key, which includes the current index of each array table on the path, and the
+// key's line.
+func keyPath(p *unstable.Parser, e *unstable.Node, arrayLengths map[string]int) (path string, line int) {
 	isTable := e.Kind == unstable.ArrayTable || e.Kind == unstable.Table
 	for it := e.Key(); it.Next(); {
 		key := it.Node()
-		if row == 0 {
-			row = p.Shape(key.Raw).Start.Line
+		if line == 0 {
+			line = p.Shape(key.Raw).Start.Line
 		}
 		path = joinPath(path, string(key.Data))
 		opensElement := e.Kind == unstable.ArrayTable && it.IsLast()
-		if n := tables[path]; isTable && n > 0 && !opensElement {
+		if n := arrayLengths[path]; isTable && n > 0 && !opensElement {
 			path += "[" + strconv.Itoa(n-1) + "]"
 		}
 	}
-	return path, row
+	return path, line
 }
 
 func joinPath(table, key string) string {
--- a/internal/config/tomlfile/tomlfile.go
+++ b/internal/config/tomlfile/tomlfile.go
@@ -1,5 +1,5 @@
-// Package tomlfile reads TOML files that people write. Its errors are one line with the file, the line and the field, and
-// keys may have been renamed since a file was written.
+// Package tomlfile reads TOML files that people write. Its errors are one line with the file, the line and the field. Keys that
+// have been renamed are still accepted under their old names.
 package tomlfile
 
 import (
@@ -11,60 +11,60 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// File is a file that was read.
+// File describes a file that was read.
 type File struct {
 	Name       string
-	Deprecated []Deprecation // old names in the file, in its order, each once
+	Deprecated []Deprecation // old names in the file, each once, in the order of their first use
 
-	lines map[string]int // line of each field, such as "at[2].box"
+	lines map[string]int // line number of each field, such as "at[2].box"
 }
 
-// Read reads a file into a value. It refuses fields that the value lacks. Names that aliases has as old ones are read under
-// their new names, and listed in the result.
-func Read(name string, into any, aliases ...Alias) (*File, error) {
+// Read decodes a file into target. A field that target lacks is an error. Old names, which aliases lists, are read as their new
+// names and reported in Deprecated of the result.
+func Read(name string, target any, aliases ...Alias) (*File, error) {
 	text, err := os.ReadFile(name)
 	if err != nil {
 		return nil, fmt.Errorf("reading %s: %w", name, err)
 	}
-	return Parse(name, text, into, aliases...)
+	return Parse(name, text, target, aliases...)
 }
 
-// Parse is Read with the text of the file.
-func Parse(name string, text []byte, into any, aliases ...Alias) (*File, error) {
+// Parse is like Read, but takes the contents of the file.
+func Parse(name string, text []byte, target any, aliases ...Alias) (*File, error) {
 	text, deprecated := resolveAliases(text, aliases)
 	f := &File{Name: name, Deprecated: deprecated, lines: fieldLines(text)}
-	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(into); err != nil {
+	if err := toml.NewDecoder(strings.NewReader(string(text))).DisallowUnknownFields().Decode(target); err != nil {
 		return nil, decodeError(name, err)
 	}
 	return f, nil
 }
 
-// decodeError makes one line of an error of the decoder.
+// decodeError converts an error of the decoder to one line with the file, the line and the field.
 func decodeError(name string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) && len(unknown.Errors) > 0 {
-		row, _ := unknown.Errors[0].Position()
-		return fmt.Errorf("%s:%d: %s: no such field", name, row, strings.Join(unknown.Errors[0].Key(), "."))
+		line, _ := unknown.Errors[0].Position()
+		return fmt.Errorf("%s:%d: %s: no such field", name, line, strings.Join(unknown.Errors[0].Key(), "."))
 	}
 	text := strings.TrimPrefix(strings.ReplaceAll(err.Error(), "\n", " "), "toml: ")
 	var malformed *toml.DecodeError
 	if errors.As(err, &malformed) {
-		row, _ := malformed.Position()
+		line, _ := malformed.Position()
 		if key := strings.Join(malformed.Key(), "."); key != "" {
 			text = key + ": " + text
 		}
-		return fmt.Errorf("%s:%d: %s", name, row, text)
+		return fmt.Errorf("%s:%d: %s", name, line, text)
 	}
 	return fmt.Errorf("%s: %s", name, text)
 }
 
-// FieldErrorf returns an error about a field that could be read, such as "at[2].box". It names the line of the field, or of
-// the table that it would stand in.
+// FieldErrorf returns an error about a field that was decoded, such as "at[2].box", but has an invalid value or is missing. The
+// error contains the line of the field; if the field is not in the file, that of the innermost table around it that is.
 func (f *File) FieldErrorf(field, format string, args ...any) error {
 	text := fmt.Sprintf(format, args...)
 	for path := field; path != ""; {
-		if row, known := f.lines[path]; known {
-			return fmt.Errorf("%s:%d: %s: %s", f.Name, row, field, text)
+		if line, known := f.lines[path]; known {
+			return fmt.Errorf("%s:%d: %s: %s", f.Name, line, field, text)
 		}
 		path = path[:max(strings.LastIndexAny(path, ".["), 0)]
 	}
