--- a/internal/config/operatorfile/connections.go
+++ b/internal/config/operatorfile/connections.go
@@ -7,9 +7,9 @@
 
 // Connections configures the pools of connections to servers. docs/operators/connections.md describes each field.
 type Connections struct {
-	MaxPerServer        int               `toml:"max_per_server"` // that a cache server accepts from all nodes together
-	MaxPerOrigin        int               `toml:"max_per_origin"` // that the origin accepts from all nodes together
-	MinPerServer        int               `toml:"min_per_server"` // kept open to each cache server
+	MaxPerServer        int               `toml:"max_per_server"` // connections that a cache server accepts from all nodes together
+	MaxPerOrigin        int               `toml:"max_per_origin"` // connections that the origin accepts from all nodes together
+	MinPerServer        int               `toml:"min_per_server"` // connections kept open to each cache server
 	Prewarm             bool              `toml:"prewarm"`        // open connections before they are needed
 	OpensPerSecond      float64           `toml:"opens_per_second"`
 	StartOpensPerSecond float64           `toml:"start_opens_per_second"`
--- a/internal/config/operatorfile/fleet.go
+++ b/internal/config/operatorfile/fleet.go
@@ -16,7 +16,7 @@
 	NodeNumber    *int              `toml:"number"`       // of this node; default: the settings' SelfIndex
 	MaxNodes      int               `toml:"max_nodes"`    // default: the number of peers
 	QuotaOwners   int               `toml:"quota_owners"` // how many nodes, from number 0 on, own the quotas; default: the number of peers
-	Share         []string          `toml:"share"`        // default: everything
+	Share         []string          `toml:"share"`        // default: all topics
 	ProbeInterval tomlfile.Duration `toml:"probe_interval"`
 	Lease         tomlfile.Duration `toml:"lease"`
 	EvidenceTTL   tomlfile.Duration `toml:"evidence_ttl"`
--- a/internal/config/operatorfile/operatorfile.go
+++ b/internal/config/operatorfile/operatorfile.go
@@ -89,8 +89,8 @@
 	return names
 }
 
-// RestartRequired returns the names of the sections that differ in another file and take effect only after a restart. Only the
-// section log takes effect without one.
+// RestartRequired returns the names of the sections that differ in another file and take effect only after a restart, which
+// are all sections except log.
 func (f *File) RestartRequired(other *File) []string {
 	var names []string
 	others := other.sections()
--- a/internal/config/platform/complete.go
+++ b/internal/config/platform/complete.go
@@ -19,7 +19,7 @@
 	return e.Path + ": missing, but the active configuration has it"
 }
 
-// CheckComplete returns a *MissingKeyError if the other configuration lacks a key that this one, the active one, has. A
+// CheckComplete returns a *MissingKeyError if other lacks a key that c, the active configuration, has. A
 // truncated or partially written file may still parse; its missing keys reveal it. Only the active configuration says which
 // keys a deployment's file has to have.
 func (c *Config) CheckComplete(other *Config) error {
--- a/internal/config/platform/reload_test.go
+++ b/internal/config/platform/reload_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// check reports an error unless the modified tree is accepted, or refused, as expected. The change describes the modification.
+// check fails the test unless the modified tree is accepted or refused as expected. The error names the change.
 func (k *keyTester) check(change string, accepted bool) {
 	k.t.Helper()
 	k.cases++
--- a/internal/config/tomlfile/alias.go
+++ b/internal/config/tomlfile/alias.go
@@ -21,7 +21,7 @@
 }
 
 // resolveAliases replaces old names with new ones, and returns the new text and the old names found. Line numbers do not change.
-// Text that cannot be parsed stays as it is, because the decoder reports it.
+// The text after a syntax error is not changed; the decoder reports the error.
 func resolveAliases(text []byte, aliases []Alias) ([]byte, []Deprecation) {
 	if len(aliases) == 0 {
 		return text, nil
--- a/internal/config/tomlfile/lines.go
+++ b/internal/config/tomlfile/lines.go
@@ -6,8 +6,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// fieldLines returns the line number of each field and table by its path. Text that cannot be parsed is skipped, because the
-// decoder reports it.
+// fieldLines returns the line number of each field and table by its path. The result omits everything after a syntax
+// error; the decoder reports the error.
 func fieldLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	arrayLengths := map[string]int{} // elements of each array table so far
