--- a/internal/state/recordlog/files.go
+++ b/internal/state/recordlog/files.go
@@ -12,7 +12,8 @@
 	filePermissions = 0o600
 )
 
-// CreateDir creates a directory if there is none, and in it a file with these contents. Both are synced. It is an error if the file exists.
+// CreateDir creates a directory if it does not exist, and in it a file with these contents. Both are synced. It is an error if the file
+// exists.
 func CreateDir(dir, fileName string, contents []byte) error {
 	if err := os.MkdirAll(dir, dirPermissions); err != nil {
 		return err
@@ -39,8 +40,8 @@
 	return f.Close()
 }
 
-// Lock creates a file if there is none, and locks it until the file is closed or the process ends. The error is syscall.EWOULDBLOCK where another
-// process has locked it.
+// Lock creates a file if it does not exist, and locks it until the file is closed or the process ends. The error is
+// syscall.EWOULDBLOCK if the file is locked already.
 func Lock(name string) (*os.File, error) {
 	f, err := os.OpenFile(name, os.O_CREATE|os.O_RDWR, filePermissions)
 	if err != nil {
@@ -53,7 +54,7 @@
 	return f, nil
 }
 
-// SyncDir syncs a directory, so that files created, renamed or removed in it stay so after a crash.
+// SyncDir syncs a directory, so that the creations, renames and removals of files in it survive a crash.
 func SyncDir(dir string) error {
 	d, err := os.Open(dir)
 	if err != nil {
--- a/internal/state/recordlog/files_test.go
+++ b/internal/state/recordlog/files_test.go
@@ -21,7 +21,7 @@
 	}
 }
 
-// A directory is created with its file, and a file that exists is not replaced.
+// CreateDir creates a directory with its file, and does not replace a file that exists.
 func TestCreateDir(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "outer", "inner")
 	if err := CreateDir(dir, "file", []byte("contents")); err != nil {
@@ -39,7 +39,7 @@
 	}
 }
 
-// A file can be locked once until it is closed.
+// A locked file cannot be locked again until it is closed.
 func TestLock(t *testing.T) {
 	name := filepath.Join(t.TempDir(), "lock")
 	first, err := Lock(name)
@@ -52,11 +52,11 @@
 	if err := first.Close(); err != nil {
 		t.Fatal(err)
 	}
-	again, err := Lock(name)
+	second, err := Lock(name)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := again.Close(); err != nil {
+	if err := second.Close(); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/state/recordlog/golden_test.go
+++ b/internal/state/recordlog/golden_test.go
@@ -11,7 +11,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// The bytes of stored records and of the file with the synced length do not change between versions: testdata/golden holds what an earlier one wrote.
+// The encoding of records and of sync marks does not change between versions: testdata/golden contains files from an earlier version.
 func TestGoldenBytes(t *testing.T) {
 	type stored struct {
 		Kind    byte
--- a/internal/state/recordlog/recordlog.go
+++ b/internal/state/recordlog/recordlog.go
@@ -1,8 +1,8 @@
-// Package recordlog reads and writes append-only files of checksummed records, and the small side file, called a mark, that says how much of
-// such a file is known to be synced.
+// Package recordlog reads and writes append-only files of checksummed records. Beside such a file is a small one, its sync mark, which
+// says how much of the records is known to be synced.
 //
-// A record that does not read behind the synced length was being written when the process died. Nobody has relied on it, and it may be cut off.
-// A record that does not read before that length was lost or changed by the disk, which is reported as ErrCorrupt.
+// A record after the synced length that cannot be decoded was being written when the process died. Nothing relies on it, and it may be
+// truncated. If a record before the synced length cannot be decoded, the disk has lost or changed it, which is reported as ErrCorrupt.
 package recordlog
 
 import (
@@ -13,23 +13,24 @@
 	"io"
 )
 
-// ErrCorrupt says that a file does not hold what had been synced to it.
+// ErrCorrupt says that a file no longer contains the data that was synced to it.
 var ErrCorrupt = errors.New("synced data is missing or corrupt")
 
-// Errors of single records, returned by Next.
+// Errors in the encoding of a single record. Replay wraps them.
 var (
 	ErrTruncated = errors.New("truncated record")
 	ErrChecksum  = errors.New("record checksum mismatch")
 )
 
-// A record is a header and its payload. The header holds, in big endian, the length of the payload, the CRC-32C of kind and payload, and the kind.
+// A record is a header and its payload. The header contains, in big endian, the length of the payload, the CRC-32C of kind and payload,
+// and the kind.
 const (
 	checksumOffset = 4
 	kindOffset     = 8
 	headerSize     = 9
 )
 
-// Sizes of the parts of a mark, which is a list of numbers followed by their CRC-32C.
+// Sizes of the parts of a sync mark, which is a list of numbers followed by their CRC-32C.
 const (
 	markNumberSize   = 8
 	markChecksumSize = 4
@@ -66,9 +67,10 @@
 	return kind, payload, size, nil
 }
 
-// Replay calls apply with each record of a file's contents in order, and returns how many bytes the records take. The first synced bytes have to
-// read: a missing or undecodable record there, or an error of apply, is returned wrapped together with ErrCorrupt. Behind them the first such
-// record ends the replay without an error, and the caller may truncate the file to the returned length. The name of the file is for errors only.
+// Replay calls apply with each record of a file's contents in order, and returns how many bytes the records take. Within the first synced
+// bytes, a record that is missing, cannot be decoded or is refused by apply makes Replay return the error together with ErrCorrupt.
+// After them, the first such record ends the replay without an error, and the caller may truncate the file to the returned length. The
+// name of the file is used only in errors.
 func Replay(name string, contents []byte, synced int64, apply func(kind byte, payload []byte) error) (int, error) {
 	if int64(len(contents)) < synced {
 		return 0, fmt.Errorf("%s has %d bytes, of which %d were synced: %w", name, len(contents), synced, ErrCorrupt)
@@ -90,8 +92,8 @@
 	return offset, nil
 }
 
-// WriteSyncMark writes numbers to the beginning of f with a checksum. It does not sync: a mark read after a crash may be older than the file it
-// describes, and is never newer.
+// WriteSyncMark writes numbers and their checksum to the beginning of f. Callers sync the record file first. WriteSyncMark does not sync
+// f, so that after a crash the mark may describe an earlier state of the record file, but never a later one.
 func WriteSyncMark(f io.WriterAt, numbers ...uint64) error {
 	mark := make([]byte, 0, markNumberSize*len(numbers)+markChecksumSize)
 	for _, number := range numbers {
@@ -102,8 +104,8 @@
 	return err
 }
 
-// ParseSyncMark decodes a mark of count numbers. In an empty mark, as a file has before its first WriteSyncMark, all of them are 0. The name is for errors
-// only.
+// ParseSyncMark decodes a sync mark of count numbers. In an empty mark, as before the first WriteSyncMark, all numbers are 0. The name of
+// the file is used only in errors.
 func ParseSyncMark(name string, mark []byte, count int) ([]uint64, error) {
 	numbers := make([]uint64, count)
 	if len(mark) == 0 {
--- a/internal/state/recordlog/recordlog_test.go
+++ b/internal/state/recordlog/recordlog_test.go
@@ -7,7 +7,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// What does not read behind the synced length is left out, and before it is reported.
+// A record that cannot be decoded is dropped after the synced length, and reported as an error before it.
 func TestReplayOfDamagedFiles(t *testing.T) {
 	first := Append(nil, 'a', []byte("first"))
 	both := Append(first, 'b', []byte("second"))
@@ -15,25 +15,25 @@
 	damaged[len(damaged)-1] ^= 1
 	errApply := errors.New("not a known kind")
 	for name, c := range map[string]struct {
-		contents  []byte
-		synced    int
-		refuse    byte // a kind that apply refuses
-		size      int
-		wantError error
+		contents     []byte
+		synced       int
+		rejectedKind byte // apply refuses records of this kind
+		size         int
+		wantError    error
 	}{
 		"complete":                          {contents: both, synced: len(both), size: len(both)},
 		"empty":                             {},
-		"truncated behind the synced bytes": {contents: both[:len(both)-1], synced: len(first), size: len(first)},
+		"truncated after the synced bytes":  {contents: both[:len(both)-1], synced: len(first), size: len(first)},
 		"truncated header":                  {contents: both[:len(first)+headerSize-1], synced: len(first), size: len(first)},
-		"damaged behind the synced bytes":   {contents: damaged, synced: len(first), size: len(first)},
-		"refused behind the synced bytes":   {contents: both, synced: len(first), refuse: 'b', size: len(first)},
+		"damaged after the synced bytes":    {contents: damaged, synced: len(first), size: len(first)},
+		"refused after the synced bytes":    {contents: both, synced: len(first), rejectedKind: 'b', size: len(first)},
 		"shorter than what was synced":      {contents: first, synced: len(both), wantError: ErrCorrupt},
 		"truncated within the synced bytes": {contents: append(first[:len(first):len(first)], both[len(first):len(both)-1]...), synced: len(first) + 1, wantError: ErrTruncated},
 		"damaged within the synced bytes":   {contents: damaged, synced: len(both), wantError: ErrChecksum},
-		"refused within the synced bytes":   {contents: both, synced: len(both), refuse: 'b', wantError: errApply},
+		"refused within the synced bytes":   {contents: both, synced: len(both), rejectedKind: 'b', wantError: errApply},
 	} {
 		size, err := Replay("file", c.contents, int64(c.synced), func(kind byte, _ []byte) error {
-			if kind == c.refuse {
+			if kind == c.rejectedKind {
 				return errApply
 			}
 			return nil
--- a/internal/state/snapshot/codec.go
+++ b/internal/state/snapshot/codec.go
@@ -10,10 +10,11 @@
 	"mintspring/internal/fleet"
 )
 
-// Version is the version of the binary form. Parse refuses every other one; the node then learns anew, which is always safe.
+// Version is the version of the binary form. Parse refuses all others; the node then starts without a snapshot, which is always
+// safe.
 const Version = 2
 
-// Limits of the binary form. Parse refuses what exceeds them, before it allocates memory for it.
+// Limits of the binary form. Parse refuses a snapshot that exceeds them before it allocates memory for the excess.
 const (
 	maxServers   = 4096
 	maxKeys      = 4096
@@ -40,11 +41,11 @@
 	crcTable = crc64.MakeTable(crc64.ECMA)
 )
 
-// maxFigure bounds each figure of a snapshot; no node writes greater ones.
-const maxFigure = 1e15
+// maxValue limits each number in a snapshot; no node writes a greater one.
+const maxValue = 1e15
 
-// Append appends the binary form of the snapshot to b. Servers and keys beyond the limits are dropped; the caller lists
-// those used most first.
+// Append appends the binary form of the snapshot to b. Servers and keys beyond the limits are dropped, so callers list the most
+// used ones first.
 func Append(b []byte, s *State) []byte {
 	start := len(b)
 	b = append(b, make([]byte, headerLen)...)
@@ -57,12 +58,12 @@
 	w.u32(uint32(len(servers)))
 	for i := range servers {
 		w.text(servers[i].Name)
-		for _, figure := range serverFields(&servers[i].ServerSnapshot) {
-			w.f64(*figure)
+		for _, value := range serverFields(&servers[i].ServerSnapshot) {
+			w.f64(*value)
 		}
 	}
-	for _, figure := range globalFields(&s.Global) {
-		w.f64(*figure)
+	for _, value := range globalFields(&s.Global) {
+		w.f64(*value)
 	}
 	keys := s.Global.Keys[:min(len(s.Global.Keys), maxKeys)]
 	w.u32(uint32(len(keys)))
@@ -79,13 +80,13 @@
 	return b
 }
 
-// checksum covers the header as well, so that no change of a single bit goes unnoticed.
+// checksum covers the header as well, so that Parse detects every change of a single bit.
 func checksum(header, body []byte) uint64 {
 	return crc64.Update(crc64.Checksum(header, crcTable), crcTable, body)
 }
 
-// Parse reads the binary form. Its errors wrap ErrVersion or ErrCorrupt. No length in it is relied on before the bytes are
-// there.
+// Parse decodes the binary form. Its errors wrap ErrVersion or ErrCorrupt. It checks each encoded length against the bytes that
+// are present before it uses the length.
 func Parse(b []byte) (*State, error) {
 	body, err := parseHeader(b)
 	if err != nil {
@@ -95,15 +96,15 @@
 	s := &State{TakenAt: r.f64(), PolicyFingerprint: r.u64(), Node: r.text(), Zone: r.text()}
 	for range r.count(maxServers) {
 		server := Server{Name: r.text()}
-		for _, figure := range serverFields(&server.ServerSnapshot) {
-			*figure = r.f64()
+		for _, value := range serverFields(&server.ServerSnapshot) {
+			*value = r.f64()
 		}
 		if s.Servers = append(s.Servers, server); r.failed {
 			break
 		}
 	}
-	for _, figure := range globalFields(&s.Global) {
-		*figure = r.f64()
+	for _, value := range globalFields(&s.Global) {
+		*value = r.f64()
 	}
 	for range r.count(maxKeys) {
 		key := fleet.KeyCount{Bucket: int32(r.u32()), Count: r.f64()}
@@ -112,7 +113,7 @@
 		}
 	}
 	if r.failed || len(r.buf) > 0 {
-		return nil, fmt.Errorf("%w: its parts do not add up to its length", ErrCorrupt)
+		return nil, fmt.Errorf("%w: body length does not match its contents", ErrCorrupt)
 	}
 	return s, s.validate()
 }
@@ -123,14 +124,14 @@
 	case len(b) < headerLen || [4]byte(b[:len(magic)]) != magic:
 		return nil, fmt.Errorf("%w: not a snapshot file", ErrCorrupt)
 	case len(b) > MaxBytes:
-		return nil, fmt.Errorf("%w: over %d bytes", ErrCorrupt, MaxBytes)
+		return nil, fmt.Errorf("%w: longer than %d bytes", ErrCorrupt, MaxBytes)
 	}
 	body = b[headerLen:]
 	if v := binary.LittleEndian.Uint32(b[versionOffset:]); v != Version {
 		return nil, fmt.Errorf("%w: %d, this program writes %d", ErrVersion, v, Version)
 	}
 	if n := binary.LittleEndian.Uint64(b[lengthOffset:]); n != uint64(len(body)) {
-		return nil, fmt.Errorf("%w: %d bytes where the header has %d", ErrCorrupt, len(body), n)
+		return nil, fmt.Errorf("%w: body of %d bytes, the header says %d", ErrCorrupt, len(body), n)
 	}
 	if checksum(b[:checksumOffset], body) != binary.LittleEndian.Uint64(b[checksumOffset:]) {
 		return nil, fmt.Errorf("%w: checksum mismatch", ErrCorrupt)
@@ -138,24 +139,24 @@
 	return body, nil
 }
 
-// validate refuses figures that no node writes, because a checksum does not protect against a faulty writer.
+// validate refuses numbers that no node writes, because a checksum does not protect against a faulty writer.
 func (s *State) validate() error {
-	figures := append(globalFields(&s.Global), &s.TakenAt)
+	values := append(globalFields(&s.Global), &s.TakenAt)
 	for i := range s.Servers {
-		figures = append(figures, serverFields(&s.Servers[i].ServerSnapshot)...)
+		values = append(values, serverFields(&s.Servers[i].ServerSnapshot)...)
 	}
 	for i := range s.Global.Keys {
-		figures = append(figures, &s.Global.Keys[i].Count)
+		values = append(values, &s.Global.Keys[i].Count)
 	}
-	for _, figure := range figures {
-		if math.IsNaN(*figure) || math.IsInf(*figure, 0) || *figure < 0 || *figure > maxFigure {
-			return fmt.Errorf("%w: a figure of %v", ErrCorrupt, *figure)
+	for _, value := range values {
+		if math.IsNaN(*value) || math.IsInf(*value, 0) || *value < 0 || *value > maxValue {
+			return fmt.Errorf("%w: value %v is out of range", ErrCorrupt, *value)
 		}
 	}
 	return nil
 }
 
-// serverFields are the figures of a server in the order of the binary form.
+// serverFields returns the fields of a server in the order of the binary form.
 func serverFields(s *fleet.ServerSnapshot) []*float64 {
 	return []*float64{
 		&s.StartedAt, &s.ShedArcShare, &s.AdjustmentStep, &s.TimePerQueued, &s.ResponseTime, &s.RequestsAhead,
@@ -163,9 +164,9 @@
 	}
 }
 
-// globalFields are the figures that belong to no single server, in the order of the binary form.
-func globalFields(l *fleet.Snapshot) []*float64 {
-	return []*float64{&l.OriginWindow, &l.OriginResponseTime, &l.Util, &l.ZoneShare, &l.KeySum}
+// globalFields returns the fields that are not specific to a server, in the order of the binary form.
+func globalFields(s *fleet.Snapshot) []*float64 {
+	return []*float64{&s.OriginWindow, &s.OriginResponseTime, &s.Util, &s.ZoneShare, &s.KeySum}
 }
 
 // writer appends little-endian values.
@@ -181,7 +182,8 @@
 	w.buf = append(w.buf, s...)
 }
 
-// reader takes little-endian values off the front of buf. Once one does not fit, failed is set and all that follow are zero.
+// reader decodes little-endian values from the front of buf. When a value exceeds buf or a limit, failed is set, and this value
+// and all later ones are zero.
 type reader struct {
 	buf    []byte
 	failed bool
--- a/internal/state/snapshot/example_test.go
+++ b/internal/state/snapshot/example_test.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	minute = 60_000.0
-	hour   = 60 * minute
+	minuteMs = 60_000.0
+	hourMs   = 60 * minuteMs
 )
 
-// A node stores what it has learned. Half an hour later it starts again, among servers of which one has restarted meanwhile.
+// A node stores a snapshot and starts again half an hour later. One of its two servers has restarted in the meantime.
 func Example() {
-	config := snapshot.Config{HalfLife: hour, MaxAge: 24 * hour, PolicyFingerprint: 7, Node: "node-1", Zone: "north"}
+	config := snapshot.Config{HalfLife: hourMs, MaxAge: 24 * hourMs, PolicyFingerprint: 7, Node: "node-1", Zone: "north"}
 	names := []string{"cache-a", "cache-b"}
 	const takenAt = 1_700_000_000_000.0
 	learned := fleet.Snapshot{
@@ -27,15 +27,15 @@
 
 	read, err := snapshot.Parse(stored)
 	if err != nil {
-		fmt.Println("the node learns anew:", err)
+		fmt.Println("the node starts without a snapshot:", err)
 		return
 	}
 	current := []snapshot.CurrentServer{
 		{Name: "cache-a", StartedAt: 1000, Ready: true},
-		{Name: "cache-b", StartedAt: takenAt + minute, Ready: true},
+		{Name: "cache-b", StartedAt: takenAt + minuteMs, Ready: true},
 	}
-	ids := map[string]fleet.ServerID{"cache-a": 4, "cache-b": 5} // slots of the new process
-	restored, trust := read.Restore(takenAt+hour/2, config, current, ids)
+	ids := map[string]fleet.ServerID{"cache-a": 4, "cache-b": 5} // slots in the new process's server table
+	restored, trust := read.Restore(takenAt+hourMs/2, config, current, ids)
 	for _, s := range restored.Servers {
 		fmt.Printf("server %d: latency %.0f ms, trust %.2f\n", s.ID, s.ResponseTime, s.Trust)
 	}
--- a/internal/state/snapshot/golden_test.go
+++ b/internal/state/snapshot/golden_test.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// TestGolden compares the encoding of fixed states with files that an earlier build wrote, and reads those files back.
+// TestGolden compares the encoding of fixed states with files from an earlier build, and decodes those files.
 func TestGolden(t *testing.T) {
 	for file, want := range map[string]*State{
 		"empty.bin": {},
--- a/internal/state/snapshot/snapshot.go
+++ b/internal/state/snapshot/snapshot.go
@@ -1,8 +1,8 @@
-// Package snapshot holds what a node has learned of its servers, of popular keys and of the origin, so that it can be kept
-// across a restart: the binary form of such a snapshot, and how far a later start may rely on it.
+// Package snapshot represents what a node has learned about its servers, popular keys and the origin, so that it can be kept
+// across a restart. It encodes and decodes snapshots, and computes how far a later start can trust them.
 //
-// The package does no I/O and reads no clock. Times are passed in by the caller, as Unix milliseconds. What the figures
-// mean is the decision module's business, which exports and imports them as plain values of package fleet.
+// The package does no I/O and reads no clock. Callers pass in times as Unix milliseconds. Only the decision module interprets
+// the values; it exports and imports them as plain types of package fleet.
 package snapshot
 
 import (
@@ -14,21 +14,21 @@
 // State is a snapshot of what a node has learned.
 type State struct {
 	TakenAt           float64 // Unix ms
-	PolicyFingerprint uint64  // of the decision module that learned it, and of the deployment it was configured for
+	PolicyFingerprint uint64  // identifies the decision module and the settings under which the state was learned
 	Node              string  // name of the node
 	Zone              string
 	Servers           []Server
-	Global            fleet.Snapshot // what belongs to no single server; its Servers field is unused
+	Global            fleet.Snapshot // state that is not specific to a server; its Servers field is unused
 }
 
-// Server is what was learned of one server, under the name by which the endpoint list has it.
+// Server is what was learned about one server. Name is the server's name in the endpoint list.
 type Server struct {
 	Name string
 	fleet.ServerSnapshot
 }
 
-// New makes a snapshot of what the decision module has exported. Servers are stored under the names that name returns,
-// because a name outlives the server's slot in the node's table.
+// New makes a snapshot of the state that the decision module has exported. Servers are stored by the names that name returns,
+// because a server's id is its slot in the node's server table, which differs from process to process.
 func New(now float64, config Config, learned *fleet.Snapshot, name func(fleet.ServerID) string) *State {
 	s := &State{
 		TakenAt:           now,
@@ -45,8 +45,8 @@
 	return s
 }
 
-// Restore returns what a decision module that starts now among the given servers imports of the snapshot, with the trust
-// that each part deserves. Servers without an id in ids are left out.
+// Restore returns the learned state for a decision module that starts now with the given servers, with the trust in each part.
+// Servers without an id in ids are left out.
 func (s *State) Restore(now float64, config Config, servers []CurrentServer, ids map[string]fleet.ServerID) (fleet.Snapshot, Trust) {
 	trust := s.Assess(now, config, servers)
 	learned := s.Global
--- a/internal/state/snapshot/snapshot_test.go
+++ b/internal/state/snapshot/snapshot_test.go
@@ -62,7 +62,7 @@
 	bad := testState(1)
 	bad.Servers[0].TimePerQueued = math.NaN()
 	if _, err := Parse(Append(nil, bad)); !errors.Is(err, ErrCorrupt) {
-		t.Errorf("NaN as a figure: %v", err)
+		t.Errorf("NaN as a value: %v", err)
 	}
 }
 
@@ -81,7 +81,7 @@
 	}{
 		{"at once", 1000, config, unchanged, 1, 1, 1, ""},
 		{"a half-life ago", 601e3, config, unchanged, 0.5, 0.5, 0.5, ""},
-		{"over the maximal age", 90000e3, config, unchanged, 0, 0, 0, "s old"},
+		{"over the maximum age", 90000e3, config, unchanged, 0, 0, 0, "s old"},
 		{"small clock skew", 500, config, unchanged, 1, 1, 1, ""},
 		{"from the future", -60e3, config, unchanged, 0, 0, 0, "future"},
 		{"one restarted", 1000, config, []CurrentServer{{"s0", 0, true}, {"s1", 9, true}}, 0.5, 0.5, 0, "1 of 2 servers are the same"},
@@ -121,13 +121,13 @@
 				t.Fatal("the limits are exceeded")
 			}
 			if err == nil && len(Append(nil, s)) != len(encoded) {
-				t.Fatal("written again, the snapshot has another length")
+				t.Fatal("re-encoding changes the length of the snapshot")
 			}
 		}
 	})
 }
 
-// withHeader prepends a header that fits, so that Parse goes on into the body.
+// withHeader prepends a valid header, so that Parse decodes the body.
 func withHeader(body []byte) []byte {
 	b := Append(nil, &State{})[:headerLen]
 	binary.LittleEndian.PutUint64(b[lengthOffset:], uint64(len(body)))
--- a/internal/state/snapshot/trust.go
+++ b/internal/state/snapshot/trust.go
@@ -7,11 +7,11 @@
 	"slices"
 )
 
-// Trust is how far a snapshot may be relied on. All values are from 0 (not at all) to 1 (fully).
+// Trust says how far a start can rely on a snapshot. Its values range from 0 (not at all) to 1 (fully).
 type Trust struct {
-	Global  float64            // for what belongs to no single server: popular keys, the origin's window
-	Servers map[string]float64 // by server name; a server that is missing has trust 0
-	Reasons []string           // what reduced the trust, for people
+	Global  float64            // in the state that is not specific to a server, such as popular keys and the origin's window
+	Servers map[string]float64 // by server name; a server that is not listed has trust 0
+	Reasons []string           // what reduced the trust, in words
 }
 
 // TrustedServers returns the names of the servers with any trust, sorted.
@@ -26,16 +26,16 @@
 	return names
 }
 
-// Config is what the trust in a snapshot is computed from.
+// Config identifies a node and its deployment, and says how fast trust in a snapshot declines.
 type Config struct {
-	HalfLife          float64 // ms; trust halves with each
-	MaxAge            float64 // ms; an older snapshot is not trusted
+	HalfLife          float64 // ms in which trust halves
+	MaxAge            float64 // ms; trust in an older snapshot is 0
 	PolicyFingerprint uint64
 	Node              string
 	Zone              string
 }
 
-// CurrentServer is one server as a starting node finds it.
+// CurrentServer is the state of a server when a node starts.
 type CurrentServer struct {
 	Name      string
 	StartedAt float64 // Unix ms
@@ -43,7 +43,7 @@
 }
 
 const (
-	// maxClockSkewShare is how far a snapshot may lie in the future, as a share of the half-life.
+	// maxClockSkewShare limits how far in the future a snapshot may be dated, as a share of the half-life.
 	maxClockSkewShare = 0.01
 	// otherNodeTrust is the factor for a snapshot of another node of the same zone: its traffic was similar, not the same.
 	otherNodeTrust = 0.5
@@ -51,11 +51,11 @@
 	otherZoneTrust = 0.0
 )
 
-// Assess computes how far a node that starts now among the given servers may rely on the snapshot. A server that has
-// restarted since is not trusted, and the more of the fleet has changed, the less the global part is.
+// Assess computes the trust in the snapshot for a node that starts now with the given servers. The state of a server that has
+// restarted since gets none, and trust in the rest declines with the share of servers that have changed.
 func (s *State) Assess(now float64, config Config, servers []CurrentServer) Trust {
 	result := Trust{Servers: map[string]float64{}}
-	if reason := s.unusable(now, config); reason != "" {
+	if reason := s.unusableReason(now, config); reason != "" {
 		result.Reasons = append(result.Reasons, reason)
 		return result
 	}
@@ -80,8 +80,8 @@
 	return result
 }
 
-// unusable returns why nothing of the snapshot can be relied on, or an empty string.
-func (s *State) unusable(now float64, config Config) string {
+// unusableReason returns why the whole snapshot cannot be trusted, or an empty string if it can.
+func (s *State) unusableReason(now float64, config Config) string {
 	age := now - s.TakenAt
 	switch {
 	case s.PolicyFingerprint != config.PolicyFingerprint:
@@ -89,13 +89,13 @@
 	case age < -maxClockSkewShare*config.HalfLife:
 		return fmt.Sprintf("it is from the future by %.0f s: a clock is wrong", -age/1000)
 	case age > config.MaxAge:
-		return fmt.Sprintf("it is %.0f s old, over %.0f", age/1000, config.MaxAge/1000)
+		return fmt.Sprintf("it is %.0f s old, over the maximum of %.0f s", age/1000, config.MaxAge/1000)
 	}
 	return ""
 }
 
-// unchangedServers returns the names of the ready servers whose process is the one of the snapshot, and how many servers
-// are ready.
+// unchangedServers returns the names of the ready servers that have not restarted since the snapshot, and the number of ready
+// servers.
 func (s *State) unchangedServers(servers []CurrentServer) (unchanged []string, ready int) {
 	startedAt := make(map[string]float64, len(s.Servers))
 	for i := range s.Servers {
--- a/internal/state/snapshotfile/filesystem.go
+++ b/internal/state/snapshotfile/filesystem.go
@@ -5,18 +5,19 @@
 	"path/filepath"
 )
 
-// FileSystem is the steps of a write in one directory. Tests stop after any of them, and simulate slow disks.
+// FileSystem provides the file operations of a Store in one directory. Tests use it to stop a write after any operation and to
+// simulate slow disks.
 type FileSystem interface {
 	// WriteFile creates or truncates the file, and writes to it.
 	WriteFile(name string, b []byte) error
-	// SyncFile returns once what was written to the file is on the disk.
+	// SyncFile returns once the contents of the file are on the disk.
 	SyncFile(name string) error
 	Rename(from, to string) error
-	// SyncDir returns once the names of the files are on the disk.
+	// SyncDir returns once the directory's entries are on the disk.
 	SyncDir() error
 }
 
-// DirFileSystem returns the steps on a directory of the operating system.
+// DirFileSystem returns the FileSystem of a directory of the operating system.
 func DirFileSystem(dir string) FileSystem { return dirFileSystem(dir) }
 
 type dirFileSystem string
@@ -38,6 +39,6 @@
 	if err != nil {
 		return err
 	}
-	defer f.Close() //nolint:errcheck // all was synced before, or the sync has failed
+	defer f.Close() //nolint:errcheck // the contents were synced, or Sync has returned an error
 	return f.Sync()
 }
--- a/internal/state/snapshotfile/filesystem_test.go
+++ b/internal/state/snapshotfile/filesystem_test.go
@@ -11,18 +11,19 @@
 
 var errKilled = errors.New("killed")
 
-// crashingFileSystem does some steps of a write and then no more, and half of the last one.
+// crashingFileSystem fails all operations from the given one on, as if the process had been killed during it. A WriteFile that is
+// interrupted writes half of the contents.
 type crashingFileSystem struct {
 	dirFileSystem
-	stepsLeft int
+	stepsLeft int // operations until the kill, including the one that it interrupts
 }
 
-func (d *crashingFileSystem) step(do, half func() error) error {
+func (d *crashingFileSystem) step(complete, partial func() error) error {
 	if d.stepsLeft--; d.stepsLeft > 0 {
-		return do()
+		return complete()
 	}
-	if d.stepsLeft == 0 && half != nil {
-		_ = half() // the process is killed either way
+	if d.stepsLeft == 0 && partial != nil {
+		_ = partial() // the operation fails in any case
 	}
 	return errKilled
 }
@@ -44,13 +45,13 @@
 	return d.step(func() error { return d.dirFileSystem.Rename(from, to) }, nil)
 }
 
-// slowFileSystem is a disk with slow syncs, which knows what survives a loss of power.
+// slowFileSystem simulates a disk with slow syncs, and records which files would survive a power loss.
 type slowFileSystem struct {
 	dirFileSystem
 	syncDuration time.Duration
 
-	mu      sync.Mutex // guards durable, and the files
-	durable map[string]bool
+	mu      sync.Mutex      // guards durable and the files
+	durable map[string]bool // by file name; true: synced since it was last written
 }
 
 func (d *slowFileSystem) WriteFile(name string, b []byte) error {
@@ -80,7 +81,7 @@
 	return d.dirFileSystem.Rename(from, to)
 }
 
-// afterPowerLoss returns a copy of the directory after a loss of power: files that are not durable are truncated.
+// afterPowerLoss returns a copy of the directory as a power loss would leave it: files that are not durable are truncated.
 func (d *slowFileSystem) afterPowerLoss(t *testing.T) string {
 	t.Helper()
 	to := t.TempDir()
@@ -101,7 +102,7 @@
 	return to
 }
 
-// stuckFileSystem is a disk that hangs until release is closed.
+// stuckFileSystem simulates a disk that hangs in WriteFile until release is closed.
 type stuckFileSystem struct {
 	dirFileSystem
 	release chan struct{}
--- a/internal/state/snapshotfile/golden_test.go
+++ b/internal/state/snapshotfile/golden_test.go
@@ -10,8 +10,8 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// TestGolden compares the files of a directory after two writes and a final one with those that an earlier build left, and
-// loads the earlier build's directory.
+// TestGolden compares the files of a directory after two writes and a final one with those that an earlier build wrote, and loads
+// the directory of the earlier build.
 func TestGolden(t *testing.T) {
 	golden := filepath.Join("testdata", "golden")
 	dir := t.TempDir()
@@ -19,8 +19,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for at := 1.0; at <= 2; at++ {
-		if err := store.Save(encodedState(at)); err != nil {
+	for takenAt := 1.0; takenAt <= 2; takenAt++ {
+		if err := store.Save(encodedState(takenAt)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -40,9 +40,9 @@
 		if got[i].Name() != e.Name() {
 			t.Errorf("file %s, want %s", got[i].Name(), e.Name())
 		}
-		a := goldentest.Read(t, e.Name())
-		if b, err := os.ReadFile(filepath.Join(dir, e.Name())); err != nil || !bytes.Equal(a, b) {
-			t.Errorf("%s: written as %x, want %x, %v", e.Name(), b, a, err)
+		wantContents := goldentest.Read(t, e.Name())
+		if gotContents, err := os.ReadFile(filepath.Join(dir, e.Name())); err != nil || !bytes.Equal(wantContents, gotContents) {
+			t.Errorf("%s: written as %x, want %x, %v", e.Name(), gotContents, wantContents, err)
 		}
 	}
 	if s, err := Load(golden); err != nil || s.TakenAt != 3 || len(s.Servers) != 1 || s.Servers[0].Name != "s" || s.Servers[0].TimePerQueued != 3 {
--- a/internal/state/snapshotfile/load.go
+++ b/internal/state/snapshotfile/load.go
@@ -11,8 +11,8 @@
 	"mintspring/internal/state/snapshot"
 )
 
-// Load reads the newest file of the directory that can be read. Where there is none it returns nil and no error. The error
-// says what is wrong with the files that were passed over, also when an older one could be read. Load takes no lock.
+// Load returns the newest snapshot in the directory that can be read, or nil. The error covers the files that exist and cannot be
+// read, also if an older one could be. In a directory without files, the snapshot and the error are nil. Load takes no lock.
 func Load(dir string) (*snapshot.State, error) {
 	var unreadable []error
 	for _, name := range []string{currentName, previousName} {
@@ -27,14 +27,14 @@
 	return nil, errors.Join(unreadable...)
 }
 
-// ReadFile reads one file.
+// ReadFile reads the snapshot in a file.
 func ReadFile(name string) (*snapshot.State, error) {
 	f, err := os.Open(name)
 	if err != nil {
 		return nil, err
 	}
-	defer f.Close()                                              //nolint:errcheck // it was only read
-	b, err := io.ReadAll(io.LimitReader(f, snapshot.MaxBytes+1)) // one byte more, so that Parse sees that it is too long
+	defer f.Close()                                              //nolint:errcheck // nothing was written
+	b, err := io.ReadAll(io.LimitReader(f, snapshot.MaxBytes+1)) // one byte more, so that Parse detects a file over the limit
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", name, err)
 	}
--- a/internal/state/snapshotfile/store.go
+++ b/internal/state/snapshotfile/store.go
@@ -1,5 +1,5 @@
-// Package snapshotfile keeps the snapshot of what a node has learned in a directory that outlives the node. A reader never
-// sees a file half written, the previous file stays beside the current one, and one process at a time writes.
+// Package snapshotfile stores snapshots of what a node has learned in a directory that outlives the node. Readers never see a
+// partially written file, the previous file is kept beside the current one, and only one process at a time writes.
 package snapshotfile
 
 import (
@@ -28,24 +28,24 @@
 	fsys     FileSystem
 	lockFile *os.File
 
-	// mu guards the fields below, the file names and the content of files that are not synced yet. It is never held over
+	// mu guards the fields below, the file names and the contents of files that are not synced yet. It is never held during
 	// a sync, which takes seconds on some disks.
 	mu            sync.Mutex
-	finalWritten  bool // the final write is in place; nothing older may follow it
-	currentSynced bool // the current file is on the disk, as far as this process has put it there
+	finalWritten  bool // the final snapshot is the current file; no older one may replace it
+	currentSynced bool // this process synced the current file before it installed the file
 }
 
 var (
 	// ErrLocked says that another process writes to the directory.
 	ErrLocked = errors.New("another process uses the snapshot directory")
-	// ErrFinalWritten says that the final write came before this one was in place.
+	// ErrFinalWritten says that the final snapshot was installed before this one could be.
 	ErrFinalWritten = errors.New("the final snapshot has been written")
 )
 
-// Open locks a directory for this process, and makes it if it does not exist.
+// Open locks a directory for this process, and creates it if it does not exist.
 func Open(dir string) (*Store, error) { return OpenWith(dir, DirFileSystem(dir)) }
 
-// OpenWith is Open with another implementation of the steps of a write.
+// OpenWith is like Open, but with another implementation of the file operations.
 func OpenWith(dir string, fsys FileSystem) (*Store, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("opening the snapshot directory: %w", err)
@@ -66,8 +66,8 @@
 	_ = s.lockFile.Close() // the lock ends with the descriptor, and nothing was written to the file
 }
 
-// Save writes a snapshot to a temporary file, syncs it and puts it in place of the current one, which becomes the previous
-// one. Wherever that stops, a reader finds the new snapshot, or the current or the previous one as they were.
+// Save writes a snapshot to a temporary file, syncs it and makes it the current file. The current file becomes the previous one.
+// If the process dies at any step, a reader finds the new snapshot, or the current or the previous one unchanged.
 func (s *Store) Save(b []byte) error {
 	if err := s.writeFile(tempName, b); err != nil {
 		return err
@@ -81,40 +81,40 @@
 	return s.syncDir()
 }
 
-// Durability is how far a final write has come.
+// Durability says what a final write survives.
 type Durability uint8
 
 const (
-	// NotWritten means that nothing of it can be read.
+	// NotWritten means that no process can read the final snapshot.
 	NotWritten Durability = iota
-	// Written means that whoever opens the directory next reads it; a loss of power may still lose it.
+	// Written means that the next process can read the final snapshot, but a power loss may still lose it.
 	Written
-	// Synced means that it is on the disk.
+	// Synced means that the final snapshot is on the disk and survives a power loss.
 	Synced
 )
 
-// progress is a step of a final write, or the error that ended it.
+// progress reports the durability that a final write has reached, and the error if one ended it.
 type progress struct {
 	reached Durability
 	err     error
 }
 
-// SaveFinal writes the last snapshot of this process, and returns how far that came within the timeout.
+// SaveFinal writes the last snapshot of this process, and returns the durability that it has reached within the timeout.
 //
-// The file can be read at once and outlives the process; it is synced only after that, and it does not wait for a Save that
-// is under way. A process that stops has a fixed time, and on a slow disk the two syncs of Save, behind those of another
-// Save, take longer. Should the machine lose its power before the sync has ended, the checksum fails and the previous file
-// is read, which is never one that was not synced.
+// SaveFinal installs the file first and syncs it afterwards, and does not wait for a Save in progress. The time in which a
+// process has to stop is fixed, and on a slow disk the two syncs of a Save, after those of another Save, take longer. Once the
+// file is installed, the next process can read it. After a power loss before the sync, its checksum may fail; Load then reads the
+// previous file, which is always a synced one.
 func (s *Store) SaveFinal(b []byte, timeout time.Duration) (Durability, error) {
-	steps := make(chan progress, 2) // room for all, so that the goroutine ends whether or not anybody still receives
-	go s.saveFinal(b, steps)        // a disk that hangs blocks this goroutine until the process ends
+	updates := make(chan progress, 2) // has room for all updates, so that the goroutine ends after a timeout, too
+	go s.saveFinal(b, updates)        // a disk that hangs blocks this goroutine until the process ends
 	expired := time.After(timeout)
 	reached := NotWritten
 	for {
 		select {
-		case step := <-steps:
-			if reached = step.reached; step.err != nil || reached == Synced {
-				return reached, step.err
+		case update := <-updates:
+			if reached = update.reached; update.err != nil || reached == Synced {
+				return reached, update.err
 			}
 		case <-expired:
 			return reached, nil
@@ -122,24 +122,24 @@
 	}
 }
 
-func (s *Store) saveFinal(b []byte, steps chan<- progress) {
+func (s *Store) saveFinal(b []byte, updates chan<- progress) {
 	err := s.writeFile(finalName, b)
 	if err == nil {
 		err = s.install(finalName, false)
 	}
 	if err != nil {
-		steps <- progress{NotWritten, err}
+		updates <- progress{NotWritten, err}
 		return
 	}
-	steps <- progress{Written, nil}
+	updates <- progress{Written, nil}
 	if err := errors.Join(s.fsys.SyncFile(currentName), s.syncDir()); err != nil {
-		steps <- progress{Written, err}
+		updates <- progress{Written, err}
 		return
 	}
-	steps <- progress{Synced, nil}
+	updates <- progress{Synced, nil}
 }
 
-// writeFile writes a file that is not in place yet.
+// writeFile writes a file that is not installed yet.
 func (s *Store) writeFile(name string, b []byte) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// install renames a file to the current one. The current one becomes the previous only if it is known to be on the disk:
-// otherwise a loss of power could corrupt both. A write that was slower than the final one is not put in its place.
+// install makes the named file the current one. The current file becomes the previous one only if it is known to be synced:
+// otherwise a power loss could corrupt both. A Save that finishes after the final write does not replace the final snapshot.
 func (s *Store) install(name string, synced bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/state/snapshotfile/store_test.go
+++ b/internal/state/snapshotfile/store_test.go
@@ -15,14 +15,15 @@
 	"mintspring/internal/state/snapshot"
 )
 
-func encodedState(at float64) []byte {
-	return snapshot.Append(nil, &snapshot.State{TakenAt: at, Node: "n", Servers: []snapshot.Server{{Name: "s", ServerSnapshot: fleet.ServerSnapshot{TimePerQueued: 3}}}})
+func encodedState(takenAt float64) []byte {
+	return snapshot.Append(nil, &snapshot.State{TakenAt: takenAt, Node: "n", Servers: []snapshot.Server{{Name: "s", ServerSnapshot: fleet.ServerSnapshot{TimePerQueued: 3}}}})
 }
 
-// syncedStore is a store whose current file is known to be on the disk.
+// syncedStore returns a store that treats the current file as synced.
 func syncedStore(fsys FileSystem) *Store { return &Store{fsys: fsys, currentSynced: true} }
 
-// writerDirEnv makes the test's program write one snapshot after another to the directory that it names, until it is killed.
+// writerDirEnv is the environment variable with the directory to which the test binary writes snapshots until it is killed. If it
+// is not set, the binary runs the tests.
 const writerDirEnv = "MINTSPRING_TEST_WRITES_TO"
 
 func TestMain(m *testing.M) {
@@ -31,14 +32,14 @@
 		os.Exit(m.Run())
 	}
 	store, err := Open(dir)
-	for at := 1.0; err == nil; at++ {
-		err = store.Save(encodedState(at))
+	for takenAt := 1.0; err == nil; takenAt++ {
+		err = store.Save(encodedState(takenAt))
 	}
 	fmt.Fprintln(os.Stderr, err)
 	os.Exit(1)
 }
 
-// TestSIGKILL: a process that is killed at any moment of its writing leaves a complete snapshot, and unlocks the directory.
+// TestSIGKILL: a process that is killed at any moment of a write leaves a complete snapshot, and the directory is unlocked.
 func TestSIGKILL(t *testing.T) {
 	dir, rng := t.TempDir(), rand.New(rand.NewPCG(1, 2))
 	for range 12 {
@@ -47,7 +48,7 @@
 		if err := c.Start(); err != nil {
 			t.Fatal(err)
 		}
-		for end := time.Now().Add(5 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
+		for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
 			if s, err := Load(dir); s != nil && err == nil {
 				break
 			}
@@ -56,14 +57,14 @@
 		if err := c.Process.Kill(); err != nil {
 			t.Fatal(err)
 		}
-		_ = c.Wait() // the error says that it was killed
+		_ = c.Wait() // the error reports the kill
 		if s, err := Load(dir); err != nil || s == nil || s.Servers[0].TimePerQueued != 3 {
 			t.Fatalf("after a kill the snapshot is %+v, %v", s, err)
 		}
 	}
 }
 
-// TestKilledAtEveryStep: wherever a write is killed, a reader finds the snapshot before it or the new one, complete.
+// TestKilledAtEveryStep: after a kill at any step of a write, a reader finds the previous snapshot or the new one, complete.
 func TestKilledAtEveryStep(t *testing.T) {
 	for steps := 1; steps <= 7; steps++ {
 		dir := t.TempDir()
@@ -74,10 +75,10 @@
 			t.Fatal(err)
 		}
 		err := syncedStore(&crashingFileSystem{dirFileSystem(dir), steps}).Save(encodedState(3))
-		s, wrong := Load(dir)
+		s, loadErr := Load(dir)
 		switch {
-		case s == nil || wrong != nil:
-			t.Errorf("killed at step %d: %v, %v", steps, s, wrong)
+		case s == nil || loadErr != nil:
+			t.Errorf("killed at step %d: %v, %v", steps, s, loadErr)
 		case err == nil && s.TakenAt != 3, err != nil && s.TakenAt != 2 && s.TakenAt != 3:
 			t.Errorf("killed at step %d (%v) the snapshot is that of %v", steps, err, s.TakenAt)
 		}
@@ -90,7 +91,7 @@
 	}
 }
 
-// TestFallsBack: in place of a current file that is truncated, corrupt or of another version, the previous one is loaded.
+// TestFallsBack: if the current file is truncated, corrupt, too long or of another version, the previous one is loaded.
 func TestFallsBack(t *testing.T) {
 	for name, corrupt := range map[string]func([]byte) []byte{
 		"truncated":       func(b []byte) []byte { return b[:len(b)/2] },
@@ -124,7 +125,7 @@
 	}
 }
 
-// TestLock: one process at a time writes to the directory. What cannot be written is an error of one line.
+// TestLock: only one process at a time can open the directory. A failed write is an error of one line.
 func TestLock(t *testing.T) {
 	dir := filepath.Join(t.TempDir(), "made", "here")
 	store, err := Open(dir)
@@ -144,21 +145,21 @@
 		t.Errorf("a directory that is gone: %v", err)
 	}
 	store.Close()
-	again, err := Open(dir)
+	second, err := Open(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again.Close()
+	second.Close()
 	file := filepath.Join(t.TempDir(), "file")
 	if err := os.WriteFile(file, nil, 0o644); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(filepath.Join(file, "in")); err == nil {
-		t.Error("a file is taken for a directory")
+		t.Error("a directory below a file was opened")
 	}
 }
 
-// BenchmarkSave is one Save of a thousand servers, synced.
+// BenchmarkSave measures a Save, with its syncs, of a snapshot of 1000 servers.
 func BenchmarkSave(b *testing.B) {
 	s := &snapshot.State{TakenAt: 1}
 	for i := range 1000 {
@@ -166,10 +167,10 @@
 	}
 	d := dirFileSystem(b.TempDir())
 	for b.Loop() {
-		text := snapshot.Append(nil, s)
-		if err := syncedStore(d).Save(text); err != nil {
+		encoded := snapshot.Append(nil, s)
+		if err := syncedStore(d).Save(encoded); err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(float64(len(text)), "bytes")
+		b.ReportMetric(float64(len(encoded)), "bytes")
 	}
 }
