--- a/cmd/mintspring-bench/aliases.go
+++ b/cmd/mintspring-bench/aliases.go
@@ -4,7 +4,7 @@
 
 // aliases are the old words of the command line that are still accepted.
 var aliases = commandalias.Table{
-	Commands: commandalias.Names{
+	Commands: commandalias.Renames{
 		"ask":     "request",
 		"copies":  "idempotency",
 		"dynamic": "check-dynamic",
@@ -21,10 +21,10 @@
 		"seller":  "idempotency-process",
 		"traced":  "trace-syscalls",
 	},
-	Subcommands: map[string]commandalias.Names{
+	Subcommands: map[string]commandalias.Renames{
 		"trace-syscalls": {"refuse": "deny"}, // its mode
 	},
-	Flags: map[string]commandalias.Names{
+	Flags: map[string]commandalias.Renames{
 		"adjustments": {"--for": "--duration"},
 		"duplicates":  {"--late": "--delays", "--length": "--duration"},
 		"gossip":      {"--for": "--duration", "--lies": "--false-evidence"},
@@ -41,7 +41,7 @@
 		"simulate": {"--boxes": "--servers"},
 		"sweep":    {"--hold": "--step-duration"},
 	},
-	Values: map[string]map[string]commandalias.Names{
+	Values: map[string]map[string]commandalias.Renames{
 		"run":      {"--trace-syscalls": {"refuse": "deny"}},
 		"simulate": {"--against": {oldOracleName: oracleName}},
 		"sweep":    {"--against": {oldOracleName: oracleName}},
--- a/cmd/mintspring-bench/aliases_test.go
+++ b/cmd/mintspring-bench/aliases_test.go
@@ -73,7 +73,7 @@
 }
 
 // checkTargets checks that the present names of a table exist and that its old ones do not.
-func checkTargets(t *testing.T, what string, names commandalias.Names, existing []string) {
+func checkTargets(t *testing.T, what string, names commandalias.Renames, existing []string) {
 	t.Helper()
 	for old, present := range names {
 		if !slices.Contains(existing, present) {
--- a/cmd/mintspring/aliases.go
+++ b/cmd/mintspring/aliases.go
@@ -4,18 +4,18 @@
 
 // aliases are the old words that are still accepted.
 var aliases = commandalias.Table{
-	Commands: commandalias.Names{
+	Commands: commandalias.Renames{
 		"book":    "idempotency",
 		"council": "consensus",
 		"roll":    "rolling-restart",
 		"state":   "snapshot",
 	},
-	Subcommands: map[string]commandalias.Names{
+	Subcommands: map[string]commandalias.Renames{
 		"consensus":       {"drop": "remove", "found": "init", "take-in": "rejoin"},
 		"idempotency":     {"found": "init"},
 		"rolling-restart": {"go-on": "resume"},
 	},
-	Flags: map[string]commandalias.Names{
+	Flags: map[string]commandalias.Renames{
 		"rolling-restart": {"--most": "--max-unavailable"},
 	},
 }
--- a/internal/commandalias/commandalias.go
+++ b/internal/commandalias/commandalias.go
@@ -9,15 +9,15 @@
 	"strings"
 )
 
-// Names maps old names to present ones.
-type Names map[string]string
+// Renames maps old names to present ones.
+type Renames map[string]string
 
 // Table lists the names that were changed. Commands and flags as keys are given by their present names, flags with their dashes.
 type Table struct {
-	Commands    Names
-	Subcommands map[string]Names            // by command
-	Flags       map[string]Names            // by command
-	Values      map[string]map[string]Names // values of flags, which may be comma-separated lists, by command and flag
+	Commands    Renames
+	Subcommands map[string]Renames            // by command
+	Flags       map[string]Renames            // by command
+	Values      map[string]map[string]Renames // values of flags, which may be comma-separated lists, by command and flag
 }
 
 // Replacement is an old name that a command line has, and its present name.
@@ -58,7 +58,7 @@
 }
 
 // replace replaces argument i if it is an old name.
-func (r *resolver) replace(i int, names Names) {
+func (r *resolver) replace(i int, names Renames) {
 	if name, ok := names[r.args[i]]; ok {
 		r.replaced = append(r.replaced, Replacement{Old: r.args[i], New: name})
 		r.args[i] = name
@@ -66,7 +66,7 @@
 }
 
 // replaceFlag replaces the flag of argument i, which may have a value behind "=", and returns its present name.
-func (r *resolver) replaceFlag(i int, names Names) string {
+func (r *resolver) replaceFlag(i int, names Renames) string {
 	flag, value, hasValue := strings.Cut(r.args[i], "=")
 	name, ok := names[flag]
 	if !ok {
@@ -81,7 +81,7 @@
 }
 
 // replaceValue replaces the value of the flag of argument i, which stands behind "=" or in the next argument.
-func (r *resolver) replaceValue(i int, values Names) {
+func (r *resolver) replaceValue(i int, values Renames) {
 	flag, value, hasValue := strings.Cut(r.args[i], "=")
 	switch {
 	case len(values) == 0:
@@ -93,7 +93,7 @@
 }
 
 // replaceList replaces the old names in a comma-separated list.
-func (r *resolver) replaceList(list string, names Names) string {
+func (r *resolver) replaceList(list string, names Renames) string {
 	elements := strings.Split(list, ",")
 	for i, old := range elements {
 		if name, ok := names[old]; ok {
--- a/internal/commandalias/commandalias_test.go
+++ b/internal/commandalias/commandalias_test.go
@@ -10,10 +10,10 @@
 // testTable has a name of each kind that was changed.
 func testTable() *Table {
 	return &Table{
-		Commands:    Names{"old": "new"},
-		Subcommands: map[string]Names{"new": {"found": "init"}},
-		Flags:       map[string]Names{"new": {"--most": "--limit"}},
-		Values:      map[string]map[string]Names{"new": {"--limit": {"few": "2"}}},
+		Commands:    Renames{"old": "new"},
+		Subcommands: map[string]Renames{"new": {"found": "init"}},
+		Flags:       map[string]Renames{"new": {"--most": "--limit"}},
+		Values:      map[string]map[string]Renames{"new": {"--limit": {"few": "2"}}},
 	}
 }
 
