--- a/cmd/mintspring/adminclient.go
+++ b/cmd/mintspring/adminclient.go
@@ -17,13 +17,13 @@
 	adminCallTimeout = 2 * time.Second
 )
 
-// refusalError is a reply with which a node refuses a call.
+// refusalError is the error of a call that a node has refused.
 type refusalError struct{ Addr, Reply string }
 
 // Error returns the address and the reply.
 func (e *refusalError) Error() string { return fmt.Sprintf("%s replies %q", e.Addr, e.Reply) }
 
-// callAdmin makes one call on a node's admin port, and returns the reply behind OK. Any other reply is a *refusalError.
+// callAdmin makes one call on a node's admin port and returns the text of the reply after OK. A reply without OK gives a *refusalError.
 func callAdmin(addr, line string) (string, error) {
 	conn, err := net.DialTimeout("tcp", addr, adminDialTimeout)
 	if err != nil {
@@ -57,7 +57,7 @@
 	return err
 }
 
-// callAndShow makes a call whose reply is JSON, and prints that or passes it to show.
+// callAndShow makes a call whose reply is JSON. It prints the reply unchanged if asJSON is set; otherwise it decodes it for show.
 func callAndShow[T any](addr, line string, asJSON bool, show func(*T) error) error {
 	text, err := callAdmin(addr, line)
 	if err != nil {
--- a/cmd/mintspring/aliases.go
+++ b/cmd/mintspring/aliases.go
@@ -2,7 +2,7 @@
 
 import "mintspring/internal/commandalias"
 
-// aliases are the old words that are still accepted.
+// aliases are the deprecated names of commands and flags that are still accepted.
 var aliases = commandalias.Table{
 	Commands: commandalias.Renames{
 		"book":    "idempotency",
--- a/cmd/mintspring/consensus.go
+++ b/cmd/mintspring/consensus.go
@@ -20,8 +20,8 @@
 	Operator string `help:"The operator's file with the section [consensus]." required:"" placeholder:"FILE"`
 }
 
-// Run makes the directory. A member that has lost its directory must not be initialized as who it was: it would vote as if it
-// had promised nothing.
+// Run makes the directory. A member that has lost its directory must not be initialized again in the same generation: it would have
+// forgotten its votes and could vote twice in one term.
 func (c *consensusInitCmd) Run() error {
 	operator, err := readOperatorFile(c.Operator, os.Stderr)
 	if err != nil {
@@ -29,7 +29,7 @@
 	}
 	section := operator.Consensus
 	if section == nil || section.MemberNumber == 0 {
-		return fmt.Errorf("%s: consensus.member: this node is no member", c.Operator)
+		return fmt.Errorf("%s: consensus.member: this node is not a member", c.Operator)
 	}
 	identity := storage.Identity{Group: section.Name, ReplicaNumber: uint64(section.MemberNumber), Generation: section.Generation}
 	if err := storage.Create(section.DataDir, identity); err != nil {
@@ -47,7 +47,7 @@
 
 // Run calls a node's admin port.
 func (c *rejoinReplicaCmd) Run() error {
-	return callChange(c.Address, admin.ChangeRejoin, c.Member, c.Generation)
+	return callMembershipChange(c.Address, admin.ChangeRejoin, c.Member, c.Generation)
 }
 
 type addReplicaCmd struct {
@@ -58,7 +58,7 @@
 
 // Run calls a node's admin port.
 func (c *addReplicaCmd) Run() error {
-	return callChange(c.Address, admin.ChangeAdd, c.Member, c.Generation)
+	return callMembershipChange(c.Address, admin.ChangeAdd, c.Member, c.Generation)
 }
 
 type removeReplicaCmd struct {
@@ -68,11 +68,12 @@
 
 // Run calls a node's admin port.
 func (c *removeReplicaCmd) Run() error {
-	return callChange(c.Address, admin.ChangeRemove, c.Member)
+	return callMembershipChange(c.Address, admin.ChangeRemove, c.Member)
 }
 
-// callChange calls a node's admin port for a change of the group, with the member's number and, if given, its generation.
-func callChange(addr, change string, numbers ...int) error {
+// callMembershipChange requests a membership change on a node's admin port. The numbers are the member's and, for some changes, that of its
+// generation.
+func callMembershipChange(addr, change string, numbers ...int) error {
 	line := admin.MembershipPrefix + change
 	for _, n := range numbers {
 		line += " " + strconv.Itoa(n)
--- a/cmd/mintspring/files.go
+++ b/cmd/mintspring/files.go
@@ -10,24 +10,24 @@
 	"mintspring/internal/config/platform"
 )
 
-// configVariable names the platform's configuration file.
-const configVariable = "LB_CONFIG"
+// configEnv is the environment variable with the path of the platform's configuration file.
+const configEnv = "LB_CONFIG"
 
-// fileFlags are the files that a node is started with.
+// fileFlags are the flags for the two files that configure a node.
 type fileFlags struct {
 	Config   string `help:"The platform's configuration; by default the file that LB_CONFIG names." placeholder:"FILE"`
 	Operator string `help:"The operator's file; without one everything in it is off." placeholder:"FILE"`
 }
 
-// getenv returns a variable of the environment; the flag for the configuration takes precedence over its variable.
+// getenv returns the value of an environment variable. The flag --config takes precedence over LB_CONFIG.
 func (f fileFlags) getenv(name string) string {
-	if name == configVariable && f.Config != "" {
+	if name == configEnv && f.Config != "" {
 		return f.Config
 	}
 	return os.Getenv(name)
 }
 
-// readOperatorFile reads the operator's file for a command other than run, and warns of old names in it.
+// readOperatorFile reads the operator's file for a command other than run, and prints a warning for each deprecated name in it.
 func readOperatorFile(name string, warnings io.Writer) (*operatorfile.File, error) {
 	operator, err := operatorfile.Read(name)
 	if err != nil {
@@ -40,7 +40,7 @@
 
 type checkCmd struct{ fileFlags }
 
-// Run prints every fault of the files, or what would be on.
+// Run prints every error in the files, or a summary of the configuration.
 func (c *checkCmd) Run() error { return checkFiles(c.fileFlags, os.Stdout) }
 
 func checkFiles(f fileFlags, out io.Writer) error {
--- a/cmd/mintspring/idempotency.go
+++ b/cmd/mintspring/idempotency.go
@@ -32,7 +32,7 @@
 	return callAndShow(c.Address, admin.CallIdempotency, c.JSON, func(s *replica.Status) error { return printIdempotency(s, os.Stdout) })
 }
 
-// recordStates are the states of a record in a status, and what they are called.
+// recordStates has the keys of the record states in a status, and their printed names.
 var recordStates = []struct{ key, name string }{
 	{"out", "in flight"}, {"open", "indeterminate"}, {"done", "completed"}, {"free", "unclaimed"},
 }
@@ -50,7 +50,7 @@
 		c.Claims[idempotency.DecisionUnknown], c.Claims[idempotency.DecisionNoQuorum], c.Settlements, c.FailedSettlements)
 	p.Printf("  now %d granted claims, %d open proposals, %d pending repairs; repaired %d; received %d messages, %d corrupt, %d of other replica sets\n",
 		s.GrantedClaims, s.OpenProposals, s.PendingRepairs, c.RepairedRecords, c.ReceivedMessages, c.CorruptDatagrams, c.ForeignReplicaSets)
-	p.Printf("  %s", consistency(s))
+	p.Printf("  %s", describeConsistency(s))
 	separator := "; not reached at the last comparison:"
 	for _, member := range s.UnresponsivePeers {
 		p.Printf("%s %d", separator, member+1)
@@ -63,8 +63,8 @@
 	return p.Err()
 }
 
-// consistency says for how long a replica has held all that the other replicas have of its records.
-func consistency(s *replica.Status) string {
+// describeConsistency says for how long a replica has been consistent with the other replicas of its records.
+func describeConsistency(s *replica.Status) string {
 	if s.ConsistentMs < 0 {
 		return "not compared with the other replicas yet, or not consistent at the last comparison"
 	}
@@ -91,19 +91,19 @@
 		number = c.Member
 	}
 	if number < 1 || number > len(section.Members) || !section.IsReplica(number) {
-		return fmt.Errorf("%s: idempotency.member: this node is no replica, or its number is left out and --member is too", c.Operator)
+		return fmt.Errorf("%s: idempotency.member: this node is not a replica, or neither the file nor --member gives its number", c.Operator)
 	}
 	owner := storage.Owner{Group: section.Name, Member: idempotency.MemberID(number - 1)}
-	if err := storage.Create(section.DataDir, owner, newIncarnation()); err != nil {
+	if err := storage.Create(section.DataDir, owner, newStorageIncarnation()); err != nil {
 		return err
 	}
 	fmt.Printf("member %d of %s is initialized in %s\n", number, section.Name, section.DataDir)
 	return nil
 }
 
-// newIncarnation returns the number of a data directory that is made now.
-func newIncarnation() idempotency.StorageIncarnation {
-	return cluster.NewIncarnation(float64(time.Now().UnixMilli()), 0.5) //nolint:forbidigo // one that is too small is replaced when it is noticed
+// newStorageIncarnation returns an incarnation for a data directory that is created now.
+func newStorageIncarnation() idempotency.StorageIncarnation {
+	return cluster.NewIncarnation(float64(time.Now().UnixMilli()), 0.5) //nolint:forbidigo // one from a clock that was behind is detected and replaced
 }
 
 type idempotencyVerifyCmd struct {
@@ -141,7 +141,7 @@
 
 // Run makes the directory.
 func (c *idempotencyRestoreCmd) Run() error {
-	summary, err := storage.Restore(c.From, c.Dir, newIncarnation(), c.AllLost)
+	summary, err := storage.Restore(c.From, c.Dir, newStorageIncarnation(), c.AllLost)
 	if err != nil {
 		return err
 	}
--- a/cmd/mintspring/listen.go
+++ b/cmd/mintspring/listen.go
@@ -18,47 +18,46 @@
 	"mintspring/internal/transient"
 )
 
-// socketVariable names the descriptor of the clients' listening socket where the platform holds that for all processes of
-// a node (the operators' page of daily operation, "Replacing the process").
-const socketVariable = "LB_SOCKET_FD"
+// socketFDEnv is the environment variable with the descriptor of the clients' listening socket. It is set if the platform holds that
+// socket for all processes of a node (the operators' page of daily operation, "Replacing the process").
+const socketFDEnv = "LB_SOCKET_FD"
 
-// firstInheritedFD is the first descriptor behind standard input, output and error.
+// firstInheritedFD is the first descriptor after standard input, output and error.
 const firstInheritedFD = 3
 
-// clientListener returns the listening socket that the platform holds, or one of this process.
+// clientListener returns a listener on the socket that the platform holds. If it holds none, the process opens its own.
 func clientListener(addr string) (net.Listener, error) {
-	text := os.Getenv(socketVariable)
+	text := os.Getenv(socketFDEnv)
 	if text == "" {
-		return listen(addr, addressPatience)
+		return listen(addr, listenTimeout)
 	}
 	fd, err := strconv.Atoi(text)
 	if err != nil || fd < firstInheritedFD {
-		return nil, fmt.Errorf("%s: %q is no descriptor", socketVariable, text)
+		return nil, fmt.Errorf("%s: %q is not an inherited descriptor", socketFDEnv, text)
 	}
 	f := os.NewFile(uintptr(fd), "clients")
 	defer f.Close() //nolint:errcheck // the listener has a duplicate
 	var ln net.Listener
-	err = transient.Retry(startPatience, func() (err error) {
+	err = transient.Retry(startRetryTimeout, func() (err error) {
 		ln, err = net.FileListener(f)
 		return err
 	})
 	if err != nil {
-		return nil, fmt.Errorf("%s: descriptor %d: %w", socketVariable, fd, err)
+		return nil, fmt.Errorf("%s: descriptor %d: %w", socketFDEnv, fd, err)
 	}
 	tcp, ok := ln.(*net.TCPListener)
 	if !ok {
-		return nil, errors.Join(fmt.Errorf("%s: descriptor %d is a %T", socketVariable, fd, ln), ln.Close())
+		return nil, errors.Join(fmt.Errorf("%s: descriptor %d is a %T, not a TCP listener", socketFDEnv, fd, ln), ln.Close())
 	}
 	return sharedListener{tcp}, nil
 }
 
-// sharedListener is a listening socket that other processes have inherited too. Whether accept(2) blocks is a property of the open file,
-// which they share (fcntl(2)): whoever holds the socket for them may set it to block at any time, as Go does where it passes a file to
-// a process. No deadline would end an accept then, nor would a close, and it would take a connection that another process should have by
-// then.
+// sharedListener is a listening socket that other processes have inherited too. They share the open file, and with it the flag O_NONBLOCK
+// (fcntl(2)): the holder of the socket may clear the flag at any time, as Go does when it passes a file to a process. Neither a deadline
+// nor a close would then end a pending accept(2), and it would take a connection that its successor should accept.
 type sharedListener struct{ *net.TCPListener }
 
-// Accept accepts the next connection, after it has set the socket not to block.
+// Accept sets the socket to non-blocking mode and accepts the next connection.
 func (l sharedListener) Accept() (net.Conn, error) {
 	raw, err := l.SyscallConn()
 	if err != nil {
@@ -72,24 +71,24 @@
 	return l.TCPListener.Accept()
 }
 
-// listen listens on an address, and waits for so long while it is in use, or while the machine is short of what that takes.
-func listen(addr string, patience time.Duration) (ln net.Listener, err error) {
-	mayPass := func(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || transient.Is(err) }
-	err = transient.RetryIf(patience, mayPass, func() (err error) {
+// listen listens on a TCP address. Until the timeout it retries while the address is in use and after transient errors.
+func listen(addr string, timeout time.Duration) (ln net.Listener, err error) {
+	retryable := func(err error) bool { return errors.Is(err, syscall.EADDRINUSE) || transient.Is(err) }
+	err = transient.RetryIf(timeout, retryable, func() (err error) {
 		ln, err = net.Listen("tcp", addr)
 		return err
 	})
 	return ln, err
 }
 
-// joinPredecessor opens the directory in which the processes of one node meet, and joins the process that serves, if there is
-// one. Both results are nil where there is neither an admin port nor a shared socket: no process can take over then.
+// joinPredecessor opens the hot restart directory of the node and joins the process that serves, if there is one. Both results are nil if
+// the directory cannot be opened, or without an admin port and a shared socket, because then no process can take over.
 func joinPredecessor(config *platform.Config, log *logrus.Logger) (*hotrestart.Dir, *hotrestart.Handover) {
-	if config.Admin == "" && os.Getenv(socketVariable) == "" {
+	if config.Admin == "" && os.Getenv(socketFDEnv) == "" {
 		return nil, nil
 	}
 	var dir *hotrestart.Dir
-	err := transient.Retry(startPatience, func() (err error) {
+	err := transient.Retry(startRetryTimeout, func() (err error) {
 		dir, err = hotrestart.Open(hotRestartPath(config))
 		return err
 	})
@@ -104,7 +103,8 @@
 	return dir, handover
 }
 
-// hotRestartPath is the same for all processes of a node. Builds before this one have to find it too.
+// hotRestartPath returns the path of the hot restart directory, which is the same for all processes of a node. It must not change between
+// builds: a process has to find the predecessor that an earlier build runs.
 func hotRestartPath(config *platform.Config) string {
 	h := fnv.New64a()
 	fmt.Fprintf(h, "%s %s", config.Name, config.Listen) //nolint:errcheck // a hash never fails to write
--- a/cmd/mintspring/main.go
+++ b/cmd/mintspring/main.go
@@ -1,5 +1,5 @@
 // Mintspring is a node of the router: it takes requests from clients and sends them to cache servers and the origin. It is
-// also the operators' tool for nodes that run, and for their files.
+// also the operators' tool for running nodes and for their files.
 package main
 
 import (
@@ -16,7 +16,7 @@
 	description = "A client-side router for fleets of cache servers."
 )
 
-// commandLine is the command line. The platform starts the program without any words, which stands for run.
+// commandLine defines the commands. The platform starts the program without arguments, which selects the command run.
 type commandLine struct {
 	Run            runCmd            `cmd:"" default:"withargs" help:"Run the node (also without a command)."`
 	Check          checkCmd          `cmd:"" help:"Check the configuration and the operator's file, and show what would be on."`
--- a/cmd/mintspring/main_test.go
+++ b/cmd/mintspring/main_test.go
@@ -62,7 +62,7 @@
 		writeFile(t, file, strings.NewReplacer("127.0.0.1:1\"", port.Addr()+"\"", "127.0.0.1:2\"", discovery+"\"").Replace(validConfig))
 	}
 	configure(first.Listener.Addr().String())
-	t.Setenv(configVariable, file)
+	t.Setenv(configEnv, file)
 	ended := make(chan error, 1)
 	go func() { ended <- (&runCmd{}).Run() }()
 	eventually(t, 2*testTimeout, func() error {
--- a/cmd/mintspring/peers.go
+++ b/cmd/mintspring/peers.go
@@ -58,7 +58,7 @@
 	return p.Err()
 }
 
-// incarnationTimeShift is how far the start of an incarnation, in Unix ms, is shifted within it.
+// incarnationTimeShift is the number of low bits of an incarnation that are not part of its start time in Unix ms.
 const incarnationTimeShift = 16
 
 func printMember(p *cli.Printer, m *gossip.Member, self cluster.NodeID) {
@@ -73,31 +73,31 @@
 	p.Printf("  node %-4d %-8s started at %s, %s\n", m.Node, m.State, startedAt, heard)
 }
 
-func printQuota(p *cli.Printer, a *quota.Account) {
+func printQuota(p *cli.Printer, account *quota.Account) {
 	scale, unit := 100.0, "%"
-	if a.FromTraffic {
+	if account.FromTraffic {
 		scale, unit = 1000, " a second"
 	}
-	amount := func(units uint32) string { return fmt.Sprintf("%.1f%s", scale*float64(units)/quota.TotalUnits, unit) }
-	p.Printf("  %s: %s own, %s borrowed, %s lent, %s needed\n", displayName(a.Name, "quota", a.Budget),
-		amount(a.Own), amount(a.Borrowed), amount(a.Lent), amount(a.Demand))
+	formatUnits := func(units uint32) string { return fmt.Sprintf("%.1f%s", scale*float64(units)/quota.TotalUnits, unit) }
+	p.Printf("  %s: %s own, %s borrowed, %s lent, %s needed\n", displayName(account.Name, "quota", account.Budget),
+		formatUnits(account.Own), formatUnits(account.Borrowed), formatUnits(account.Lent), formatUnits(account.Demand))
 }
 
-// verdictNames are what other nodes say of a server.
+// verdictNames has the printed names of the verdicts that nodes exchange about a server.
 var verdictNames = [...]string{wire.Healthy: "healthy", wire.Failing: "failing", wire.Duplicating: "sends duplicate responses"}
 
-func printServer(p *cli.Printer, s *outlier.ServerStatus) {
-	p.Printf("  %s: own failure rate %.2f, bias by others %+.2f", displayName(s.Name, "server", s.Server), s.FailureRate, s.Bias)
-	if s.Duplicating {
+func printServer(p *cli.Printer, server *outlier.ServerStatus) {
+	p.Printf("  %s: own failure rate %.2f, bias by others %+.2f", displayName(server.Name, "server", server.Server), server.FailureRate, server.Bias)
+	if server.Duplicating {
 		p.Printf(", %s", verdictNames[wire.Duplicating])
 	}
-	for _, e := range s.Evidence {
+	for _, e := range server.Evidence {
 		p.Printf("; node %d: %s (%d attempts, %.1f s ago)", e.Source, verdictNames[min(e.Verdict, wire.Duplicating)], e.Attempts, e.AgeMs/1000)
 	}
 	p.Printf("\n")
 }
 
-// displayName returns the name of something, or its identifier on the wire where the node does not know its name.
+// displayName returns the name. If it is empty because the node does not know it, the result is the kind and the identifier on the wire.
 func displayName(name, kind string, id uint32) string {
 	if name == "" {
 		return fmt.Sprintf("%s %08x", kind, id)
--- a/cmd/mintspring/reload.go
+++ b/cmd/mintspring/reload.go
@@ -13,25 +13,25 @@
 	"mintspring/internal/transient"
 )
 
-// activeConfig is what the node runs with.
+// activeConfig is the configuration that a node runs with.
 type activeConfig struct {
 	platform *platform.Config
 	operator *operatorfile.File
 }
 
-// reloadable is what a running node takes over of a configuration.
-type reloadable interface {
+// reloadTarget is a running node to which a reloaded configuration is applied.
+type reloadTarget interface {
 	SetDiscovery(addr string)
 	Reconfigure(deployment settings.Deployment) error
 }
 
-// reload reads both files again and returns the configuration that is active from now on. The settings, the address of the
-// discovery service and the log's section take effect at once; what else has changed is logged, because it takes effect
-// after a restart only. A file that cannot be used changes nothing, and neither does one that lacks keys of the active
-// configuration: it may have been truncated where it can still be parsed.
+// reload reads both files again and returns the configuration that is active from now on. The settings, the address of the discovery
+// service and the log section take effect at once. Other changes take effect after a restart only, and their names are logged. If a file
+// cannot be used, nothing changes. The same holds for a configuration that lacks keys of the active one: it may have been truncated and
+// still be parseable.
 //
-// An error says that a file could not be read for the moment; nothing has changed then.
-func (a activeConfig) reload(files fileFlags, n reloadable, log *logrus.Logger) (activeConfig, error) {
+// An error means that a file could not be read because of a transient error. Nothing has changed then.
+func (a activeConfig) reload(files fileFlags, n reloadTarget, log *logrus.Logger) (activeConfig, error) {
 	config, err := platform.Load(files.getenv)
 	if transient.Is(err) {
 		return a, err
@@ -62,36 +62,36 @@
 	if config.Discovery != a.platform.Discovery {
 		n.SetDiscovery(config.Discovery)
 	}
-	line := log.WithField("discovery", config.Discovery)
+	entry := log.WithField("discovery", config.Discovery)
 	if names := slices.Concat(a.platform.RestartRequired(config), a.operator.RestartRequired(operator)); len(names) > 0 {
-		line = line.WithField("needs_restart", strings.Join(names, ","))
+		entry = entry.WithField("needs_restart", strings.Join(names, ","))
 	}
-	line.Info("reloaded the configuration")
+	entry.Info("reloaded the configuration")
 	merged := *a.operator
 	merged.Log = operator.Log
 	return activeConfig{a.platform.Merged(config), &merged}, nil
 }
 
-// reloadIfReplaced reloads where the file is another one than the active configuration was read from. A process that takes over has read its
-// file before it was ready, and a signal since then went to its predecessor.
-func (a activeConfig) reloadIfReplaced(files fileFlags, n reloadable, log *logrus.Logger) (activeConfig, <-chan time.Time) {
+// reloadIfChanged reloads if the configuration file has changed since the active configuration was read. A process that takes over has read
+// the file before it was ready, and a SIGHUP sent in between went to its predecessor.
+func (a activeConfig) reloadIfChanged(files fileFlags, n reloadTarget, log *logrus.Logger) (activeConfig, <-chan time.Time) {
 	config, err := platform.Load(files.getenv)
 	if err == nil && config.SameFile(a.platform) {
 		return a, nil
 	}
-	return a.reloadOrPutOff(files, n, log, logrus.WarnLevel)
+	return a.reloadOrScheduleRetry(files, n, log, logrus.WarnLevel)
 }
 
-// reloadInterval is the time until a reload is tried again that was put off.
-const reloadInterval = 50 * time.Millisecond
+// reloadRetryInterval is the time until a reload is retried after a transient error.
+const reloadRetryInterval = 50 * time.Millisecond
 
-// reloadOrPutOff reloads. Where a file cannot be read for the moment, which is logged at a level, it returns a channel that says when to try
-// again; nil otherwise.
-func (a activeConfig) reloadOrPutOff(files fileFlags, n reloadable, log *logrus.Logger, level logrus.Level) (activeConfig, <-chan time.Time) {
+// reloadOrScheduleRetry reloads. After a transient error, which it logs at the given level, it returns a channel that receives a value when
+// the retry is due. Otherwise the channel is nil.
+func (a activeConfig) reloadOrScheduleRetry(files fileFlags, n reloadTarget, log *logrus.Logger, level logrus.Level) (activeConfig, <-chan time.Time) {
 	reloaded, err := a.reload(files, n, log)
 	if err == nil {
 		return reloaded, nil
 	}
 	log.WithError(err).Log(level, "cannot read the configuration; retrying")
-	return a, time.After(reloadInterval)
+	return a, time.After(reloadRetryInterval)
 }
--- a/cmd/mintspring/rollingrestart.go
+++ b/cmd/mintspring/rollingrestart.go
@@ -15,8 +15,8 @@
 	MaxUnavailable int      `help:"Of start: how many servers may be excluded or warming up at once." default:"1"`
 }
 
-// actions are the actions on the admin port by their words on the command line.
-var actions = map[string]string{
+// rollingRestartActions maps the actions of the command line to those of the admin port.
+var rollingRestartActions = map[string]string{
 	"show":   admin.ActionShow,
 	"start":  admin.ActionStart,
 	"pause":  admin.ActionPause,
@@ -26,7 +26,7 @@
 
 // Run calls a node's admin port.
 func (c *rollingRestartCmd) Run() error {
-	action := actions[c.Action]
+	action := rollingRestartActions[c.Action]
 	line := admin.CallRollingRestart + " " + action
 	if action == admin.ActionStart {
 		if len(c.Servers) == 0 {
--- a/cmd/mintspring/run.go
+++ b/cmd/mintspring/run.go
@@ -17,20 +17,21 @@
 	"mintspring/internal/transient"
 )
 
-// gcPercent is the garbage collector's target: the heap is small, and one core serves requests and collects.
+// gcPercent is the garbage collector's target percentage. The heap is small, and one core both serves requests and collects
+// garbage.
 const gcPercent = 400
 
-// startPatience is how long the start goes on where system calls fail that may succeed in a moment.
-const startPatience = 5 * time.Second
+// startRetryTimeout is how long the start retries system calls that fail with a transient error.
+const startRetryTimeout = 5 * time.Second
 
-// addressPatience is how long the node waits for an address: after a kill the predecessor may hold it still.
-const addressPatience = 2 * time.Second
+// listenTimeout is how long the node waits for an address in use: a killed predecessor may still hold it.
+const listenTimeout = 2 * time.Second
 
 type runCmd struct{ fileFlags }
 
 // Run runs the node until the process is signalled to stop.
 func (r *runCmd) Run() error {
-	// Signals are caught from the first moment on: a hangup that is not caught ends the process.
+	// Signals are caught before anything else is done: an uncaught SIGHUP would end the process.
 	signals := catchSignals()
 	config, operator, err := r.load()
 	if err != nil {
@@ -62,9 +63,9 @@
 	served := make(chan error, 1)
 	go func() { served <- n.Serve(clients) }()
 	active := activeConfig{config, operator}
-	var stopped <-chan struct{} // nil: the node serves
+	var stopped <-chan struct{} // nil until the stop begins
 	takenOver := n.TakenOver()
-	var reloadAgain <-chan time.Time // nil: the last reload was not put off
+	var reloadRetry <-chan time.Time // nil if no retry of a reload is pending
 	for {
 		select {
 		case err := <-served:
@@ -73,16 +74,16 @@
 			}
 			served = nil // the stop has closed the listener
 		case <-signals.hangups:
-			active, reloadAgain = active.reloadOrPutOff(r.fileFlags, n, log, logrus.WarnLevel)
+			active, reloadRetry = active.reloadOrScheduleRetry(r.fileFlags, n, log, logrus.WarnLevel)
 		case <-takenOver:
 			takenOver = nil
-			active, reloadAgain = active.reloadIfReplaced(r.fileFlags, n, log)
-		case <-reloadAgain:
-			active, reloadAgain = active.reloadOrPutOff(r.fileFlags, n, log, logrus.DebugLevel)
+			active, reloadRetry = active.reloadIfChanged(r.fileFlags, n, log)
+		case <-reloadRetry:
+			active, reloadRetry = active.reloadOrScheduleRetry(r.fileFlags, n, log, logrus.DebugLevel)
 		case s := <-signals.stops:
 			if stopped == nil {
 				log.WithField("signal", s.signal.String()).Info("stopping")
-				stopped = s.begin(n)
+				stopped = s.stopNode(n)
 			}
 		case <-stopped:
 			log.Info("stopped")
@@ -91,9 +92,9 @@
 	}
 }
 
-// load reads both files of the configuration.
+// load reads the platform's configuration and the operator's file, and retries after transient errors.
 func (r *runCmd) load() (config *platform.Config, operator *operatorfile.File, err error) {
-	err = transient.Retry(startPatience, func() (err error) {
+	err = transient.Retry(startRetryTimeout, func() (err error) {
 		if config, err = platform.Load(r.getenv); err != nil {
 			return err
 		}
@@ -103,7 +104,7 @@
 	return config, operator, err
 }
 
-// newLogger returns a log as the operator's file wants it, with the first lines about that file.
+// newLogger returns a logger with the log settings of the operator's file, and logs the file's deprecated names and enabled sections.
 func newLogger(operator *operatorfile.File) *logrus.Logger {
 	log := logrus.New()
 	operator.Log.Apply(log)
@@ -116,9 +117,9 @@
 
 // serveAdmin serves the admin port until the returned server is closed.
 func serveAdmin(addr string, handler admin.Handler, log *logrus.Logger) (*admin.Server, error) {
-	ln, err := listen(addr, addressPatience)
+	ln, err := listen(addr, listenTimeout)
 	if err != nil {
-		return nil, fmt.Errorf("listening for operators: %w", err)
+		return nil, fmt.Errorf("listening on the admin port: %w", err)
 	}
 	server := &admin.Server{Handler: handler, OnPanic: func(p any) {
 		log.WithFields(logrus.Fields{"panic": p, "stack": string(debug.Stack())}).Error("panic in an admin call")
--- a/cmd/mintspring/signals.go
+++ b/cmd/mintspring/signals.go
@@ -10,44 +10,45 @@
 	"mintspring/internal/node"
 )
 
-// Times of a stop, from the arrival of its signal on. Clients may send requests for 0.4 s more, and the platform kills the
-// process 0.7 s after the longest deadline of a request, 3 s at most, has passed (the protocol's page, "Figures").
+// Periods of a stop, which begin when its signal arrives. After the signal clients may send requests for another 0.4 s. The platform kills
+// the process 0.7 s after the longest request deadline, which is at most 3 s (the protocol's page, "Figures").
 const (
-	stopGrace          = 500 * time.Millisecond
-	stopMargin         = 600 * time.Millisecond
+	stopGrace          = 500 * time.Millisecond // clients are still accepted
+	stopMargin         = 600 * time.Millisecond // from the longest request deadline to the end of the stop
 	maxRequestDeadline = 3 * time.Second
-	minStopGrace       = 50 * time.Millisecond // also where the start took all of stopGrace: clients may have connected meanwhile
+	minStopPeriod      = 50 * time.Millisecond // even if the start took longer than stopGrace: clients may have connected meanwhile
 )
 
-// signals are the signals that the process has received and not handled yet. Of several of one kind one is kept.
+// signals has the signals that the process has received and not handled yet. Of several SIGHUPs only one is kept, and of all signals to
+// stop only the first.
 type signals struct {
 	hangups <-chan os.Signal
 	stops   <-chan stopSignal
 }
 
-// stopSignal is a signal to stop. The platform counts from its arrival, and the start or a reload may delay its handling.
+// stopSignal is a signal to stop. The platform's time limits begin when it arrives; a start or a reload may delay its handling.
 type stopSignal struct {
 	signal    os.Signal
 	arrivedAt time.Time
 }
 
-// catchSignals catches signals from now to the end of the process.
+// catchSignals starts to catch signals, until the process ends.
 func catchSignals() signals {
-	hangups, raw, stops := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan stopSignal, 1)
+	hangups, stopSignals, stops := make(chan os.Signal, 1), make(chan os.Signal, 1), make(chan stopSignal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
-	signal.Notify(raw, syscall.SIGTERM, syscall.SIGINT)
-	go func() { stops <- stopSignal{<-raw, time.Now()} }() // further ones change nothing
+	signal.Notify(stopSignals, syscall.SIGTERM, syscall.SIGINT)
+	go func() { stops <- stopSignal{<-stopSignals, time.Now()} }() // further ones are ignored
 	return signals{hangups, stops}
 }
 
-// begin stops a node, and returns a channel that is closed when it has stopped.
-func (s stopSignal) begin(n *node.Node) <-chan struct{} {
+// stopNode starts to stop a node, and returns a channel that is closed when the node has stopped.
+func (s stopSignal) stopNode(n *node.Node) <-chan struct{} {
 	stopped := make(chan struct{})
 	go func() {
 		defer close(stopped)
-		bound := stopMargin + min(maxRequestDeadline, clock.Duration(n.MaxRequestTimeout()))
-		passed := time.Since(s.arrivedAt)
-		n.Stop(max(minStopGrace, stopGrace-passed), max(minStopGrace, bound-passed))
+		timeout := stopMargin + min(maxRequestDeadline, clock.Duration(n.MaxRequestTimeout()))
+		elapsed := time.Since(s.arrivedAt)
+		n.Stop(max(minStopPeriod, stopGrace-elapsed), max(minStopPeriod, timeout-elapsed))
 	}()
 	return stopped
 }
--- a/cmd/mintspring/snapshot.go
+++ b/cmd/mintspring/snapshot.go
@@ -37,12 +37,13 @@
 		takenAt.UTC().Format(time.RFC3339), now.Sub(takenAt).Round(time.Second), len(s.Servers), len(s.Global.Keys), s.Global.OriginWindow)
 	p.Printf("%-32s %-20s %6s %9s %9s %8s %6s %6s\n", "server", "started at", "moved", "pace ms", "reply ms", "failures", "hits", "queue")
 	for i := range s.Servers {
-		v := &s.Servers[i]
+		server := &s.Servers[i]
 		startedAt := "long ago"
-		if v.StartedAt > 0 {
-			startedAt = time.UnixMilli(int64(v.StartedAt)).UTC().Format(time.RFC3339)
+		if server.StartedAt > 0 {
+			startedAt = time.UnixMilli(int64(server.StartedAt)).UTC().Format(time.RFC3339)
 		}
-		p.Printf("%-32s %-20s %6.3f %9.1f %9.1f %8.2f %6.2f %6.1f\n", v.Name, startedAt, v.ShedArcShare, v.TimePerQueued, v.ResponseTime, v.Failures, v.HitRatio, v.QueuePeak)
+		p.Printf("%-32s %-20s %6.3f %9.1f %9.1f %8.2f %6.2f %6.1f\n", server.Name, startedAt, server.ShedArcShare, server.TimePerQueued,
+			server.ResponseTime, server.Failures, server.HitRatio, server.QueuePeak)
 	}
 	return p.Err()
 }
@@ -57,7 +58,7 @@
 	return checkSnapshot(c.File, c.fileFlags, time.Now(), os.Stdout)
 }
 
-// checkSnapshot prints how far a start now would rely on a snapshot, if the servers were those of the snapshot.
+// checkSnapshot prints how far a node that starts now would trust a snapshot, provided that the servers are still the same.
 func checkSnapshot(file string, files fileFlags, now time.Time, out io.Writer) error {
 	s, err := snapshotfile.ReadFile(file)
 	if err != nil {
@@ -81,11 +82,11 @@
 	return p.Err()
 }
 
-// trustConfig returns the configuration of trust by the files, or, without a configuration, by the snapshot itself, with a
-// note that says so.
+// trustConfig returns the configuration that the trust in a snapshot is computed from. Without a platform configuration, node, zone and
+// deployment are taken from the snapshot itself, and the note says so.
 func trustConfig(s *snapshot.State, files fileFlags) (config snapshot.Config, note string, err error) {
 	section := operatorfile.DefaultSnapshot()
-	if files.getenv(configVariable) == "" {
+	if files.getenv(configEnv) == "" {
 		return snapshot.Config{
 			HalfLife:          section.HalfLife.Milliseconds(),
 			MaxAge:            section.MaxAge.Milliseconds(),
--- a/internal/cli/printer.go
+++ b/internal/cli/printer.go
@@ -1,4 +1,4 @@
-// Package cli has what the programs share to print the results of their commands.
+// Package cli prints the results of commands. The programs share it.
 package cli
 
 import (
@@ -8,7 +8,7 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// Printer writes formatted text, and keeps the first error of a write.
+// Printer writes formatted text until a write fails, and keeps that error.
 type Printer struct {
 	w   io.Writer
 	err error
@@ -27,7 +27,7 @@
 // Err returns the error of the first write that failed.
 func (p *Printer) Err() error { return p.err }
 
-// PrintFileErrors prints those of the errors of reading some files that are not nil. It returns an error that counts them, if there are any.
+// PrintFileErrors prints the errors of reading files; an error may be nil. If any is not nil, it returns an error with their number.
 func (p *Printer) PrintFileErrors(errs ...error) error {
 	unusable := 0
 	for _, err := range errs {
@@ -42,9 +42,9 @@
 	return nil
 }
 
-// PrintDeprecated prints a line for each old name that a file uses.
-func (p *Printer) PrintDeprecated(file string, names []tomlfile.Deprecation) {
-	for _, d := range names {
+// PrintDeprecated prints a line for each deprecated name that a file uses.
+func (p *Printer) PrintDeprecated(file string, deprecations []tomlfile.Deprecation) {
+	for _, d := range deprecations {
 		p.Printf("%s:%d: %s is deprecated, use %s\n", file, d.Line, d.Old, d.New)
 	}
 }
--- a/internal/commandalias/commandalias.go
+++ b/internal/commandalias/commandalias.go
@@ -1,5 +1,5 @@
-// Package commandalias keeps earlier words of a command line working: it replaces commands, subcommands, flags and values of flags
-// that were renamed by their present names, and prints a warning for each.
+// Package commandalias accepts deprecated names on a command line: it replaces renamed commands, subcommands, flags and flag values by
+// their current names, and prints a warning for each.
 package commandalias
 
 import (
@@ -12,7 +12,7 @@
 // Renames maps old names to present ones.
 type Renames map[string]string
 
-// Table lists the names that were changed. Commands and flags as keys are given by their present names, flags with their dashes.
+// Table lists the renamed commands, subcommands, flags and flag values. The outer keys are current names; flags include their dashes.
 type Table struct {
 	Commands    Renames
 	Subcommands map[string]Renames            // by command
@@ -20,11 +20,11 @@
 	Values      map[string]map[string]Renames // values of flags, which may be comma-separated lists, by command and flag
 }
 
-// Replacement is an old name that a command line has, and its present name.
+// Replacement is a deprecated name on a command line, and its current name.
 type Replacement struct{ Old, New string }
 
-// Resolve returns the arguments of a program with old names replaced, and what was replaced. The first argument is the command and the
-// second one may be its subcommand; arguments behind "--" are left alone.
+// Resolve returns the arguments of a program with deprecated names replaced, and the replacements. The first argument is the command and
+// the second one may be its subcommand. Arguments after "--" are not replaced.
 func (t *Table) Resolve(args []string) (resolved []string, replaced []Replacement) {
 	if len(args) == 0 {
 		return args, nil
@@ -57,18 +57,18 @@
 	replaced []Replacement
 }
 
-// replace replaces argument i if it is an old name.
-func (r *resolver) replace(i int, names Renames) {
-	if name, ok := names[r.args[i]]; ok {
+// replace replaces argument i if it is a deprecated name.
+func (r *resolver) replace(i int, renames Renames) {
+	if name, ok := renames[r.args[i]]; ok {
 		r.replaced = append(r.replaced, Replacement{Old: r.args[i], New: name})
 		r.args[i] = name
 	}
 }
 
-// replaceFlag replaces the flag of argument i, which may have a value behind "=", and returns its present name.
-func (r *resolver) replaceFlag(i int, names Renames) string {
+// replaceFlag replaces the flag of argument i, which may be followed by "=" and a value, and returns its current name.
+func (r *resolver) replaceFlag(i int, renames Renames) string {
 	flag, value, hasValue := strings.Cut(r.args[i], "=")
-	name, ok := names[flag]
+	name, ok := renames[flag]
 	if !ok {
 		return flag
 	}
@@ -80,23 +80,23 @@
 	return name
 }
 
-// replaceValue replaces the value of the flag of argument i, which stands behind "=" or in the next argument.
-func (r *resolver) replaceValue(i int, values Renames) {
+// replaceValue replaces deprecated values of the flag of argument i. The value follows "=" or is the next argument.
+func (r *resolver) replaceValue(i int, renames Renames) {
 	flag, value, hasValue := strings.Cut(r.args[i], "=")
 	switch {
-	case len(values) == 0:
+	case len(renames) == 0:
 	case hasValue:
-		r.args[i] = flag + "=" + r.replaceList(value, values)
+		r.args[i] = flag + "=" + r.replaceList(value, renames)
 	case i+1 < len(r.args):
-		r.args[i+1] = r.replaceList(r.args[i+1], values)
+		r.args[i+1] = r.replaceList(r.args[i+1], renames)
 	}
 }
 
-// replaceList replaces the old names in a comma-separated list.
-func (r *resolver) replaceList(list string, names Renames) string {
+// replaceList replaces the deprecated names in a comma-separated list.
+func (r *resolver) replaceList(list string, renames Renames) string {
 	elements := strings.Split(list, ",")
 	for i, old := range elements {
-		if name, ok := names[old]; ok {
+		if name, ok := renames[old]; ok {
 			r.replaced = append(r.replaced, Replacement{Old: old, New: name})
 			elements[i] = name
 		}
--- a/internal/version/version.go
+++ b/internal/version/version.go
@@ -1,4 +1,4 @@
-// Package version says which build a program is.
+// Package version describes the build of a program.
 package version
 
 import (
