--- a/cmd/mintspring/aliases_test.go
+++ b/cmd/mintspring/aliases_test.go
@@ -10,8 +10,9 @@
 	"mintspring/internal/commandalias"
 )
 
-// TestDeprecatedWords: old words of the command line select the same command as the new ones, with a warning for each.
-func TestDeprecatedWords(t *testing.T) {
+// TestDeprecatedNames checks that deprecated names on the command line are replaced by the current ones, and that the result is a valid
+// command.
+func TestDeprecatedNames(t *testing.T) {
 	for _, c := range []struct {
 		old, new string
 		replaced []commandalias.Replacement
--- a/cmd/mintspring/consensus.go
+++ b/cmd/mintspring/consensus.go
@@ -71,8 +71,8 @@
 	return callMembershipChange(c.Address, admin.ChangeRemove, c.Member)
 }
 
-// callMembershipChange requests a membership change on a node's admin port. The numbers are the member's and, for some changes, that of its
-// generation.
+// callMembershipChange requests a membership change on a node's admin port. The numbers are the member's number and, for some changes,
+// its generation.
 func callMembershipChange(addr, change string, numbers ...int) error {
 	line := admin.MembershipPrefix + change
 	for _, n := range numbers {
--- a/cmd/mintspring/files.go
+++ b/cmd/mintspring/files.go
@@ -51,15 +51,15 @@
 		return err
 	}
 	p.PrintDeprecated(f.Operator, operator.Deprecated)
-	enabled := "nothing"
+	enabledSections := "nothing"
 	if names := operator.EnabledSections(); len(names) > 0 {
-		enabled = strings.Join(names, ", ")
+		enabledSections = strings.Join(names, ", ")
 	}
-	admin := "no admin port"
+	adminPort := "no admin port"
 	if config.Admin != "" {
-		admin = "admin port " + config.Admin
+		adminPort = "admin port " + config.Admin
 	}
 	p.Printf("node %s listens on %s, %s, discovery at %s, %d request classes, %d zones; on by the operator's file: %s\n", config.Name,
-		config.Listen, admin, config.Discovery, len(config.Deployment.RequestClasses), len(config.Deployment.Zones), enabled)
+		config.Listen, adminPort, config.Discovery, len(config.Deployment.RequestClasses), len(config.Deployment.Zones), enabledSections)
 	return p.Err()
 }
--- a/cmd/mintspring/files_test.go
+++ b/cmd/mintspring/files_test.go
@@ -6,26 +6,27 @@
 	"testing"
 )
 
-// TestCheck: check prints every fault of both files, or what would be on and the old names.
+// TestCheck checks that the command check prints every error in both files, or a summary with the enabled sections and the deprecated
+// names.
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
-	path := func(name, text string) string {
+	writeTestFile := func(name, text string) string {
 		file := filepath.Join(dir, name)
 		writeFile(t, file, text)
 		return file
 	}
-	good, bad := path("good.json", validConfig), path("bad.json", strings.Replace(validConfig, `"SloTime":1000`, `"SloTime":0`, 1))
-	on, off := path("on.toml", "[log]\nformat = \"json\"\n"), path("off.toml", "[log]\nformat = \"csv\"\n")
-	old := path("old.toml", "[learnt]\ndata_dir = \"d\"\n")
+	goodConfig, badConfig := writeTestFile("good.json", validConfig), writeTestFile("bad.json", strings.Replace(validConfig, `"SloTime":1000`, `"SloTime":0`, 1))
+	goodOperator, badOperator := writeTestFile("on.toml", "[log]\nformat = \"json\"\n"), writeTestFile("off.toml", "[log]\nformat = \"csv\"\n")
+	deprecatedOperator := writeTestFile("old.toml", "[learnt]\ndata_dir = \"d\"\n")
 	for _, c := range []struct {
 		files fileFlags
 		ok    bool
 		want  []string
 	}{
-		{fileFlags{Config: good}, true, []string{"node n3", "operator's file: nothing"}},
-		{fileFlags{good, on}, true, []string{"operator's file: log"}},
-		{fileFlags{good, old}, true, []string{"operator's file: snapshot", "old.toml:1: learnt is deprecated, use snapshot"}},
-		{fileFlags{bad, off}, false, []string{"bad.json: settings: Workloads[0].SloTime", "off.toml:2: log.format"}},
+		{fileFlags{Config: goodConfig}, true, []string{"node n3", "operator's file: nothing"}},
+		{fileFlags{goodConfig, goodOperator}, true, []string{"operator's file: log"}},
+		{fileFlags{goodConfig, deprecatedOperator}, true, []string{"operator's file: snapshot", "old.toml:1: learnt is deprecated, use snapshot"}},
+		{fileFlags{badConfig, badOperator}, false, []string{"bad.json: settings: Workloads[0].SloTime", "off.toml:2: log.format"}},
 	} {
 		var out strings.Builder
 		if err := checkFiles(c.files, &out); (err == nil) != c.ok {
--- a/cmd/mintspring/fleet_test.go
+++ b/cmd/mintspring/fleet_test.go
@@ -18,8 +18,8 @@
 	"mintspring/internal/testbed/reservedport"
 )
 
-// fleetExperiment is six nodes with traffic 1:5:20 whose connections are lost each half second, and a quota of 20 new ones a
-// second at each of two servers. What happens between the nodes is appended.
+// fleetExperiment runs six nodes with traffic in the ratio 1:5:20. Their connections are reset every 500 ms, while the quota of each of
+// two servers is 20 new connections a second. The events of a case are appended.
 const fleetExperiment = `name = "six"
 seed = 3
 settle = "2500ms"
@@ -66,7 +66,7 @@
 at_most = 0
 %s`
 
-// sharedQuotaEvents are what happens to the nodes, by name.
+// sharedQuotaEvents has the events of each case of TestSixProcessesShareQuota, by the name of the case.
 var sharedQuotaEvents = map[string]string{
 	"partitions": `
 [[at]]
@@ -154,17 +154,18 @@
 `,
 }
 
-// coldServers changes fleetExperiment so that servers could be overloaded: about half of what they can do is asked of them.
-// Connections stay open, so that no request waits for one until its deadline.
-var coldServers = strings.NewReplacer("count = 2\ncores = 8", "count = 6\ncores = 1", "rate = 300", "rate = 450",
+// coldServersReplacer changes fleetExperiment so that cold servers can be overloaded: the load is about half the capacity of warm
+// servers. Connections stay open, so that no request waits for one until its deadline.
+var coldServersReplacer = strings.NewReplacer("count = 2\ncores = 8", "count = 6\ncores = 1", "rate = 300", "rate = 450",
 	`zones = ["a"]`, `zones = ["a", "b", "c"]`, "times = 11", "times = 1")
 
-// TestSixProcessesKeepAQuota: six processes share the new connections that a server accepts, while links between them are cut,
-// faulty and healed, one is frozen with borrowed quota, one is killed and one loses its machine with its memory. In the third
-// case they share what a restarted server can take, while their messages are late and duplicated, one is frozen and one half hears
-// nothing of the other. By what the servers saw: in no second do all nodes together open more than 20 connections, what a quarter of
-// a second allows, and one each; no warming server is overloaded; and no rule is broken.
-func TestSixProcessesKeepAQuota(t *testing.T) {
+// TestSixProcessesShareQuota checks that six processes share a quota of new connections to a server while links between them are cut,
+// faulty and healed, one process is frozen with borrowed quota, one is killed, and one loses its machine with its memory. In the case
+// "cold servers" they share the capacity of a restarted server, while their messages are late and duplicated, one process is frozen, and
+// one half of the nodes receives nothing from the other. The servers' records must show that in no second all nodes together open more
+// than 31 connections (20, the 5 of another quarter of a second, and one for each node), that no warming server is overloaded, and that
+// no rule is broken.
+func TestSixProcessesShareQuota(t *testing.T) {
 	for name, events := range sharedQuotaEvents {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -172,10 +173,10 @@
 			writeFile(t, operator, "[connections]\nopens_per_second = 20\n[fleet]\nname = \"six\"\nprobe_interval = \"200ms\"\nlease = \"1s\"\n")
 			text := fmt.Sprintf(fleetExperiment, operator, events)
 			if name == "cold servers" {
-				text = coldServers.Replace(text)
+				text = coldServersReplacer.Replace(text)
 			}
 			dir := t.TempDir()
-			playExperiment(t, name, text, dir)
+			runExperiment(t, name, text, dir)
 			logs := ""
 			for i := range 6 {
 				b, err := os.ReadFile(filepath.Join(dir, fmt.Sprintf("node-%d.log", i)))
@@ -185,14 +186,14 @@
 				logs += string(b)
 			}
 			if n := len(regexp.MustCompile(`peer state changed.*new_state=alive`).FindAllString(logs, -1)); n < 30 {
-				t.Errorf("peers were found %d times, and each of six finds five", n)
+				t.Errorf("peers became alive %d times, want at least 30: each of six nodes finds five", n)
 			}
 		})
 	}
 }
 
-// playExperiment plays an experiment with this program as its nodes, and checks its verdict.
-func playExperiment(t *testing.T, name, text, dir string) {
+// runExperiment runs an experiment with the test binary as the program of its nodes, and checks its verdict.
+func runExperiment(t *testing.T, name, text, dir string) {
 	t.Helper()
 	x, err := experiment.Parse(name, text)
 	if err != nil {
@@ -207,7 +208,7 @@
 	}
 }
 
-// reserveUDP reserves so many addresses until the end of the test.
+// reserveUDP reserves count UDP addresses until the end of the test.
 func reserveUDP(t *testing.T, count int) []string {
 	t.Helper()
 	var addrs []string
@@ -222,21 +223,22 @@
 	return addrs
 }
 
-// writeFleetFile gives a node the operator's file of a fleet of two.
-func (n *testNode) writeFleetFile(listen string, peers []string, number int) {
+// writeFleetOperatorFile writes an operator's file that makes the node a member of a fleet of two.
+func (n *testNode) writeFleetOperatorFile(listen string, peers []string, number int) {
 	n.t.Helper()
 	n.writeOperatorFile(fmt.Sprintf("[fleet]\nname = \"two\"\nlisten = %q\npeers = [%q, %q]\nnumber = %d\nprobe_interval = \"100ms\"\n",
 		listen, peers[0], peers[1], number))
 }
 
-// TestPeersCommand: what a node knows of its fleet can be shown, and a node whose peer is killed logs that it is isolated.
+// TestPeersCommand checks that the command peers shows a node's view of its fleet, and that a node whose only peer is killed logs that it
+// is isolated.
 func TestPeersCommand(t *testing.T) {
 	addrs := reserveUDP(t, 3)
 	peers := addrs[:2]
 	var processes []*nodeProcess
 	for i, addr := range peers {
 		n := newTestNode(t)
-		n.writeFleetFile(addr, peers, i)
+		n.writeFleetOperatorFile(addr, peers, i)
 		processes = append(processes, n.start())
 	}
 	for i, p := range processes {
@@ -252,10 +254,10 @@
 			t.Error(err)
 		}
 	}
-	// A second process under the number of another, at another address: nobody takes its messages for the other's, and it logs that it
-	// hears nobody.
+	// A second process has the number of node 1, but another address. Node 0 does not attribute the messages of this process to node 1, and
+	// the process logs that it receives no datagrams.
 	n := newTestNode(t)
-	n.writeFleetFile(addrs[2], peers, 1)
+	n.writeFleetOperatorFile(addrs[2], peers, 1)
 	n.start().log.WaitFor(t, "no datagram from any peer since the start")
 	var status gossip.Status
 	text, err := callAdmin(processes[0].adminAddr, "peers")
@@ -265,6 +267,6 @@
 	if err != nil || status.Alive != 2 || status.Members[1].Incarnation>>incarnationTimeShift == 0 || status.IDConflicts != 0 {
 		t.Errorf("beside a second process of node 1, node 0 knows %s, %v", text, err)
 	}
-	processes[1].signal(syscall.SIGKILL, time.Second)
+	processes[1].signalAndWait(syscall.SIGKILL, time.Second)
 	processes[0].log.WaitFor(t, "no peer reachable, this node is isolated")
 }
--- a/cmd/mintspring/hotrestart_test.go
+++ b/cmd/mintspring/hotrestart_test.go
@@ -18,27 +18,27 @@
 	"mintspring/internal/state/snapshotfile"
 )
 
-// minRequests is how many requests a requestLoad sends at least.
+// minRequests is the least number of requests that a requestLoad sends.
 const minRequests = 20
 
-// requestLoad sends requests on persistent connections, one after the other on each, until it is stopped.
+// requestLoad sends requests on persistent connections, one after the other on each connection, until it is stopped.
 type requestLoad struct {
-	stopped  atomic.Bool
-	wg       sync.WaitGroup
-	nextID   atomic.Int64
-	sent     atomic.Int64
-	rejected atomic.Int64 // a machine that is busy with other tests is slow, and that does no harm
-	failed   atomic.Int64 // without their value
-	lastFail atomic.Value // string
+	stopped     atomic.Bool
+	workers     sync.WaitGroup
+	nextID      atomic.Int64
+	sent        atomic.Int64
+	rejected    atomic.Int64 // a few are tolerated, because nodes on a busy machine reject requests
+	failed      atomic.Int64 // requests that did not get their value
+	lastFailure atomic.Value // string: reply and error of the last failed request
 }
 
 func (n *testNode) startLoad(clients int) *requestLoad {
 	l := &requestLoad{}
 	for range clients {
-		l.wg.Go(func() {
+		l.workers.Go(func() {
 			conn, err := net.Dial("tcp", n.addr)
 			if err != nil {
-				l.fail("", err)
+				l.recordFailure("", err)
 				return
 			}
 			defer closeAll(conn)
@@ -52,12 +52,12 @@
 	return l
 }
 
-func (l *requestLoad) fail(line string, err error) {
+func (l *requestLoad) recordFailure(line string, err error) {
 	l.failed.Add(1)
-	l.lastFail.Store(fmt.Sprintf("%q, %v", line, err))
+	l.lastFailure.Store(fmt.Sprintf("%q, %v", line, err))
 }
 
-// request sends a request and reads its reply, and reports whether the connection can be used again.
+// request sends a request, reads its reply, and reports whether the connection can be used again.
 func (l *requestLoad) request(conn net.Conn, r *bufio.Reader) bool {
 	id := fmt.Sprint("q", l.nextID.Add(1))
 	b := redcon.AppendArray(nil, 4)
@@ -70,12 +70,12 @@
 	case err == nil && strings.HasPrefix(line, "-BUSY"):
 		l.rejected.Add(1)
 	case err != nil || line != "hit\r\n":
-		l.fail(line, err)
+		l.recordFailure(line, err)
 	}
 	return err == nil
 }
 
-// exchange writes a request, and returns the value of its reply or the line in place of it.
+// exchange writes a request and reads its reply. It returns the line with the value, or the first line of a reply without a value.
 func exchange(conn net.Conn, r *bufio.Reader, request []byte) (string, error) {
 	if err := conn.SetDeadline(time.Now().Add(3 * time.Second)); err != nil {
 		return "", err
@@ -90,25 +90,25 @@
 	return line, err
 }
 
-// stop ends the load, once it has sent some requests, and checks that all had their value.
+// stop ends the load after at least minRequests requests. It checks that no request failed and that few were rejected.
 func (l *requestLoad) stop(t *testing.T) {
 	t.Helper()
-	for deadline := time.Now().Add(testTimeout); l.sent.Load() < minRequests && time.Now().Before(deadline); { // a busy machine sends fewer
+	for deadline := time.Now().Add(testTimeout); l.sent.Load() < minRequests && time.Now().Before(deadline); { // a busy machine takes longer
 		time.Sleep(time.Millisecond)
 	}
 	l.stopped.Store(true)
-	l.wg.Wait()
+	l.workers.Wait()
 	sent := l.sent.Load()
 	if n := l.rejected.Load(); n > 5+sent/20 {
 		t.Errorf("%d of %d requests were rejected", n, sent)
 	}
 	if n := l.failed.Load(); n > 0 || sent < minRequests {
-		t.Errorf("%d of %d requests did not get their value, the last: %v", n, sent, l.lastFail.Load())
+		t.Errorf("%d of %d requests did not get their value, the last: %v", n, sent, l.lastFailure.Load())
 	}
 }
 
-// TestHotRestartUnderLoad: three processes take over one after another, while clients go on using their connections and
-// notice nothing.
+// TestHotRestartUnderLoad checks that clients keep their connections and get their responses while three processes take over one after
+// another.
 func TestHotRestartUnderLoad(t *testing.T) {
 	n := newTestNode(t)
 	current := n.start()
@@ -119,7 +119,7 @@
 		successor := n.start()
 		successor.waitForReply("status", "OK")
 		time.Sleep(20 * time.Millisecond)
-		current.signal(syscall.SIGTERM, 2*time.Second)
+		current.signalAndWait(syscall.SIGTERM, 2*time.Second)
 		current = successor
 	}
 	time.Sleep(100 * time.Millisecond)
@@ -132,26 +132,27 @@
 	})
 }
 
-// A process is replaced while its own predecessor still has requests in flight, again and again: clients notice nothing. The end of that
-// predecessor was once taken for that of the successor, and the process closed its clients' connections in place of handing them over.
-func TestReplacementBesideAnEndingPredecessor(t *testing.T) {
+// TestReplacementWhilePredecessorDrains repeatedly replaces a process whose own predecessor still has requests in flight, and checks that
+// clients do not notice. A process once took the end of that predecessor for the end of its successor, and closed its clients'
+// connections instead of handing them over.
+func TestReplacementWhilePredecessorDrains(t *testing.T) {
 	n := newTestNode(t)
-	n.work = 100 * time.Millisecond
+	n.serviceTime = 100 * time.Millisecond
 	current := n.start()
 	current.waitForReply("status", "OK")
 	load := n.startLoad(40)
-	time.Sleep(2 * n.work)
-	var ending sync.WaitGroup
+	time.Sleep(2 * n.serviceTime)
+	var stopping sync.WaitGroup
 	for range 4 {
 		successor := n.start()
 		successor.waitForReply("status", "OK")
 		predecessor := current
-		ending.Go(func() { predecessor.signal(syscall.SIGTERM, 2*time.Second) })
+		stopping.Go(func() { predecessor.signalAndWait(syscall.SIGTERM, 2*time.Second) })
 		time.Sleep(time.Millisecond)
 		current = successor
 	}
-	ending.Wait()
-	time.Sleep(2 * n.work)
+	stopping.Wait()
+	time.Sleep(2 * n.serviceTime)
 	load.stop(t)
 	n.executions.Range(func(id, count any) bool {
 		if c := count.(*atomic.Int64).Load(); c > 1 {
@@ -161,8 +162,9 @@
 	})
 }
 
-// The listening socket is shared, and so is its mode: whoever holds it for the processes may leave it blocking, as Go does where it passes a
-// file to a process. A process once sat in accept(2) then, took a connection from its successor, which it reset, and could not end.
+// TestSharedSocketInBlockingMode leaves the shared listening socket in blocking mode, as Go does when it passes a file to a process. In
+// that mode a process once blocked in accept(2), took a connection that its successor should have accepted, reset that connection, and
+// could not exit.
 func TestSharedSocketInBlockingMode(t *testing.T) {
 	n := newTestNode(t)
 	request := func(id string) {
@@ -174,10 +176,10 @@
 		defer closeAll(conn)
 		load := &requestLoad{}
 		if !load.request(conn, bufio.NewReader(conn)) || load.failed.Load() > 0 {
-			t.Errorf("%s: %v", id, load.lastFail.Load())
+			t.Errorf("%s: %v", id, load.lastFailure.Load())
 		}
 	}
-	blocking := func() {
+	setBlocking := func() {
 		t.Helper()
 		if err := syscall.SetNonblock(int(n.socket.Fd()), false); err != nil {
 			t.Fatal(err)
@@ -185,22 +187,22 @@
 	}
 	current := n.start()
 	current.waitForReply("status", "OK")
-	blocking()
-	request("before a successor") // from its accept on, the process sits in the next one
+	setBlocking()
+	request("before a successor") // after this connection the process waits in the next accept
 	successor := n.start()
 	successor.waitForReply("status", "OK")
 	for range 3 {
 		request("beside a successor")
 	}
-	current.signal(syscall.SIGTERM, 2*time.Second)
-	blocking()
+	current.signalAndWait(syscall.SIGTERM, 2*time.Second)
+	setBlocking()
 	request("after the successor took over")
-	successor.signal(syscall.SIGTERM, 2*time.Second)
+	successor.signalAndWait(syscall.SIGTERM, 2*time.Second)
 }
 
-// TestSuccessorDies: a successor that dies, before it is ready or after, leaves its predecessor serving, with its admin port and
-// its clients; and the next one takes over all the same.
-func TestSuccessorDies(t *testing.T) {
+// TestSuccessorKilled checks that a successor that is killed, before or after it is ready, leaves its predecessor serving clients and its
+// admin port, and that the next successor can still take over.
+func TestSuccessorKilled(t *testing.T) {
 	n := newTestNode(t)
 	current := n.start()
 	current.waitForReply("status", "OK")
@@ -210,7 +212,7 @@
 		if lifetime > 50*time.Millisecond {
 			successor.waitForReply("status", "OK")
 		}
-		successor.signal(syscall.SIGKILL, time.Second)
+		successor.signalAndWait(syscall.SIGKILL, time.Second)
 		time.Sleep(20 * time.Millisecond)
 		current.waitForReply("status", "OK")
 		load := n.startLoad(4)
@@ -220,27 +222,27 @@
 	successor := n.start()
 	successor.waitForReply("status", "OK")
 	load := n.startLoad(4)
-	current.signal(syscall.SIGTERM, 2*time.Second)
+	current.signalAndWait(syscall.SIGTERM, 2*time.Second)
 	time.Sleep(50 * time.Millisecond)
 	load.stop(t)
 }
 
-// checkExcluded checks that a cache server receives nothing while others do.
+// checkExcluded checks that a cache server receives no requests while a load runs.
 func (n *testNode) checkExcluded(server int) {
 	n.t.Helper()
-	time.Sleep(20 * time.Millisecond) // for what is under way
-	before := n.received[server].Load()
+	time.Sleep(20 * time.Millisecond) // for requests in flight
+	receivedBefore := n.received[server].Load()
 	load := n.startLoad(4)
 	time.Sleep(60 * time.Millisecond)
 	load.stop(n.t)
-	if received := n.received[server].Load() - before; received > 0 {
+	if received := n.received[server].Load() - receivedBefore; received > 0 {
 		n.t.Errorf("server %d is excluded and has received %d requests", server, received)
 	}
 }
 
-// TestExclusionsOutliveTheProcess: commands on either admin port apply to both processes, and outlive the process that they were
-// sent to, also one that is killed.
-func TestExclusionsOutliveTheProcess(t *testing.T) {
+// TestExclusionsSurviveProcessExit checks that a command on the admin port of either process applies to both, and remains in effect when
+// the process that received it exits or is killed.
+func TestExclusionsSurviveProcessExit(t *testing.T) {
 	n := newTestNode(t)
 	current := n.start()
 	current.waitForReply("status", "OK")
@@ -249,24 +251,24 @@
 	successor := n.start()
 	successor.waitForReply("status", "OK")
 	n.checkExcluded(0)
-	successor.waitForReply("maint-off s0", "OK") // on the new port while both are there
-	current.waitForReply("maint-on s1", "OK")    // and on the old one
+	successor.waitForReply("maint-off s0", "OK") // on the successor's port while both processes run
+	current.waitForReply("maint-on s1", "OK")    // and on the predecessor's port
 	successor.waitForReply("standby", "OK")
 	current.waitForReply("status", "ERR")
 	current.waitForReply("active", "OK")
 	successor.waitForReply("status", "OK")
 	n.checkExcluded(1)
-	current.signal(syscall.SIGTERM, 2*time.Second)
+	current.signalAndWait(syscall.SIGTERM, 2*time.Second)
 	n.checkExcluded(1)
-	successor.signal(syscall.SIGKILL, time.Second)
+	successor.signalAndWait(syscall.SIGKILL, time.Second)
 	current = n.start()
 	current.waitForReply("status", "OK")
 	n.checkExcluded(1)
 	current.waitForReply("maint-off s1", "OK")
 }
 
-// TestSnapshotsAcrossHotRestarts: the snapshot directory goes from process to process: to a successor when its predecessor ends,
-// and to one whose predecessor is killed. Each writes there once it has the lock, and no other does.
+// TestSnapshotsAcrossHotRestarts checks that the snapshot directory passes to a successor when its predecessor ends or is killed. Each
+// process writes there once it has the lock, and no other process can.
 func TestSnapshotsAcrossHotRestarts(t *testing.T) {
 	n := newTestNode(t)
 	dir := filepath.Join(n.dir, "learnt")
@@ -280,10 +282,10 @@
 		successor.waitForReply("status", "OK")
 		successor.log.WaitFor(t, "waiting for the snapshot directory")
 		if sig == syscall.SIGKILL {
-			load.stop(t) // clients that are not handed over yet would lose their connection
+			load.stop(t) // clients that are not handed over yet would lose their connections
 		}
-		endedAt := float64(time.Now().UnixMilli())
-		current.signal(sig, 2*time.Second)
+		signalledAt := float64(time.Now().UnixMilli())
+		current.signalAndWait(sig, 2*time.Second)
 		successor.log.WaitFor(t, "acquired the snapshot directory")
 		if _, err := snapshotfile.Open(dir); !errors.Is(err, snapshotfile.ErrLocked) {
 			t.Errorf("while a process uses the directory: %v", err)
@@ -292,31 +294,31 @@
 		if err != nil || s == nil || s.Node != "n3" || len(s.Servers) != 2 {
 			t.Fatalf("after %v: %+v, %v", sig, s, err)
 		}
-		if sig == syscall.SIGTERM && s.TakenAt < endedAt {
-			t.Errorf("the snapshot is of %.0f ms before the end of the process that has ended", endedAt-s.TakenAt)
+		if sig == syscall.SIGTERM && s.TakenAt < signalledAt {
+			t.Errorf("the snapshot was taken %.0f ms before the process was signalled to stop", signalledAt-s.TakenAt)
 		}
 		current = successor
 	}
-	endedAt := float64(time.Now().UnixMilli())
-	current.signal(syscall.SIGTERM, 2*time.Second)
-	if s, err := snapshotfile.Load(dir); err != nil || s == nil || s.TakenAt < endedAt || len(s.Servers) != 2 {
+	signalledAt := float64(time.Now().UnixMilli())
+	current.signalAndWait(syscall.SIGTERM, 2*time.Second)
+	if s, err := snapshotfile.Load(dir); err != nil || s == nil || s.TakenAt < signalledAt || len(s.Servers) != 2 {
 		t.Errorf("after the last process: %+v, %v", s, err)
 	}
 }
 
-// A configuration that is replaced while a successor starts, which has read the one before and may not be signalled yet, is in force once it
-// has taken over. It was once read at the next SIGHUP only.
+// TestConfigurationReplacedDuringTakeover replaces the configuration while a successor starts, which has read the earlier file and cannot
+// be signalled yet. The new configuration must be in effect after the takeover; it once took effect at the next SIGHUP only.
 func TestConfigurationReplacedDuringTakeover(t *testing.T) {
-	skipUntraceable(t)
+	skipUnlessTraceable(t)
 	t.Parallel()
 	n := newTestNode(t)
 	current := n.start()
 	current.waitForReply("status", "OK")
-	n.faults = "calls=socket,errno=ENFILE,for=1s" // which holds it up behind its configuration
+	n.faultPlan = "calls=socket,errno=ENFILE,for=1s" // delays the successor after it has read its configuration
 	successor := n.start()
 	time.Sleep(500 * time.Millisecond)
-	successor.rewriteConfig(`"MaxExecutions":4`, `"MaxExecutions":3`)
+	successor.replaceInConfig(`"MaxExecutions":4`, `"MaxExecutions":3`)
 	successor.waitForReply("status", "OK")
-	current.signal(syscall.SIGTERM, 2*time.Second)
+	current.signalAndWait(syscall.SIGTERM, 2*time.Second)
 	successor.log.WaitFor(t, "reloaded the configuration")
 }
--- a/cmd/mintspring/idempotency.go
+++ b/cmd/mintspring/idempotency.go
@@ -101,9 +101,10 @@
 	return nil
 }
 
-// newStorageIncarnation returns an incarnation for a data directory that is created now.
+// newStorageIncarnation returns an incarnation for a data directory that is created now. If the clock is behind, the replica detects that
+// later and takes a greater incarnation.
 func newStorageIncarnation() idempotency.StorageIncarnation {
-	return cluster.NewIncarnation(float64(time.Now().UnixMilli()), 0.5) //nolint:forbidigo // one from a clock that was behind is detected and replaced
+	return cluster.NewIncarnation(float64(time.Now().UnixMilli()), 0.5) //nolint:forbidigo // a clock that is behind is detected later
 }
 
 type idempotencyVerifyCmd struct {
--- a/cmd/mintspring/idempotency_test.go
+++ b/cmd/mintspring/idempotency_test.go
@@ -16,7 +16,7 @@
 	"mintspring/internal/testbed/processrunner"
 )
 
-// idempotencyExperiment is so many nodes with records of their sales, whose idempotency keys servers forget after a moment.
+// idempotencyExperiment runs nodes with idempotency records. The servers deduplicate writes by their idempotency keys for 400 ms only.
 const idempotencyExperiment = `name = "sales"
 seed = 3
 settle = "1s"
@@ -65,8 +65,9 @@
 at_most = 0
 %s`
 
-// writeIdempotencyFile writes the operator's file of so many members, with more behind it, and returns its name.
-func writeIdempotencyFile(t *testing.T, members int, more string) string {
+// writeIdempotencyOperatorFile writes an operator's file with the given number of members, followed by extraSections, and returns its
+// path.
+func writeIdempotencyOperatorFile(t *testing.T, members int, extraSections string) string {
 	t.Helper()
 	var addrs strings.Builder
 	for i := range members {
@@ -80,16 +81,16 @@
 claim_timeout = "150ms"
 commit_timeout = "150ms"
 anti_entropy_interval = "300ms"
-members = [`+addrs.String()+"]\n"+more)
+members = [`+addrs.String()+"]\n"+extraSections)
 	return name
 }
 
-// salesFleet is three nodes of the program with idempotency records, among fake servers.
-type salesFleet struct{ *processrunner.StandaloneFleet }
+// idempotencyFleet is three nodes with idempotency records among fake servers.
+type idempotencyFleet struct{ *processrunner.StandaloneFleet }
 
-func startSalesFleet(t *testing.T, more string) salesFleet {
+func startIdempotencyFleet(t *testing.T, extraSections string) idempotencyFleet {
 	t.Helper()
-	x, err := experiment.Parse("sales", fmt.Sprintf(idempotencyExperiment, 3, writeIdempotencyFile(t, 3, more), ""))
+	x, err := experiment.Parse("sales", fmt.Sprintf(idempotencyExperiment, 3, writeIdempotencyOperatorFile(t, 3, extraSections), ""))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -98,11 +99,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(fleet.Close)
-	return salesFleet{fleet}
+	return idempotencyFleet{fleet}
 }
 
-// sell sends a sale to a node, and returns its receipt.
-func (f salesFleet) sell(node int, class, key string) (string, error) {
+// write sends a write with an idempotency key to a node, and returns its receipt.
+func (f idempotencyFleet) write(node int, class, key string) (string, error) {
 	request := processrunner.SingleRequest{
 		Addr: f.Addrs[node], Class: class, Tenant: "all", Key: "key-" + key, Value: "value", Write: true, IdempotencyKey: key,
 		Timeout: 500 * time.Millisecond,
@@ -110,31 +111,31 @@
 	return request.Send()
 }
 
-// sellEventually repeats a sale until it has a receipt, which a node that has just started may not give at once.
-func (f salesFleet) sellEventually(t *testing.T, node int, class, key string) (receipt string) {
+// writeEventually repeats a write until it has a receipt: a node that has just started may not return one at once.
+func (f idempotencyFleet) writeEventually(t *testing.T, node int, class, key string) (receipt string) {
 	t.Helper()
 	eventually(t, testTimeout, func() (err error) {
-		receipt, err = f.sell(node, class, key)
+		receipt, err = f.write(node, class, key)
 		return err
 	})
 	return receipt
 }
 
-// checkExecutions checks how often the sale with a key was executed.
-func (f salesFleet) checkExecutions(t *testing.T, key string, want int) {
+// checkExecutions checks how often the write with an idempotency key was executed.
+func (f idempotencyFleet) checkExecutions(t *testing.T, key string, want int) {
 	t.Helper()
 	if n := f.EffectCount("key-" + key); n != want {
 		t.Errorf("%s was executed %d times, want %d", key, n, want)
 	}
 }
 
-// TestSaleOutlivesItsMachines: a sale is executed at one node, whose machine is lost with its disk. Retried at another, after its
-// servers have forgotten it, it gets the same receipt and is not executed again; also when the next machine is lost as well,
-// once the first one has been replaced.
-func TestSaleOutlivesItsMachines(t *testing.T) {
-	f := startSalesFleet(t, "")
-	receipt := f.sellEventually(t, 0, "write", "m1")
-	time.Sleep(500 * time.Millisecond) // longer than servers drop repeats
+// TestWriteSurvivesMachineLoss executes a write at one node, whose machine is then lost with its disk. A retry at another node, after the
+// servers have forgotten the write, must return the same receipt without a second execution. The same holds when the next machine is lost
+// after the first one has been replaced.
+func TestWriteSurvivesMachineLoss(t *testing.T) {
+	f := startIdempotencyFleet(t, "")
+	receipt := f.writeEventually(t, 0, "write", "m1")
+	time.Sleep(500 * time.Millisecond) // longer than the servers deduplicate
 	for lost := range 3 {
 		if err := f.LoseMachine(lost); err != nil {
 			t.Fatal(err)
@@ -143,7 +144,7 @@
 		if err := f.Restart(lost); err != nil {
 			t.Fatal(err)
 		}
-		// The next one is lost when this one reports that it holds all records again; what it holds is checked below.
+		// The next machine is lost once this node reports that it holds all records again. The records are checked below.
 		eventually(t, testTimeout, func() error {
 			text, err := f.AdminCall(lost, "book")
 			if err == nil && !strings.Contains(text, `"state":"holds"`) {
@@ -164,20 +165,20 @@
 	checkStoredReceipt(t, dir, receipt)
 }
 
-// checkReceiptWithout sells m1 again at each node but the lost one, and expects the receipt of the first sale.
-func (f salesFleet) checkReceiptWithout(t *testing.T, lost int, receipt string) {
+// checkReceiptWithout repeats the write m1 at each node but the lost one, and expects the receipt of the first write.
+func (f idempotencyFleet) checkReceiptWithout(t *testing.T, lost int, receipt string) {
 	t.Helper()
 	for node := range 3 {
 		if node == lost {
 			continue
 		}
-		if again, err := f.sell(node, "write", "m1"); err != nil || again != receipt {
+		if again, err := f.write(node, "write", "m1"); err != nil || again != receipt {
 			t.Errorf("node %d, with the machine of %d lost: %q, %v; the receipt was %q", node, lost, again, err, receipt)
 		}
 	}
 }
 
-// checkStoredReceipt expects one completed record in the data directory of a node that has caught up, with the receipt.
+// checkStoredReceipt expects one completed record with the receipt in a data directory, and that the directory has caught up.
 func checkStoredReceipt(t *testing.T, dir, receipt string) {
 	t.Helper()
 	summary, err := storage.Inspect(dir)
@@ -194,24 +195,24 @@
 	}
 }
 
-// TestSalesWithoutQuorum: with most members cut off, sales are rejected at once with a Retry-After, or are executed where the
-// operators say so; reads are not affected.
-func TestSalesWithoutQuorum(t *testing.T) {
-	f := startSalesFleet(t, "[idempotency.no_quorum]\ncredit = \"origin\"\n")
-	f.sellEventually(t, 0, "write", "m0")
+// TestWritesWithoutQuorum cuts off most members. Writes must be rejected at once with a Retry-After, or executed if the operator's file
+// allows that for their class. Reads must not be affected.
+func TestWritesWithoutQuorum(t *testing.T) {
+	f := startIdempotencyFleet(t, "[idempotency.no_quorum]\ncredit = \"origin\"\n")
+	f.writeEventually(t, 0, "write", "m0")
 	f.UpdateIdempotencyLinks(func(l *faultrelay.Links) {
 		l.Set([]int{0, 1, 2}, []int{0, 1, 2}, func(x *faultrelay.Link) { x.Cut = true })
 	})
 	start := time.Now()
-	if reply, err := f.sell(0, "write", "m1"); err == nil || !strings.Contains(err.Error(), "retry after") {
+	if reply, err := f.write(0, "write", "m1"); err == nil || !strings.Contains(err.Error(), "retry after") {
 		t.Errorf("the reply is %q, %v", reply, err)
 	}
 	if took := time.Since(start); took > 400*time.Millisecond {
 		t.Errorf("rejected after %v", took)
 	}
 	f.checkExecutions(t, "m1", 0)
-	if _, err := f.sell(0, "credit", "m2"); err != nil {
-		t.Errorf("where it may be executed: %v", err)
+	if _, err := f.write(0, "credit", "m2"); err != nil {
+		t.Errorf("a write that may be executed without a quorum: %v", err)
 	}
 	start = time.Now()
 	read := processrunner.SingleRequest{Addr: f.Addrs[0], Class: "read", Tenant: "all", Key: "key-m0", Timeout: 500 * time.Millisecond}
@@ -220,14 +221,15 @@
 		t.Errorf("a read: %v after %v", err, took)
 	}
 	f.UpdateIdempotencyLinks(func(l *faultrelay.Links) { l.Heal() })
-	f.sellEventually(t, 0, "write", "m1")
+	f.writeEventually(t, 0, "write", "m1")
 	f.checkExecutions(t, "m1", 1)
 }
 
-// TestFiveNodesKeepRecords: five processes with idempotency records lose machines with their disks one after another, are frozen,
-// killed at once and cut off, while a tenth of the origin's responses are lost and clients retry their sales long after servers
-// have forgotten them: none is executed twice and no rule is broken. The same without records shows what they are for.
-func TestFiveNodesKeepRecords(t *testing.T) {
+// TestIdempotencyRecordsSurviveFaults runs five nodes with idempotency records. They lose machines with their disks one after another,
+// are frozen, killed at once and cut off, while a tenth of the origin's responses is lost and clients retry their writes long after the
+// servers have forgotten them. No write may be executed twice and no rule may be broken. Without records some writes must be executed
+// twice, which shows that the records prevent it.
+func TestIdempotencyRecordsSurviveFaults(t *testing.T) {
 	const lostResponses = `
 [[at]]
 time = "0s"
@@ -237,8 +239,8 @@
 for = "4s"
 `
 	const noRepeats, someRepeats = "[[expect]]\nwhat = \"repeats\"\nat_most = 0\n", "[[expect]]\nwhat = \"repeats\"\nat_least = 5\n"
-	event := func(at, do string, node int, more string) string {
-		return fmt.Sprintf("[[at]]\ntime = %q\ndo = %q\nnode = %d\n%s\n", at, do, node, more)
+	event := func(at, do string, node int, extraKeys string) string {
+		return fmt.Sprintf("[[at]]\ntime = %q\ndo = %q\nnode = %d\n%s\n", at, do, node, extraKeys)
 	}
 	killAll := ""
 	for node := range 5 {
@@ -272,17 +274,17 @@
 			t.Parallel()
 			operator := ""
 			if c.records {
-				operator = writeIdempotencyFile(t, 5, "")
+				operator = writeIdempotencyOperatorFile(t, 5, "")
 			}
-			playExperiment(t, name, fmt.Sprintf(idempotencyExperiment, 5, operator, lostResponses+c.events), t.TempDir())
+			runExperiment(t, name, fmt.Sprintf(idempotencyExperiment, 5, operator, lostResponses+c.events), t.TempDir())
 		})
 	}
 }
 
-// TestBareMachineGetsASnapshot: a node on a bare machine restores the snapshot of another member, within a second and as another
-// node's.
-func TestBareMachineGetsASnapshot(t *testing.T) {
-	f := startSalesFleet(t, "[snapshot]\ndata_dir = \"${MINTSPRING_NODE_DIR}/learnt\"\n")
+// TestNewMachineRestoresPeerSnapshot checks that a node on a new machine restores the snapshot of another member, for which it waits at
+// most a second, and treats it as the snapshot of another node.
+func TestNewMachineRestoresPeerSnapshot(t *testing.T) {
+	f := startIdempotencyFleet(t, "[snapshot]\ndata_dir = \"${MINTSPRING_NODE_DIR}/learnt\"\n")
 	load := processrunner.LoadTest{
 		Addr: f.Addrs[1], Rate: 200, Clients: 8, Duration: time.Second, Class: "read", Tenant: "all", Timeout: 500 * time.Millisecond, Keys: 50,
 	}
--- a/cmd/mintspring/listen.go
+++ b/cmd/mintspring/listen.go
@@ -59,12 +59,12 @@
 
 // Accept sets the socket to non-blocking mode and accepts the next connection.
 func (l sharedListener) Accept() (net.Conn, error) {
-	raw, err := l.SyscallConn()
+	rawConn, err := l.SyscallConn()
 	if err != nil {
 		return nil, err
 	}
 	var setErr error
-	err = raw.Control(func(fd uintptr) { setErr = syscall.SetNonblock(int(fd), true) })
+	err = rawConn.Control(func(fd uintptr) { setErr = syscall.SetNonblock(int(fd), true) })
 	if err = errors.Join(err, setErr); err != nil {
 		return nil, err
 	}
--- a/cmd/mintspring/main_test.go
+++ b/cmd/mintspring/main_test.go
@@ -22,14 +22,14 @@
  "limits":{"cores":1,"memory_mb":192,"sockets":1024},"known":{"revision":41,"complete":true,"members":[{"id":"s"}]},
  "settings":{"Workloads":[{"Name":"read","SloTime":1000,"StatementTimeout":2000}]},"later":[1]}`
 
-func loadText(t *testing.T, text string) (*platform.Config, error) {
+func loadConfig(t *testing.T, text string) (*platform.Config, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "config.json")
 	writeFile(t, file, text)
 	return platform.Load(fileFlags{Config: file}.getenv)
 }
 
-// signalSelf sends a signal to the process of the test.
+// signalSelf sends a signal to the test's own process.
 func signalSelf(t *testing.T, sig syscall.Signal) {
 	t.Helper()
 	if err := syscall.Kill(os.Getpid(), sig); err != nil {
@@ -37,31 +37,32 @@
 	}
 }
 
-// TestSignals: SIGHUP ends nothing, and SIGTERM works after any number of them, also of ones whose file is gone.
+// TestSignals checks that SIGHUP never ends the process, and that SIGTERM stops it after any number of SIGHUPs, also when the
+// configuration file is gone.
 func TestSignals(t *testing.T) {
-	members := func(w http.ResponseWriter) {
-		// The node may have gone.
+	writeEndpointList := func(w http.ResponseWriter) {
+		// An error means that the node has closed the connection.
 		_, _ = fmt.Fprintln(w, `{"revision":1,"complete":true,"members":[{"id":"s","host_port":"127.0.0.1:9","phase":"in_service"}]}`)
 	}
 	requested := make(chan struct{})
 	var once sync.Once
-	first := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { members(w) }))
-	defer first.Close()
-	second := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+	firstService := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { writeEndpointList(w) }))
+	defer firstService.Close()
+	secondService := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		once.Do(func() { close(requested) })
-		members(w)
+		writeEndpointList(w)
 	}))
-	defer second.Close()
+	defer secondService.Close()
 	port, err := reservedport.Reserve()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer closeAll(port)
 	file := filepath.Join(t.TempDir(), "config.json")
-	configure := func(discovery string) {
+	writeConfig := func(discovery string) {
 		writeFile(t, file, strings.NewReplacer("127.0.0.1:1\"", port.Addr()+"\"", "127.0.0.1:2\"", discovery+"\"").Replace(validConfig))
 	}
-	configure(first.Listener.Addr().String())
+	writeConfig(firstService.Listener.Addr().String())
 	t.Setenv(configEnv, file)
 	ended := make(chan error, 1)
 	go func() { ended <- (&runCmd{}).Run() }()
@@ -72,7 +73,7 @@
 		}
 		return err
 	})
-	configure(second.Listener.Addr().String())
+	writeConfig(secondService.Listener.Addr().String())
 	signalSelf(t, syscall.SIGHUP)
 	signalSelf(t, syscall.SIGHUP)
 	select {
@@ -99,18 +100,18 @@
 	}
 }
 
-// TestListenWaits: listen waits until an address is not in use any more.
+// TestListenWaits checks that listen waits until an address is no longer in use.
 func TestListenWaits(t *testing.T) {
 	anyPort, err := loopback.AnyPort()
 	if err != nil {
 		t.Fatal(err)
 	}
-	old, err := listen(anyPort, 0)
+	holder, err := listen(anyPort, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
-	time.AfterFunc(50*time.Millisecond, func() { closeAll(old) })
-	ln, err := listen(old.Addr().String(), 5*time.Second)
+	time.AfterFunc(50*time.Millisecond, func() { closeAll(holder) })
+	ln, err := listen(holder.Addr().String(), 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintspring/nodeprocess_test.go
+++ b/cmd/mintspring/nodeprocess_test.go
@@ -26,13 +26,13 @@
 	"mintspring/internal/testbed/syscalltrace"
 )
 
-// The test's program is a node where nodeEnv is set, because processes that take over from one another have to be real ones;
-// operatorEnv names its operator's file. With programArg ahead of them, its arguments are those of the node program.
+// The test binary runs as a node if nodeEnv is set, because tests of takeovers need several real processes. operatorEnv names the
+// operator's file of that node. With programArg as its first argument it runs as the program mintspring, with the arguments that follow.
 const (
 	programArg  = "as-mintspring"
 	nodeEnv     = "MINTSPRING_TEST_AS_NODE"
 	operatorEnv = "MINTSPRING_TEST_OPERATOR"
-	faultsEnv   = "MINTSPRING_TEST_FAULTS" // a plan of failing system calls
+	faultsEnv   = "MINTSPRING_TEST_FAULTS" // plan of failing system calls
 )
 
 func TestMain(m *testing.M) {
@@ -51,14 +51,14 @@
 		}
 		os.Exit(0)
 	}
-	if err := endWithoutRaceDelay(); err != nil {
+	if err := disableRaceExitDelay(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 	os.Exit(m.Run())
 }
 
-// runWithFaults runs this program as a node whose system calls fail by a plan, and exits.
+// runWithFaults runs the test binary as a node whose system calls fail according to a plan, and exits.
 func runWithFaults(text string) {
 	plan, err := syscalltrace.ParseFaultPlan(text)
 	if err == nil {
@@ -74,17 +74,17 @@
 	os.Exit(0)
 }
 
-// endWithoutRaceDelay has the processes that tests start end when the program does. Under the race detector a program sleeps for a second
-// before it exits, with its listener closed already: to a bench that expects each request to be answered until the process is gone, a
-// node that stops looked like one that rejects connections for a second. Without the race detector the variable is not read.
-func endWithoutRaceDelay() error {
+// disableRaceExitDelay makes the processes that tests start exit without a delay. Under the race detector a program sleeps for a second
+// before it exits, with its listener already closed. A bench expects each request to be answered until the process is gone, so that a
+// stopping node looked like one that rejects connections for a second. Without the race detector the variable is not read.
+func disableRaceExitDelay() error {
 	return os.Setenv("GORACE", strings.TrimSpace(os.Getenv("GORACE")+" atexit_sleep_ms=0"))
 }
 
-// testTimeout bounds waits for what takes a moment.
+// testTimeout bounds the waits for events that usually occur at once.
 const testTimeout = 5 * time.Second
 
-// eventually calls f until it returns no error, which is a failure of the test if it does not come to that within timeout.
+// eventually calls f until it returns no error. If it still returns one after the timeout, the test fails.
 func eventually(t testing.TB, timeout time.Duration, f func() error) {
 	t.Helper()
 	for deadline := time.Now().Add(timeout); ; time.Sleep(20 * time.Millisecond) {
@@ -98,7 +98,7 @@
 	}
 }
 
-// closeAll closes what a test is done with; it may be closed already.
+// closeAll closes its arguments and ignores errors, because they may be closed already.
 func closeAll(closers ...interface{ Close() error }) {
 	for _, c := range closers {
 		_ = c.Close()
@@ -112,26 +112,26 @@
 	}
 }
 
-// testNode is the surroundings in which processes of one node are started: the listening socket that is held for them, a
-// directory, a discovery service, and two cache servers that count what they receive.
+// testNode is the environment in which processes of one node are started: the listening socket that is held for them, a directory, a
+// discovery service, and two cache servers that count the requests they receive.
 type testNode struct {
-	t          *testing.T
-	socket     *os.File
-	addr       string
-	dir        string
-	discovery  string
-	operator   string        // path of the operator's file; empty: none
-	faults     string        // plan of failing system calls of processes that are started from now on; empty: none
-	guarantees string        // JSON fields beside the usual ones
-	timeoutMs  int           // of requests
-	work       time.Duration // of a cache server for a request; set before the first one
-	received   [2]atomic.Int64
-	executions sync.Map // by request id, *atomic.Int64
+	t               *testing.T
+	socket          *os.File
+	addr            string
+	dir             string
+	discovery       string
+	operator        string          // path of the operator's file; empty: none
+	faultPlan       string          // plan of failing system calls of processes that are started from now on; empty: none
+	extraGuarantees string          // more JSON fields of Guarantees, each after a comma
+	timeoutMs       int             // timeout of requests, in ms
+	serviceTime     time.Duration   // time that a cache server takes for a request; set before the first request
+	received        [2]atomic.Int64 // requests, by cache server
+	executions      sync.Map        // number of executions, an *atomic.Int64, by request id
 }
 
 func newTestNode(t *testing.T) *testNode {
 	t.Helper()
-	n := &testNode{t: t, dir: t.TempDir(), timeoutMs: 1200, work: time.Millisecond}
+	n := &testNode{t: t, dir: t.TempDir(), timeoutMs: 1200, serviceTime: time.Millisecond}
 	ln := n.listen()
 	n.addr = ln.Addr().String()
 	var err error
@@ -148,7 +148,7 @@
 	}
 	list := fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`+"\n", strings.Join(members, ","))
 	service := loopbacktest.StartServer(t, http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		_, _ = fmt.Fprint(w, list) // the node may have gone
+		_, _ = fmt.Fprint(w, list) // the node may have closed the connection
 		w.(http.Flusher).Flush()
 		if req.URL.Query().Has("watch") {
 			<-req.Context().Done()
@@ -159,9 +159,10 @@
 	return n
 }
 
-// serveCache serves a cache server that has every key, until its listener is closed. It refuses what is no request to a cache server.
+// serveCache runs a cache server that has every key, until its listener is closed. Its reply to anything but a request to a cache server
+// is an error.
 func (n *testNode) serveCache(ln net.Listener, received *atomic.Int64) {
-	// The error says that the listener is closed.
+	// Serve returns when the listener is closed.
 	_ = redcon.Serve(ln, func(c redcon.Conn, cmd redcon.Command) {
 		if !fakes.IsCacheRequest(cmd.Args) {
 			c.WriteError("ERR not a request to a cache server")
@@ -170,7 +171,7 @@
 		received.Add(1)
 		count, _ := n.executions.LoadOrStore(string(cmd.Args[2]), new(atomic.Int64))
 		count.(*atomic.Int64).Add(1)
-		time.Sleep(n.work)
+		time.Sleep(n.serviceTime)
 		c.WriteRaw([]byte("*3\r\n$3\r\nhit\r\n$3\r\nhit\r\n$-1\r\n"))
 	}, nil, nil)
 }
@@ -181,7 +182,7 @@
 	return ln
 }
 
-// writeOperatorFile gives the processes that are started from now on an operator's file.
+// writeOperatorFile writes the operator's file of the processes that are started from now on.
 func (n *testNode) writeOperatorFile(text string) {
 	n.t.Helper()
 	n.operator = filepath.Join(n.dir, "operator.toml")
@@ -193,7 +194,7 @@
 	*exec.Cmd
 	configFile string
 	adminAddr  string
-	exited     chan error // receives its end once, and is closed then
+	exited     chan error // receives the error of Wait once, and is closed then
 	log        *logrecorder.Recorder
 	t          *testing.T
 }
@@ -203,7 +204,7 @@
 	return n.startAt(n.reserveAddr())
 }
 
-// reserveAddr returns an address that nobody else is given during the test.
+// reserveAddr returns an address that is reserved until the end of the test.
 func (n *testNode) reserveAddr() string {
 	n.t.Helper()
 	port, err := reservedport.Reserve()
@@ -214,7 +215,7 @@
 	return port.Addr()
 }
 
-// startAt starts a process with its admin port at an address.
+// startAt starts a process with its admin port at adminAddr.
 func (n *testNode) startAt(adminAddr string) *nodeProcess {
 	n.t.Helper()
 	text := strings.NewReplacer(
@@ -222,12 +223,12 @@
 		"127.0.0.1:2", n.discovery,
 		`"known":{"revision":41,"complete":true,"members":[{"id":"s"}]},`, "",
 		`"SloTime":1000,"StatementTimeout":2000}]`, `"Effect":"pure","SloTime":`+strconv.Itoa(n.timeoutMs/3)+`000,"StatementTimeout":`+strconv.Itoa(n.timeoutMs)+`000,"Importance":1}],
-		"PolicyLimits":{"MaxExecutions":4,"ConnectTimeout":250000},"Quantum":5000,"Guarantees":{"StopSendingWithin":500000`+n.guarantees+`}`,
+		"PolicyLimits":{"MaxExecutions":4,"ConnectTimeout":250000},"Quantum":5000,"Guarantees":{"StopSendingWithin":500000`+n.extraGuarantees+`}`,
 	).Replace(validConfig)
 	file := filepath.Join(n.t.TempDir(), "config.json")
 	writeFile(n.t, file, text)
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), nodeEnv+"=1", "LB_CONFIG="+file, "LB_SOCKET_FD=3", "TMPDIR="+n.dir, operatorEnv+"="+n.operator, faultsEnv+"="+n.faults)
+	c.Env = append(os.Environ(), nodeEnv+"=1", "LB_CONFIG="+file, "LB_SOCKET_FD=3", "TMPDIR="+n.dir, operatorEnv+"="+n.operator, faultsEnv+"="+n.faultPlan)
 	c.ExtraFiles = []*os.File{n.socket}
 	log := &logrecorder.Recorder{}
 	c.Stderr = log
@@ -243,8 +244,8 @@
 	return p
 }
 
-// rewriteConfig replaces a part of the process's configuration.
-func (p *nodeProcess) rewriteConfig(old, replacement string) {
+// replaceInConfig replaces the first occurrence of a text in the configuration file of the process.
+func (p *nodeProcess) replaceInConfig(old, replacement string) {
 	p.t.Helper()
 	text, err := os.ReadFile(p.configFile)
 	if err != nil {
@@ -253,7 +254,8 @@
 	writeFile(p.t, p.configFile, strings.Replace(string(text), old, replacement, 1))
 }
 
-// kill ends the process at the end of a test, before the addresses that it calls are free, and logs what it has logged if the test has failed.
+// kill ends the process at the end of a test, before the addresses that the process connects to are released. If the test has failed, it
+// prints the log of the process.
 func (p *nodeProcess) kill() {
 	_ = p.Process.Kill() // it may have exited
 	select {
@@ -269,7 +271,7 @@
 	}
 }
 
-// waitForReply makes a call on the admin port until the reply has the prefix.
+// waitForReply repeats a call on the admin port until the reply begins with the prefix.
 func (p *nodeProcess) waitForReply(line, prefix string) {
 	p.t.Helper()
 	got := ""
@@ -288,8 +290,8 @@
 	p.t.Errorf("the reply to %s is %q, want %q", line, got, prefix)
 }
 
-// signal sends a signal and waits for the process to exit.
-func (p *nodeProcess) signal(sig syscall.Signal, timeout time.Duration) {
+// signalAndWait sends a signal and waits for the process to exit.
+func (p *nodeProcess) signalAndWait(sig syscall.Signal, timeout time.Duration) {
 	p.t.Helper()
 	if err := p.Process.Signal(sig); err != nil {
 		p.t.Errorf("%v: %v", sig, err)
--- a/cmd/mintspring/reload.go
+++ b/cmd/mintspring/reload.go
@@ -30,7 +30,7 @@
 // cannot be used, nothing changes. The same holds for a configuration that lacks keys of the active one: it may have been truncated and
 // still be parseable.
 //
-// An error means that a file could not be read because of a transient error. Nothing has changed then.
+// An error means that reading a file failed with a transient error. Nothing has changed then.
 func (a activeConfig) reload(files fileFlags, n reloadTarget, log *logrus.Logger) (activeConfig, error) {
 	config, err := platform.Load(files.getenv)
 	if transient.Is(err) {
--- a/cmd/mintspring/reload_test.go
+++ b/cmd/mintspring/reload_test.go
@@ -11,7 +11,7 @@
 	"mintspring/internal/config/settings"
 )
 
-// fakeNode records what it takes over.
+// fakeNode records the discovery address and the deployments that a reload applies.
 type fakeNode struct {
 	discovery   string
 	deployments []settings.Deployment
@@ -24,9 +24,9 @@
 	return nil
 }
 
-// TestReload: a file that cannot be used changes nothing, and what takes effect after a restart only is logged.
+// TestReload checks that a file that cannot be used changes nothing, and that changes which take effect after a restart only are logged.
 func TestReload(t *testing.T) {
-	active, err := loadText(t, validConfig)
+	active, err := loadConfig(t, validConfig)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -57,17 +57,17 @@
 		got := reloaded.platform
 		settingsChange := strings.Contains(c.new, "900")
 		if applied := len(node.deployments) == 1; applied != settingsChange || (got.Deployment.Limits.Classes[0].LatencyObjective == 0.9) != settingsChange {
-			t.Errorf("%q in place of %q: %d changes of settings, now %+v", c.new, c.old, len(node.deployments), got.Deployment.Limits.Classes)
+			t.Errorf("%q instead of %q: %d changes of settings, now %+v", c.new, c.old, len(node.deployments), got.Deployment.Limits.Classes)
 		}
 		discovery := active.Discovery
 		if c.discovery != "" {
 			discovery = c.discovery
 		}
 		if node.discovery != c.discovery || got.Discovery != discovery || got.Limits != active.Limits {
-			t.Errorf("%q in place of %q: switched to %q, active %q, %+v", c.new, c.old, node.discovery, got.Discovery, got.Limits)
+			t.Errorf("%q instead of %q: switched to %q, active %q, %+v", c.new, c.old, node.discovery, got.Discovery, got.Limits)
 		}
 		if !strings.Contains(out.String(), c.log) || strings.Count(out.String(), "\n") != 1 {
-			t.Errorf("%q in place of %q: logged %s", c.new, c.old, out.String())
+			t.Errorf("%q instead of %q: logged %s", c.new, c.old, out.String())
 		}
 	}
 }
--- a/cmd/mintspring/rollingrestart_test.go
+++ b/cmd/mintspring/rollingrestart_test.go
@@ -20,35 +20,35 @@
 	"mintspring/internal/testbed/loopbacktest"
 )
 
-// serverList is a discovery service of two servers whose processes can be restarted.
-type serverList struct {
-	mu       sync.Mutex // guards the fields below
-	revision int
-	addrs    map[string]string      // by id
-	started  map[string]int64       // by id, Unix ms
-	watchers map[chan struct{}]bool // each has room for one change
+// discoveryService is a discovery service with two servers that can be marked as restarted.
+type discoveryService struct {
+	mu         sync.Mutex // guards the fields below
+	revision   int
+	addrs      map[string]string      // by id
+	startTimes map[string]int64       // by id, Unix ms
+	watchers   map[chan struct{}]bool // each buffers one notification
 }
 
-func newServerList(addrs map[string]string) *serverList {
-	return &serverList{revision: 1, addrs: addrs, started: map[string]int64{}, watchers: map[chan struct{}]bool{}}
+func newDiscoveryService(addrs map[string]string) *discoveryService {
+	return &discoveryService{revision: 1, addrs: addrs, startTimes: map[string]int64{}, watchers: map[chan struct{}]bool{}}
 }
 
-func (l *serverList) text() string {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (s *discoveryService) endpointList() string {
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	var members []string
 	for _, id := range []string{"s0", "s1"} {
-		members = append(members, fmt.Sprintf(`{"id":%q,"host_port":%q,"phase":"in_service","up_since_ms":%d}`, id, l.addrs[id], l.started[id]))
+		members = append(members, fmt.Sprintf(`{"id":%q,"host_port":%q,"phase":"in_service","up_since_ms":%d}`, id, s.addrs[id], s.startTimes[id]))
 	}
-	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, l.revision, strings.Join(members, ","))
+	return fmt.Sprintf(`{"revision":%d,"complete":true,"members":[%s]}`, s.revision, strings.Join(members, ","))
 }
 
-func (l *serverList) restart(id string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.revision++
-	l.started[id] = time.Now().UnixMilli()
-	for c := range l.watchers {
+func (s *discoveryService) markRestarted(id string) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.revision++
+	s.startTimes[id] = time.Now().UnixMilli()
+	for c := range s.watchers {
 		select {
 		case c <- struct{}{}:
 		default:
@@ -56,38 +56,38 @@
 	}
 }
 
-func (l *serverList) restarted(id string) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.started[id] > 0
+func (s *discoveryService) restarted(id string) bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.startTimes[id] > 0
 }
 
-func (l *serverList) watch(c chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.watchers[c] = true
+func (s *discoveryService) watch(c chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.watchers[c] = true
 }
 
-func (l *serverList) unwatch(c chan struct{}) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	delete(l.watchers, c)
+func (s *discoveryService) unwatch(c chan struct{}) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	delete(s.watchers, c)
 }
 
-// ServeHTTP serves the list and watches of it.
-func (l *serverList) ServeHTTP(w http.ResponseWriter, req *http.Request) {
-	c := make(chan struct{}, 1)
-	l.watch(c)
-	defer l.unwatch(c)
+// ServeHTTP sends the endpoint list. To a watch it also sends each change of the list.
+func (s *discoveryService) ServeHTTP(w http.ResponseWriter, req *http.Request) {
+	changed := make(chan struct{}, 1)
+	s.watch(changed)
+	defer s.unwatch(changed)
 	send := func(text string) {
-		_, _ = fmt.Fprintln(w, text) // the node may have gone
+		_, _ = fmt.Fprintln(w, text) // the node may have closed the connection
 		w.(http.Flusher).Flush()
 	}
-	send(l.text())
+	send(s.endpointList())
 	for req.URL.Query().Has("watch") {
 		select {
-		case <-c:
-			send(l.text())
+		case <-changed:
+			send(s.endpointList())
 		case <-time.After(time.Second):
 			send("")
 		case <-req.Context().Done():
@@ -96,7 +96,7 @@
 	}
 }
 
-// sendRequests sends requests to a node, whatever becomes of them, until stop is closed.
+// sendRequests sends requests to a node until stop is closed, and ignores their results.
 func sendRequests(addr string, stop <-chan struct{}) {
 	for connection := 0; !isClosed(stop); connection++ {
 		conn, err := net.DialTimeout("tcp4", addr, 200*time.Millisecond)
@@ -139,32 +139,32 @@
 	return err
 }
 
-// coordinatorLine is logged by the node that coordinates a rolling restart.
-const coordinatorLine = "acquired the maintenance lease"
+// coordinatorLogLine is logged by the node that coordinates a rolling restart.
+const coordinatorLogLine = "acquired the maintenance lease"
 
-// coordinatedFleet is nodes that are members of a consensus group, with two servers that are shared by all.
-type coordinatedFleet struct {
-	t         *testing.T
-	servers   *testNode
-	list      *serverList
-	discovery string
-	faults    string   // plan of failing system calls of the nodes; empty: none
-	members   []string // addresses in the group; three initial ones, and one that is added later
-	nodes     []*testNode
-	processes []*nodeProcess
-	stop      chan struct{} // closed when no more requests are to be sent
+// consensusFleet is a fleet whose nodes are the members of a consensus group and share two cache servers.
+type consensusFleet struct {
+	t             *testing.T
+	cacheServers  *testNode
+	service       *discoveryService
+	discoveryAddr string
+	faultPlan     string   // plan of failing system calls of the nodes; empty: none
+	members       []string // addresses of the group: three initial members, and one that is added later
+	nodes         []*testNode
+	processes     []*nodeProcess
+	stopRequests  chan struct{} // closed when no more requests are to be sent
 
-	killed       bool // the coordinator was killed
-	restarts     [2]int
-	lastReceived [2]int64
-	idleLooks    [2]int // how often in a row a server had received nothing
+	coordinatorKilled bool
+	restarts          [2]int // by server
+	lastReceived      [2]int64
+	idlePolls         [2]int // consecutive polls in which a server had received no requests
 }
 
-func newCoordinatedFleet(t *testing.T, faults string) *coordinatedFleet {
+func newConsensusFleet(t *testing.T, faults string) *consensusFleet {
 	t.Helper()
-	f := &coordinatedFleet{t: t, faults: faults, servers: newTestNode(t), members: reserveUDP(t, 4), stop: make(chan struct{})}
-	t.Cleanup(func() { close(f.stop) })
-	resp, err := http.Get("http://" + f.servers.discovery)
+	f := &consensusFleet{t: t, faultPlan: faults, cacheServers: newTestNode(t), members: reserveUDP(t, 4), stopRequests: make(chan struct{})}
+	t.Cleanup(func() { close(f.stopRequests) })
+	resp, err := http.Get("http://" + f.cacheServers.discovery)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -177,10 +177,10 @@
 	for i, part := range strings.Split(string(text), `"host_port":"`)[1:] {
 		addrs[serverID(i)], _, _ = strings.Cut(part, `"`)
 	}
-	f.list = newServerList(addrs)
-	service := loopbacktest.StartServer(f.t, f.list)
-	t.Cleanup(service.CloseClientConnections)
-	f.discovery = service.Listener.Addr().String()
+	f.service = newDiscoveryService(addrs)
+	server := loopbacktest.StartServer(f.t, f.service)
+	t.Cleanup(server.CloseClientConnections)
+	f.discoveryAddr = server.Listener.Addr().String()
 	for i := range 3 {
 		f.startNode(i)
 	}
@@ -190,14 +190,14 @@
 func serverID(i int) string { return fmt.Sprint("s", i) }
 
 // consensusDir is the data directory of a node.
-func (f *coordinatedFleet) consensusDir(n *testNode) string { return filepath.Join(n.dir, "council") }
+func (f *consensusFleet) consensusDir(n *testNode) string { return filepath.Join(n.dir, "council") }
 
-// startNode starts the next node and sends requests to it.
-func (f *coordinatedFleet) startNode(i int) {
+// startNode starts node i, which must be the next one, and sends requests to it.
+func (f *consensusFleet) startNode(i int) {
 	f.t.Helper()
 	n := newTestNode(f.t)
-	n.faults = f.faults
-	n.discovery, n.guarantees = f.discovery, `,"WarmWithin":300000,"StartCapacity":0.5,"FallMultiple":4,"TipAfter":2000000`
+	n.faultPlan = f.faultPlan
+	n.discovery, n.extraGuarantees = f.discoveryAddr, `,"WarmWithin":300000,"StartCapacity":0.5,"FallMultiple":4,"TipAfter":2000000`
 	n.writeOperatorFile(fmt.Sprintf(`[consensus]
 name = "c"
 members = [%q, %q, %q, %q]
@@ -215,12 +215,12 @@
 	}
 	p := n.start()
 	p.waitForReply("status", "OK")
-	go sendRequests(n.addr, f.stop)
+	go sendRequests(n.addr, f.stopRequests)
 	f.nodes, f.processes = append(f.nodes, n), append(f.processes, p)
 }
 
-// call makes a call on the admin port of whichever node carries it out.
-func (f *coordinatedFleet) call(line string) (text string, err error) {
+// callAnyNode makes a call on the admin port of one node after another until one succeeds.
+func (f *consensusFleet) callAnyNode(line string) (text string, err error) {
 	for _, p := range f.processes {
 		if text, err = callAdmin(p.adminAddr, line); err == nil {
 			return text, nil
@@ -229,74 +229,74 @@
 	return "", err
 }
 
-// look counts for how many looks in a row each server has received nothing.
-func (f *coordinatedFleet) look() {
-	for i := range f.idleLooks {
-		received := f.servers.received[i].Load()
+// pollServers counts the consecutive polls in which each server has received no requests.
+func (f *consensusFleet) pollServers() {
+	for i := range f.idlePolls {
+		received := f.cacheServers.received[i].Load()
 		if received == f.lastReceived[i] {
-			f.idleLooks[i]++
+			f.idlePolls[i]++
 		} else {
-			f.idleLooks[i] = 0
+			f.idlePolls[i] = 0
 		}
 		f.lastReceived[i] = received
 	}
 }
 
-// restartExcluded restarts a server that has been idle for a while, which is excluded then. Before the first, the node that
-// coordinates the rolling restart is killed.
-func (f *coordinatedFleet) restartExcluded() {
+// restartExcludedServer restarts a server that has been idle for several polls, because such a server is excluded. Before the first
+// restart it kills the node that coordinates the rolling restart.
+func (f *consensusFleet) restartExcludedServer() {
 	f.t.Helper()
-	f.look()
-	// On a machine that is busy elsewhere both are idle for a moment too: nothing is restarted then, and if both were excluded they
-	// would stay idle.
-	if f.idleLooks[0] >= 30 && f.idleLooks[1] >= 30 {
+	f.pollServers()
+	// On a busy machine both servers may be idle for a moment although they are not excluded. Nothing is restarted then. If both are
+	// excluded, they stay idle.
+	if f.idlePolls[0] >= 30 && f.idlePolls[1] >= 30 {
 		f.t.Fatal("both servers are excluded")
 	}
-	if f.idleLooks[0] >= 2 && f.idleLooks[1] >= 2 {
+	if f.idlePolls[0] >= 2 && f.idlePolls[1] >= 2 {
 		return
 	}
-	for i, looks := range f.idleLooks {
-		if looks < 4 || f.list.restarted(serverID(i)) {
+	for i, polls := range f.idlePolls {
+		if polls < 4 || f.service.restarted(serverID(i)) {
 			continue
 		}
-		if !f.killed {
-			f.killed = true
+		if !f.coordinatorKilled {
+			f.coordinatorKilled = true
 			f.killCoordinator()
 		}
 		f.restarts[i]++
-		f.list.restart(serverID(i))
+		f.service.markRestarted(serverID(i))
 	}
 }
 
-func (f *coordinatedFleet) killCoordinator() {
+func (f *consensusFleet) killCoordinator() {
 	f.t.Helper()
 	coordinator := -1
 	for i, p := range f.processes {
-		if strings.Contains(p.log.String(), coordinatorLine) {
+		if strings.Contains(p.log.String(), coordinatorLogLine) {
 			coordinator = i
 		}
 	}
 	if coordinator < 0 {
 		f.t.Fatal("no node coordinates")
 	}
-	f.processes[coordinator].signal(syscall.SIGKILL, time.Second)
+	f.processes[coordinator].signalAndWait(syscall.SIGKILL, time.Second)
 	f.processes[coordinator] = f.nodes[coordinator].start()
 }
 
-// rollingRestart restarts both servers.
-func (f *coordinatedFleet) rollingRestart() {
+// rollingRestart runs a rolling restart of both servers and checks its progress.
+func (f *consensusFleet) rollingRestart() {
 	f.t.Helper()
 	eventually(f.t, 30*time.Second, func() error {
-		_, err := f.call("roll start 1 s0,s1")
+		_, err := f.callAnyNode("roll start 1 s0,s1")
 		return err
 	})
-	if _, err := f.call("roll start 1 s0"); err == nil {
+	if _, err := f.callAnyNode("roll start 1 s0"); err == nil {
 		f.t.Error("a second rolling restart is started beside the first")
 	}
 	for deadline := time.Now().Add(60 * time.Second); ; {
 		time.Sleep(100 * time.Millisecond)
-		f.restartExcluded()
-		text, err := f.call("roll show")
+		f.restartExcludedServer()
+		text, err := f.callAnyNode("roll show")
 		if err == nil && strings.HasPrefix(text, "over") {
 			if !strings.Contains(text, "done s0,s1") {
 				f.t.Error(text)
@@ -312,26 +312,26 @@
 	}
 	coordinators := 0
 	for _, p := range f.processes {
-		if strings.Contains(p.log.String(), coordinatorLine) {
+		if strings.Contains(p.log.String(), coordinatorLogLine) {
 			coordinators++
 		}
 	}
 	if coordinators == 0 {
-		f.t.Error("no node went on after the coordinator's death")
+		f.t.Error("no node took over after the coordinator was killed")
 	}
 }
 
-// replaceFirstMember loses the directory of the first member, which rejoins under another generation and gets a vote.
-func (f *coordinatedFleet) replaceFirstMember() {
+// replaceFirstMember deletes the data directory of the first member, which then rejoins in a new generation and becomes a voter again.
+func (f *consensusFleet) replaceFirstMember() {
 	f.t.Helper()
 	n := f.nodes[0]
-	f.processes[0].signal(syscall.SIGKILL, time.Second)
+	f.processes[0].signalAndWait(syscall.SIGKILL, time.Second)
 	if err := os.RemoveAll(f.consensusDir(n)); err != nil {
 		f.t.Fatal(err)
 	}
-	without := n.start()
-	without.log.WaitFor(f.t, "data directory is not initialized")
-	without.signal(syscall.SIGKILL, time.Second)
+	uninitialized := n.start()
+	uninitialized.log.WaitFor(f.t, "data directory is not initialized")
+	uninitialized.signalAndWait(syscall.SIGKILL, time.Second)
 	text, err := os.ReadFile(n.operator)
 	if err != nil {
 		f.t.Fatal(err)
@@ -346,7 +346,7 @@
 }
 
 // changeMembers repeats a change until the third process logs the wanted voters.
-func (f *coordinatedFleet) changeMembers(voters string, change func() error) {
+func (f *consensusFleet) changeMembers(voters string, change func() error) {
 	f.t.Helper()
 	p := f.processes[2]
 	eventually(f.t, 30*time.Second, func() error {
@@ -360,35 +360,35 @@
 	})
 }
 
-// TestRollingRestart: three processes, each a node and a member of the consensus group, have two servers restarted one after the
-// other. The node that coordinates is killed while the first server is excluded; another goes on where it stopped. By what the
-// servers saw, both were never excluded at once, and each was once. Then a member rejoins after the loss of its directory,
-// another is added and one is removed, and the group goes on with the new one.
-func TestRollingRestart(t *testing.T) { checkRollingRestart(newCoordinatedFleet(t, "")) }
+// TestRollingRestart runs three processes, each a node and a member of the consensus group, that restart two servers one after the other.
+// The coordinating node is killed while the first server is excluded, and another node continues from there. The requests that the
+// servers receive must show that both were never excluded at once and that each was excluded once. Then a member rejoins after the loss
+// of its directory, another is added, one is removed, and the group continues with the new member.
+func TestRollingRestart(t *testing.T) { checkRollingRestart(newConsensusFleet(t, "")) }
 
-// The same, while the directories of the group fail for a second in every four, at every member: the group goes on between the faults, and
-// nothing of its plan is lost.
+// TestRollingRestartOnFailingDisks does the same as TestRollingRestart while the data directories of all members fail for one second in
+// every four. The group must continue between the faults and lose no part of its plan.
 func TestRollingRestartOnFailingDisks(t *testing.T) {
-	skipUntraceable(t)
+	skipUnlessTraceable(t)
 	t.Parallel()
-	f := newCoordinatedFleet(t, "calls=sync+rename,errno=EIO,path=council,from=2s,for=1s,every=4s")
+	f := newConsensusFleet(t, "calls=sync+rename,errno=EIO,path=council,from=2s,for=1s,every=4s")
 	checkRollingRestart(f)
 	if !slices.ContainsFunc(f.processes, func(p *nodeProcess) bool {
 		return strings.Contains(p.log.String(), "the first call of rename+sync fails")
 	}) {
-		t.Error("no call has failed")
+		t.Error("no system call has failed")
 	}
 }
 
-func checkRollingRestart(f *coordinatedFleet) {
+func checkRollingRestart(f *consensusFleet) {
 	f.t.Helper()
 	f.rollingRestart()
 	f.replaceFirstMember()
 	f.startNode(3)
 	f.changeMembers(`voters="2(0) 3(0) 4(0) 1(1)"`, func() error { return (&addReplicaCmd{f.processes[2].adminAddr, 4, 0}).Run() })
 	f.changeMembers(`voters="3(0) 4(0) 1(1)"`, func() error { return (&removeReplicaCmd{f.processes[2].adminAddr, 2}).Run() })
-	f.processes[1].signal(syscall.SIGKILL, time.Second)
-	f.processes[0].signal(syscall.SIGKILL, time.Second) // two of three voters are left
+	f.processes[1].signalAndWait(syscall.SIGKILL, time.Second)
+	f.processes[0].signalAndWait(syscall.SIGKILL, time.Second) // two of three voters are left
 	eventually(f.t, 30*time.Second, func() error {
 		text, err := callAdmin(f.processes[2].adminAddr, "roll show")
 		if err == nil && !strings.Contains(text, "done s0,s1") {
--- a/cmd/mintspring/run.go
+++ b/cmd/mintspring/run.go
@@ -60,19 +60,19 @@
 		}
 		defer server.Close()
 	}
-	served := make(chan error, 1)
-	go func() { served <- n.Serve(clients) }()
+	serveResult := make(chan error, 1)
+	go func() { serveResult <- n.Serve(clients) }()
 	active := activeConfig{config, operator}
 	var stopped <-chan struct{} // nil until the stop begins
 	takenOver := n.TakenOver()
 	var reloadRetry <-chan time.Time // nil if no retry of a reload is pending
 	for {
 		select {
-		case err := <-served:
+		case err := <-serveResult:
 			if stopped == nil {
 				return err
 			}
-			served = nil // the stop has closed the listener
+			serveResult = nil // the stop has closed the listener
 		case <-signals.hangups:
 			active, reloadRetry = active.reloadOrScheduleRetry(r.fileFlags, n, log, logrus.WarnLevel)
 		case <-takenOver:
--- a/cmd/mintspring/snapshot_test.go
+++ b/cmd/mintspring/snapshot_test.go
@@ -12,7 +12,8 @@
 	"mintspring/internal/state/snapshot"
 )
 
-// TestSnapshotCommands: a snapshot can be shown and checked, and the error about a corrupt one is one line with its name.
+// TestSnapshotCommands checks that a snapshot can be shown and checked, and that the error about a corrupt file is one line with its
+// path.
 func TestSnapshotCommands(t *testing.T) {
 	now := time.UnixMilli(1_700_000_600_000)
 	file := filepath.Join(t.TempDir(), "learnt")
@@ -40,15 +41,15 @@
 	}
 }
 
-// TestCheckOwnSnapshot: a snapshot that a node has written is one of its deployment, also where its settings have the endpoint list
-// polled: the check once called it another deployment's, though the node itself trusted it.
+// TestCheckOwnSnapshot checks that a snapshot that a node has written is accepted as one of its own deployment, also if the settings have
+// the endpoint list polled. The check once attributed such a snapshot to another deployment, although the node itself trusted it.
 func TestCheckOwnSnapshot(t *testing.T) {
 	n := newTestNode(t)
 	dir := filepath.Join(n.dir, "learnt")
 	n.writeOperatorFile(fmt.Sprintf("[snapshot]\ndata_dir = %q\n", dir))
 	p := n.start()
 	p.waitForReply("status", "OK")
-	p.signal(syscall.SIGTERM, 5*time.Second)
+	p.signalAndWait(syscall.SIGTERM, 5*time.Second)
 	files, err := filepath.Glob(filepath.Join(dir, "learnt*"))
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/mintspring/stop_test.go
+++ b/cmd/mintspring/stop_test.go
@@ -13,8 +13,8 @@
 	"github.com/tidwall/redcon"
 )
 
-// Times of the operators' protocol ("Figures"): the process is killed no sooner than this after the longest deadline of a request, counted
-// from SIGTERM.
+// killAfterDeadline is a figure of the operators' protocol ("Figures"): the platform kills the process no sooner than this after the
+// longest request deadline, counted from SIGTERM.
 const killAfterDeadline = 700 * time.Millisecond
 
 // expectStop signals the process to stop and expects it to exit before the platform may kill it.
@@ -26,19 +26,19 @@
 			n.t.Fatal(err)
 		}
 	}
-	kill := time.Duration(n.timeoutMs)*time.Millisecond + killAfterDeadline
+	killAfter := time.Duration(n.timeoutMs)*time.Millisecond + killAfterDeadline
 	select {
 	case err := <-p.exited:
-		if took := time.Since(start); err != nil || took > kill {
-			n.t.Errorf("after %v: the process exits %v later with %v; it may be killed after %v", signals, took, err, kill)
+		if took := time.Since(start); err != nil || took > killAfter {
+			n.t.Errorf("after %v: the process exits %v later with %v; it may be killed after %v", signals, took, err, killAfter)
 		}
-	case <-time.After(kill + testTimeout):
+	case <-time.After(killAfter + testTimeout):
 		n.t.Errorf("after %v the process does not exit", signals)
 	}
 }
 
-// TestStopBeforeEarliestKill: with short deadlines the platform kills soon, and the node has ended before, also beside a client
-// that has sent half of a command, and after signals in series, in either order.
+// TestStopBeforeEarliestKill checks that the node exits before the platform may kill it, which is early if request deadlines are short.
+// The node must also exit in time with a client that has sent half a command, and after several signals in any order.
 func TestStopBeforeEarliestKill(t *testing.T) {
 	series := [][]syscall.Signal{
 		{syscall.SIGTERM},
@@ -63,28 +63,28 @@
 	}
 }
 
-// TestStopDuringStart: SIGTERM that comes while the node starts counts from its arrival. A client that the listening socket
-// has taken by then has its answer.
+// TestStopDuringStart checks that the time limits of a stop begin when SIGTERM arrives, also while the node starts, and that a client
+// whose connection the listening socket has accepted by then gets a response.
 func TestStopDuringStart(t *testing.T) {
 	n := newTestNode(t)
 	n.timeoutMs = 300
 	adminAddr := n.reserveAddr()
-	busy, err := net.Listen("tcp", adminAddr)
+	holder, err := net.Listen("tcp", adminAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	p := n.startAt(adminAddr)
-	time.Sleep(300 * time.Millisecond) // it waits for the admin port's address
+	time.Sleep(300 * time.Millisecond) // the process waits for the address of its admin port
 	answered := make(chan error, 1)
 	go func() { answered <- n.requestOnce("early") }()
-	time.AfterFunc(600*time.Millisecond, func() { closeAll(busy) })
+	time.AfterFunc(600*time.Millisecond, func() { closeAll(holder) })
 	n.expectStop(p, syscall.SIGTERM)
 	if err := <-answered; err != nil {
 		t.Error(err)
 	}
 }
 
-// requestOnce sends a request on a connection of its own and expects a complete reply, of whatever kind.
+// requestOnce sends a request on a connection of its own and expects a complete reply, which may be an error reply.
 func (n *testNode) requestOnce(id string) error {
 	conn, err := net.Dial("tcp", n.addr)
 	if err != nil {
@@ -92,8 +92,8 @@
 	}
 	defer closeAll(conn)
 	b := redcon.AppendArray(nil, 4)
-	for _, word := range []string{"KV.GET", "k" + id, id, fmt.Sprintf("c=read,d=%d", n.timeoutMs)} {
-		b = redcon.AppendBulkString(b, word)
+	for _, arg := range []string{"KV.GET", "k" + id, id, fmt.Sprintf("c=read,d=%d", n.timeoutMs)} {
+		b = redcon.AppendBulkString(b, arg)
 	}
 	line, err := exchange(conn, bufio.NewReader(conn), b)
 	if err != nil {
@@ -102,26 +102,26 @@
 	return nil
 }
 
-// TestStopAnswersBacklogAfterHoldUp: the process is held up for 0.15 s across the moment at which it stops accepting. Requests on
-// connections that were established meanwhile have their answers: the node's machine has accepted them.
-func TestStopAnswersBacklogAfterHoldUp(t *testing.T) {
+// TestStopAnswersBacklogAfterPause pauses the process for 150 ms around the moment at which it stops accepting. Requests on connections
+// that were established during the pause must get responses, because the kernel has already accepted those connections.
+func TestStopAnswersBacklogAfterPause(t *testing.T) {
 	n := newTestNode(t)
 	p := n.start()
 	p.waitForReply("status", "OK")
-	const clients, holdUp = 20, 150 * time.Millisecond
+	const clients, pause = 20, 150 * time.Millisecond
 	answered := make(chan error, clients)
 	start := time.Now()
 	if err := p.Process.Signal(syscall.SIGTERM); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(stopGrace - 2*holdUp/3)
+	time.Sleep(stopGrace - 2*pause/3)
 	if err := p.Process.Signal(syscall.SIGSTOP); err != nil {
 		t.Fatal(err)
 	}
 	for i := range clients {
 		go func() { answered <- n.requestOnce(fmt.Sprint("held", i)) }()
 	}
-	time.Sleep(holdUp)
+	time.Sleep(pause)
 	if err := p.Process.Signal(syscall.SIGCONT); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cli/printer_test.go
+++ b/internal/cli/printer_test.go
@@ -10,29 +10,29 @@
 
 var errWrite = errors.New("disk full")
 
-// fullDisk takes one write.
-type fullDisk struct{ writes int }
+// failingWriter accepts one write and then fails.
+type failingWriter struct{ writes int }
 
-func (d *fullDisk) Write(b []byte) (int, error) {
-	if d.writes++; d.writes > 1 {
+func (w *failingWriter) Write(b []byte) (int, error) {
+	if w.writes++; w.writes > 1 {
 		return 0, errWrite
 	}
 	return len(b), nil
 }
 
-// After a failed write nothing more is written, and its error is kept.
+// TestPrinterKeepsTheFirstError checks that nothing more is written after a failed write, and that its error is kept.
 func TestPrinterKeepsTheFirstError(t *testing.T) {
-	disk := &fullDisk{}
-	p := NewPrinter(disk)
+	writer := &failingWriter{}
+	p := NewPrinter(writer)
 	for range 3 {
 		p.Printf("%d\n", 1)
 	}
-	if !errors.Is(p.Err(), errWrite) || disk.writes != 2 {
-		t.Errorf("%v after %d writes", p.Err(), disk.writes)
+	if !errors.Is(p.Err(), errWrite) || writer.writes != 2 {
+		t.Errorf("%v after %d writes", p.Err(), writer.writes)
 	}
 }
 
-// Errors of files are printed and counted, old names with their lines.
+// TestPrintsAboutFiles checks that errors of files are printed and counted, and that deprecated names are printed with their lines.
 func TestPrintsAboutFiles(t *testing.T) {
 	var out strings.Builder
 	p := NewPrinter(&out)
--- a/internal/commandalias/commandalias_test.go
+++ b/internal/commandalias/commandalias_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// testTable has a name of each kind that was changed.
+// testTable returns a table with one renamed name of each kind.
 func testTable() *Table {
 	return &Table{
 		Commands:    Renames{"old": "new"},
@@ -54,7 +54,7 @@
 	}
 }
 
-// Each old name has its warning, and one that cannot be written stops nothing.
+// TestResolveWithWarnings checks that each deprecated name has its warning, and that a warning that cannot be written is ignored.
 func TestResolveWithWarnings(t *testing.T) {
 	args := []string{"old", "--most", "few"}
 	want := []string{"new", "--limit", "2"}
