--- a/internal/commandalias/commandalias_test.go
+++ b/internal/commandalias/commandalias_test.go
@@ -7,13 +7,13 @@
 	"testing"
 )
 
-// testTable has a name of each kind that was changed.
+// testTable returns a table with one renamed name of each kind.
 func testTable() *Table {
 	return &Table{
-		Commands:    Names{"old": "new"},
-		Subcommands: map[string]Names{"new": {"found": "init"}},
-		Flags:       map[string]Names{"new": {"--most": "--limit"}},
-		Values:      map[string]map[string]Names{"new": {"--limit": {"few": "2"}}},
+		Commands:    Renames{"old": "new"},
+		Subcommands: map[string]Renames{"new": {"found": "init"}},
+		Flags:       map[string]Renames{"new": {"--most": "--limit"}},
+		Values:      map[string]map[string]Renames{"new": {"--limit": {"few": "2"}}},
 	}
 }
 
@@ -54,7 +54,7 @@
 	}
 }
 
-// Each old name has its warning, and one that cannot be written stops nothing.
+// TestResolveWithWarnings checks that each deprecated name has its warning, and that a warning that cannot be written is ignored.
 func TestResolveWithWarnings(t *testing.T) {
 	args := []string{"old", "--most", "few"}
 	want := []string{"new", "--limit", "2"}
