--- a/cmd/mintspring-xds/controlplane.go
+++ b/cmd/mintspring-xds/controlplane.go
@@ -66,7 +66,7 @@
 	return &controller.Persistence{
 		Dir:         os.ExpandEnv(operator.Snapshot.DataDir),
 		Interval:    operator.Snapshot.Interval.Duration(),
-		TrustPolicy: node.SnapshotTerms("control "+configuration.Name, configuration.Deployment, operator.Snapshot),
+		TrustPolicy: node.SnapshotConfig("control "+configuration.Name, configuration.Deployment, operator.Snapshot),
 	}
 }
 
--- a/cmd/mintspring/snapshot.go
+++ b/cmd/mintspring/snapshot.go
@@ -105,5 +105,5 @@
 	if operator.Snapshot != nil {
 		section = operator.Snapshot
 	}
-	return node.SnapshotTerms(c.Name, node.EffectiveDeployment(c.Deployment), section), "", nil
+	return node.SnapshotConfig(c.Name, node.EffectiveDeployment(c.Deployment), section), "", nil
 }
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -157,14 +157,14 @@
 // NodeConfig returns what the node is started with.
 func (c *Config) NodeConfig() node.Config {
 	return node.Config{
-		Name:         c.Name,
-		Discovery:    c.Discovery,
-		CachedList:   c.Known,
-		Deployment:   c.Deployment,
-		MemoryMB:     c.Limits.MemoryMB,
-		Descriptors:  c.Limits.Sockets,
-		AdminEnabled: c.Admin != "",
-		PeerListen:   c.PeerListen,
-		Peers:        c.Peers,
+		Name:           c.Name,
+		Discovery:      c.Discovery,
+		CachedList:     c.Known,
+		Deployment:     c.Deployment,
+		MemoryMB:       c.Limits.MemoryMB,
+		MaxDescriptors: c.Limits.Sockets,
+		AdminEnabled:   c.Admin != "",
+		PeerListen:     c.PeerListen,
+		Peers:          c.Peers,
 	}
 }
--- a/internal/config/platform/platform_test.go
+++ b/internal/config/platform/platform_test.go
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	n := c.NodeConfig()
-	if n.Deployment.Limits.Seed != 0x8c1f30d27a5be964 || n.CachedList.Revision != 41 || n.Descriptors != 1024 || n.MemoryMB != 192 ||
+	if n.Deployment.Limits.Seed != 0x8c1f30d27a5be964 || n.CachedList.Revision != 41 || n.MaxDescriptors != 1024 || n.MemoryMB != 192 ||
 		n.Deployment.RequestClasses[0] != "read" || n.Deployment.Limits.Classes[0].ClientTimeout != 2 {
 		t.Errorf("read as %+v", n)
 	}
--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -194,7 +194,7 @@
 // The admin port answers within its second while clients hold all descriptors that they may, the loop is busy, and other callers hold
 // connections without a command.
 func TestAdminPortUnderLoad(t *testing.T) {
-	tc := newTestCluster(t, 2, serveHit, echoOrigin, func(c *Config) { c.Descriptors = 200 })
+	tc := newTestCluster(t, 2, serveHit, echoOrigin, func(c *Config) { c.MaxDescriptors = 200 })
 	ln := listen(t)
 	server := &admin.Server{Handler: tc.node}
 	go func() {
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -16,15 +16,15 @@
 
 // Config is what a node is started with.
 type Config struct {
-	Name         string
-	Discovery    string           // address of the discovery service
-	CachedList   discovery.Update // endpoint list known at the start
-	Deployment   settings.Deployment
-	Clock        *clock.Clock       // nil: one that begins with the wall clock. A successor continues its predecessor's
-	MemoryMB     int                // memory limit of the process; 0: none
-	Descriptors  int                // limit on file descriptors; 0: none that matters
-	AdminEnabled bool               // the admin port is open
-	Operator     *operatorfile.File // nil: every optional part is off
+	Name           string
+	Discovery      string           // address of the discovery service
+	CachedList     discovery.Update // endpoint list known at the start
+	Deployment     settings.Deployment
+	Clock          *clock.Clock       // nil: one that begins with the wall clock. A successor continues its predecessor's
+	MemoryMB       int                // memory limit of the process; 0: none
+	MaxDescriptors int                // limit on file descriptors; 0: none that matters
+	AdminEnabled   bool               // the admin port is open
+	Operator       *operatorfile.File // nil: every optional part is off
 
 	// PeerListen is the address on which datagrams of peers are received, and Peers the addresses of all nodes by their number. The
 	// operator's file has precedence over both.
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -42,7 +42,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	n := New(Config{
-		Name: "n0", Discovery: "127.0.0.1:1", Deployment: deployment, Descriptors: 1024, MemoryMB: 192, AdminEnabled: true,
+		Name: "n0", Discovery: "127.0.0.1:1", Deployment: deployment, MaxDescriptors: 1024, MemoryMB: 192, AdminEnabled: true,
 		NewPolicy: func(_ float64, limits fleet.Limits, slab *fleet.Slab) Policy {
 			return decide.New(goldenNow, limits, slab)
 		},
@@ -145,7 +145,7 @@
 	}
 	var b bytes.Buffer
 	for _, s := range []settings.Deployment{full, deployment, {}} {
-		terms := SnapshotTerms("n0", s, &operatorfile.Snapshot{HalfLife: 600e9, MaxAge: 86400e9})
+		terms := SnapshotConfig("n0", s, &operatorfile.Snapshot{HalfLife: 600e9, MaxAge: 86400e9})
 		fmt.Fprintf(&b, "%016x %v %v %q %q\n", terms.PolicyFingerprint, terms.HalfLife, terms.MaxAge, terms.Node, terms.Zone)
 		if snapshot.Version != 2 {
 			t.Errorf("version %d", snapshot.Version)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -39,7 +39,7 @@
 	var recorder logrecorder.Recorder
 	log := logrus.New()
 	log.SetOutput(&recorder)
-	n := New(Config{Name: "n0", Discovery: silentService(t), Deployment: predecessor.node.deployment, Descriptors: 1024}, log)
+	n := New(Config{Name: "n0", Discovery: silentService(t), Deployment: predecessor.node.deployment, MaxDescriptors: 1024}, log)
 	ln := listen(t)
 	n.StartHandover(dir, join)
 	serve(t, n, ln)
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -120,7 +120,7 @@
 	if config.AdminEnabled {
 		setAside = admin.MaxConnections
 	}
-	return fdlimit.New(config.Descriptors, setAside)
+	return fdlimit.New(config.MaxDescriptors, setAside)
 }
 
 func newPolicy(now float64, config *Config, slab *fleet.Slab) Policy {
--- a/internal/node/snapshots.go
+++ b/internal/node/snapshots.go
@@ -57,7 +57,7 @@
 		dir:      os.ExpandEnv(section.DataDir),
 		open:     snapshotfile.Open,
 		interval: section.Interval.Duration(),
-		trust:    SnapshotTerms(config.Name, config.Deployment, section),
+		trust:    SnapshotConfig(config.Name, config.Deployment, section),
 		stop:     make(chan struct{}),
 	}
 	if config.OpenFiles != nil {
@@ -78,8 +78,8 @@
 	go s.run(err)
 }
 
-// SnapshotTerms says how far a stored snapshot is trusted by a node of this name and deployment.
-func SnapshotTerms(name string, deployment settings.Deployment, section *operatorfile.Snapshot) snapshot.Config {
+// SnapshotConfig says how far a stored snapshot is trusted by a node of this name and deployment.
+func SnapshotConfig(name string, deployment settings.Deployment, section *operatorfile.Snapshot) snapshot.Config {
 	zone := ""
 	if z := int(deployment.Limits.Zone); z >= 0 && z < len(deployment.Zones) {
 		zone = deployment.Zones[z]
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -29,7 +29,7 @@
 	log := logrus.New()
 	log.SetOutput(&n.log)
 	operator := &operatorfile.File{Snapshot: &operatorfile.Snapshot{DataDir: dir, Interval: 3600e9, HalfLife: 600e9, MaxAge: 3600e9}}
-	config := Config{Name: "n0", Discovery: tc.node.discovery.Addr, Deployment: tc.node.deployment, Descriptors: 1024, Operator: operator}
+	config := Config{Name: "n0", Discovery: tc.node.discovery.Addr, Deployment: tc.node.deployment, MaxDescriptors: 1024, Operator: operator}
 	for _, change := range with {
 		change(&config)
 	}
--- a/internal/node/testcluster_test.go
+++ b/internal/node/testcluster_test.go
@@ -72,7 +72,7 @@
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	config := Config{
-		Name: "n0", Discovery: tc.startDiscovery(entries), Deployment: deployment, Descriptors: 1024, MemoryMB: 192, AdminEnabled: true,
+		Name: "n0", Discovery: tc.startDiscovery(entries), Deployment: deployment, MaxDescriptors: 1024, MemoryMB: 192, AdminEnabled: true,
 		CachedList: discovery.Update{},
 	}
 	for _, change := range with {
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -78,7 +78,7 @@
 
 // transferTrust says how far a snapshot of the other process is trusted. It is a moment old, so that any times do.
 func (n *Node) transferTrust() snapshot.Config {
-	return SnapshotTerms(n.name, n.deployment, &operatorfile.Snapshot{
+	return SnapshotConfig(n.name, n.deployment, &operatorfile.Snapshot{
 		HalfLife: tomlfile.Duration(10 * time.Minute),
 		MaxAge:   tomlfile.Duration(24 * time.Hour),
 	})
