--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -19,18 +19,18 @@
 )
 
 const (
-	// clusterTickMs is the time between two looks at what is due among nodes.
+	// clusterTickMs is the interval between two ticks of the cluster member.
 	clusterTickMs = 20
-	// silentPeriods is after how many probe intervals without any datagram a warning is logged. A node whose number or addresses differ
-	// from those that the others have for it never receives any, and would not notice: only one that has heard others and no longer
-	// does takes itself for isolated.
+	// silentPeriods is the number of probe intervals after which a node that has never received a datagram logs a warning. Its number or
+	// address may differ from those that its peers have for it. The detection of isolation does not cover this case: only a node that
+	// has received datagrams, and no longer does, takes itself for isolated.
 	silentPeriods = 10
 )
 
-// clusterTick is how long the loop may wait while it takes part in a cluster.
+// clusterTick is the longest wait of the loop while the node takes part in a cluster or a consensus group.
 var clusterTick = clock.Duration(clusterTickMs)
 
-// clusterMember is the node's part in its cluster, with the socket. The loop owns it. It implements participant.Host.
+// clusterMember is the node as a member of its cluster: the participant and its socket. The loop owns it. It implements participant.Host.
 type clusterMember struct {
 	participant.DecisionAdapter
 	node        *Node
@@ -38,12 +38,12 @@
 	socket      *wire.Socket
 
 	nextTickAt     float64
-	isolated       bool    // as logged last
-	warnSilentAt   float64 // when to warn that no datagram has come since the start; 0: one has, or it was logged
-	openedLastTime int     // connections opened until the counters were read last
+	isolated       bool    // as last logged
+	warnSilentAt   float64 // when to warn that no datagram has arrived since the start; 0: one has, or the warning was logged
+	previousOpened int     // connections opened until the counters were last read
 }
 
-// clusterConfig is where the peers are, from the operator's file or the platform.
+// clusterConfig has the addresses of the peers, from the operator's file or the platform, and the gossip configuration.
 type clusterConfig struct {
 	listenAddr string
 	peers      []string
@@ -53,7 +53,7 @@
 // newClusterConfig returns nil without a cluster.
 func (n *Node) newClusterConfig(config *Config) (*clusterConfig, error) {
 	if config.Operator == nil || config.Operator.Fleet == nil {
-		return nil, nil //nolint:nilnil // a node without a cluster is no fault
+		return nil, nil //nolint:nilnil // a node need not have a cluster
 	}
 	section := config.Operator.Fleet
 	c := &clusterConfig{listenAddr: section.Listen, peers: section.Peers}
@@ -69,7 +69,7 @@
 	}
 	switch {
 	case c.listenAddr == "" || len(c.peers) == 0:
-		return nil, errors.New("fleet: neither the operator's file nor the configuration says where peers are")
+		return nil, errors.New("fleet: neither the operator's file nor the configuration has the addresses of the peers")
 	case number < 0 || number >= len(c.peers):
 		return nil, fmt.Errorf("fleet: this node's number, %d, is not among %d peers", number, len(c.peers))
 	}
@@ -78,7 +78,7 @@
 	return c, nil
 }
 
-// joinCluster has the node take part in the cluster of the operator's file, if there is one.
+// joinCluster joins the cluster that the operator's file configures, if any.
 func (n *Node) joinCluster(config *Config) error {
 	c, err := n.newClusterConfig(config)
 	if c == nil || err != nil {
@@ -113,20 +113,20 @@
 	}
 }
 
-// useLeasedQuota makes the connection pools spend from the cluster's quota. Until the node has heard others it has its initial part: without
-// that a successor, whose predecessor still holds the address, would open no connection.
+// useLeasedQuota makes the connection pools use the node's part of the cluster's quota, and an initial part until the node has received
+// datagrams: without it a successor whose predecessor still holds the peer address would open no connection.
 func (n *Node) useLeasedQuota(config *gossip.Config) {
-	n.cachePool.LeasedRate, n.cachePool.InitialQuota = config.ShareQuotas, config.QuotaConfig().Initial()
+	n.cachePoolConfig.LeasedRate, n.cachePoolConfig.InitialQuota = config.ShareQuotas, config.QuotaConfig().Initial()
 }
 
-// clusterJoined: the socket to the peers is open.
+// clusterJoined is the event that the socket to the peers is open.
 type clusterJoined struct {
 	socket *wire.Socket
 	config gossip.Config
 }
 
 func (e clusterJoined) handle(n *Node, now float64) {
-	if n.shutdown.left {
+	if n.shutdown.leftGroups {
 		e.socket.Close()
 		return
 	}
@@ -152,7 +152,7 @@
 	go e.socket.ReadLoop(reportError, func(from cluster.NodeID, payload []byte) { n.inbox.post(datagramReceived{from, payload}) })
 }
 
-// datagramReceived: a peer has sent a datagram.
+// datagramReceived is the event that a peer has sent a datagram.
 type datagramReceived struct {
 	from    cluster.NodeID
 	payload []byte
@@ -163,7 +163,7 @@
 	c.send(c.participant.HandleDatagram(now, e.from, e.payload))
 }
 
-// duplicateSeen: a server has sent a second, late response to a request.
+// duplicateSeen is the event that a server has sent a second, late response to a request.
 type duplicateSeen struct{ endpoint *upstream.Endpoint }
 
 func (e duplicateSeen) handle(n *Node, now float64) {
@@ -174,7 +174,7 @@
 	}
 }
 
-// tick does what is due among nodes, every clusterTickMs.
+// tick runs the participant and logs what has changed, every clusterTickMs.
 func (c *clusterMember) tick(now float64) {
 	if now < c.nextTickAt {
 		return
@@ -204,18 +204,18 @@
 	}
 }
 
-// logMemberChanges logs which nodes have joined, died or fallen under suspicion, and why.
+// logMemberChanges logs which nodes have joined, died or become suspect, and why.
 func (c *clusterMember) logMemberChanges() {
 	for _, e := range c.participant.Gossip.DrainEvents() {
 		if e.To == wire.Alive && e.From == wire.Suspect {
-			continue // it has refuted the suspicion
+			continue // the peer has refuted the suspicion
 		}
 		c.node.log.WithField("peer", e.Node).WithField("old_state", e.From.String()).WithField("new_state", e.To.String()).
 			WithField("reason", e.Reason).WithField("heard_ms_ago", int(e.SinceHeardMs)).Info("peer state changed")
 	}
 }
 
-// logServerChanges logs what the evidence of other nodes says of a server, where that has changed.
+// logServerChanges logs changes in the evidence of other nodes about servers.
 func (c *clusterMember) logServerChanges() {
 	for _, change := range c.participant.DrainEvidenceChanges() {
 		log := c.node.log.WithField("server", c.node.servers[change.ServerID].entry.ID).WithField("sources", change.Sources).
@@ -246,31 +246,32 @@
 	}
 }
 
-// close ends the socket, and with it its reader.
+// close closes the socket, which ends its reader.
 func (c *clusterMember) close() { c.socket.Close() }
 
-// Demand returns the rate of connections to a server that the node would open, as participant.Host does.
+// Demand returns the rate at which the node would open connections to a server. It implements participant.Host, as the exported methods
+// of clusterMember below do.
 func (c *clusterMember) Demand(now float64, id fleet.ServerID) float64 {
 	return c.node.servers[id].endpoint.Demand(now)
 }
 
-// SetAllowance takes over the node's quota of connections to a server.
+// SetAllowance sets the node's quota of connections to a server.
 func (c *clusterMember) SetAllowance(_ float64, id fleet.ServerID, allowance quota.Allowance) {
 	c.node.servers[id].endpoint.SetQuota(allowance)
 }
 
-// MarkDuplicating takes over that other nodes have seen a server answer twice.
+// MarkDuplicating records that a server has sent other nodes duplicate responses.
 func (c *clusterMember) MarkDuplicating(_ float64, id fleet.ServerID) {
 	c.node.servers[id].endpoint.ReportedDuplicates()
 }
 
-// NodeCounters returns the counters of this node, those of events since the last call.
+// NodeCounters returns the counters of this node; those that count events cover the time since the last call.
 func (c *clusterMember) NodeCounters() (all [counters.NodeKinds]int) {
 	opened := c.node.upstreams.Stats().Opened
 	all[counters.InFlight] = c.node.inflight.Len()
 	all[counters.ClientConnections] = c.node.frontend.OpenConns()
-	all[counters.ConnectionsOpened] = opened - c.openedLastTime
-	c.openedLastTime = opened
+	all[counters.ConnectionsOpened] = opened - c.previousOpened
+	c.previousOpened = opened
 	return all
 }
 
@@ -280,7 +281,7 @@
 	return state.Open, state.InUse
 }
 
-// TenantName returns the name of a tenant, "" for none.
+// TenantName returns the name of a tenant, or "" if the settings have no such tenant.
 func (c *clusterMember) TenantName(id fleet.TenantID) string {
 	if tenants := c.node.deployment.Tenants; int(id) < len(tenants) {
 		return tenants[id]
@@ -288,7 +289,7 @@
 	return ""
 }
 
-// endpointChanged takes over the state of a server from the endpoint list.
+// endpointChanged passes a change of a server in the endpoint list to the participant.
 func (c *clusterMember) endpointChanged(now float64, id fleet.ServerID, state fleet.State) {
 	entry := &c.node.servers[id].entry
 	if state == fleet.Gone || entry.Flavor == discovery.OriginFlavor {
@@ -300,7 +301,7 @@
 
 var errNoPeers = errors.New("this node has no peers: its operator's file has no [fleet]")
 
-// Peers returns what the node knows of its cluster, as JSON.
+// Peers returns the status of the cluster as this node knows it, as JSON.
 func (n *Node) Peers() (string, error) {
 	return onLoop(n, func(now float64) (string, error) {
 		if n.clusterMember == nil {
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -11,35 +11,35 @@
 	"mintspring/internal/testbed/reservedport"
 )
 
-// A node that waits for the address of the peers, which its predecessor still holds, has the initial part of the leased quota: it once
-// opened no connection until it had the address.
+// A node whose peer address is still held by its predecessor uses the initial part of the leased quota. It used to open no connection until
+// it had the address.
 func TestSuccessorHasInitialQuota(t *testing.T) {
-	taken, err := loopback.ListenPacket()
+	occupied, err := loopback.ListenPacket()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer closeQuietly(taken)
+	defer closeQuietly(occupied)
 	number := 0
-	f := &operatorfile.Fleet{
-		Name: "f", Listen: taken.LocalAddr().String(), Peers: []string{taken.LocalAddr().String(), "127.0.0.1:9"}, Number: &number,
+	section := &operatorfile.Fleet{
+		Name: "f", Listen: occupied.LocalAddr().String(), Peers: []string{occupied.LocalAddr().String(), "127.0.0.1:9"}, Number: &number,
 		Share: []string{operatorfile.ShareQuotas}, ProbeInterval: 1e9, Lease: 2e9, EvidenceTTL: 1e10,
 	}
 	tc := newTestCluster(t, 3, serveHit, echoOrigin, func(c *Config) {
-		c.Operator = &operatorfile.File{Fleet: f, Connections: &operatorfile.Connections{OpensPerSecond: 1000, MaxAge: tomlfile.Duration(0)}}
+		c.Operator = &operatorfile.File{Fleet: section, Connections: &operatorfile.Connections{OpensPerSecond: 1000, MaxAge: tomlfile.Duration(0)}}
 	})
 	if got := tc.request("KV.GET", "key", "id", "c=read,d=500"); got == "" {
 		t.Error("no answer")
 	}
 	if n := tc.cacheRequests.Load(); n == 0 {
-		t.Error("it opens no connection to a cache server")
+		t.Error("the node opens no connection to a cache server")
 	}
 	if _, err := tc.node.Peers(); err == nil {
-		t.Error("it has joined the cluster on an address that is in use")
+		t.Error("the node has joined the cluster on an address that is in use")
 	}
 }
 
-// A node that gets the address of the peers, for which it has waited, as it stops releases it: another process may wait for it. The race
-// detector reports a stop that looks for the peers anywhere but on the loop.
+// A node that gets its peer address only while it stops releases the address, since another process may wait for it. The race detector
+// reports a stop that accesses the cluster member outside the loop.
 func TestClusterJoinedDuringStop(t *testing.T) {
 	address, err := reservedport.ReserveUDP()
 	if err != nil {
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -9,7 +9,7 @@
 	"mintspring/internal/node/exclusion"
 )
 
-// Names of commands on the admin port that concern both processes of a hot restart. They are sent from one to the other.
+// Commands of the admin port that are executed by both processes during a hot restart. The one that receives a command forwards it.
 const (
 	commandExclude = "maint-on"
 	commandReadmit = "maint-off"
@@ -20,11 +20,11 @@
 // Status returns the phase of the node if it is ready to serve, and else the phase as an error. It implements admin.Handler, as the
 // methods below do.
 func (n *Node) Status() (string, error) {
-	phase := n.life.Phase().String()
-	if n.life.ReadyForOperators() {
+	phase := n.lifecycle.Phase().String()
+	if n.lifecycle.ReadyForOperators() {
 		return phase, nil
 	}
-	if n.life.ReadyForClients() {
+	if n.lifecycle.ReadyForClients() {
 		phase = "taking over"
 	}
 	return "", errors.New(phase)
@@ -32,34 +32,34 @@
 
 // ExcludeServer excludes a cache server until ReadmitServer, whatever the endpoint list says of it.
 func (n *Node) ExcludeServer(id string) (string, error) {
-	return n.executeEverywhere(commandExclude, id)
+	return n.executeInBothProcesses(commandExclude, id)
 }
 
 // ReadmitServer ends the exclusion of a cache server, which is then treated as one that has just started.
 func (n *Node) ReadmitServer(id string) (string, error) {
-	return n.executeEverywhere(commandReadmit, id)
+	return n.executeInBothProcesses(commandReadmit, id)
 }
 
 // EnterStandby takes the node out of service: PING fails, and client connections are closed over some seconds.
-func (n *Node) EnterStandby() (string, error) { return n.executeEverywhere(commandStandby, "") }
+func (n *Node) EnterStandby() (string, error) { return n.executeInBothProcesses(commandStandby, "") }
 
 // LeaveStandby puts the node back into service.
-func (n *Node) LeaveStandby() (string, error) { return n.executeEverywhere(commandActive, "") }
+func (n *Node) LeaveStandby() (string, error) { return n.executeInBothProcesses(commandActive, "") }
 
-// executeEverywhere executes a command here and, during a hot restart, in the other process.
-func (n *Node) executeEverywhere(command, serverID string) (string, error) {
+// executeInBothProcesses executes a command here and, during a hot restart, in the other process.
+func (n *Node) executeInBothProcesses(command, serverID string) (string, error) {
 	answer, err := n.execute(command, serverID)
-	if channel, _ := n.handover.other(); channel != nil && (err == nil || errors.Is(err, errNotSaved)) {
+	if channel, _ := n.handover.otherProcess(); channel != nil && (err == nil || errors.Is(err, errNotSaved)) {
 		channel.ForwardCommand(command, serverID)
 	}
 	return answer, err
 }
 
-// errNotSaved says that a command is in force, and that the next process does not learn of it by the file of exclusions.
-var errNotSaved = errors.New("it holds, but not beyond this process")
+// errNotSaved reports that a command is in force, but that the exclusions could not be saved for the next process.
+var errNotSaved = errors.New("in force in this process, but not saved for the next one")
 
-// executed is the result of a command on the loop.
-type executed struct {
+// commandResult is the result of a command on the loop.
+type commandResult struct {
 	answer       string
 	exclusions   exclusion.State // to be saved
 	saveSequence uint64          // 0: nothing is to be saved
@@ -67,48 +67,49 @@
 
 // execute executes a command in this process. Exclusions are saved for the next process before the command is answered.
 func (n *Node) execute(command, serverID string) (string, error) {
-	done, err := onLoop(n, func(now float64) (executed, error) { return n.executeOnLoop(now, command, serverID) })
-	if err != nil || done.saveSequence == 0 || n.handover.dir == nil {
-		return done.answer, err
+	result, err := onLoop(n, func(now float64) (commandResult, error) { return n.executeOnLoop(now, command, serverID) })
+	if err != nil || result.saveSequence == 0 || n.handover.dir == nil {
+		return result.answer, err
 	}
-	if err := n.handover.dir.SaveExclusions(done.exclusions, done.saveSequence); err != nil {
-		return done.answer, fmt.Errorf("%w: %w", errNotSaved, err)
+	if err := n.handover.dir.SaveExclusions(result.exclusions, result.saveSequence); err != nil {
+		return result.answer, fmt.Errorf("%w: %w", errNotSaved, err)
 	}
-	return done.answer, nil
+	return result.answer, nil
 }
 
-func (n *Node) executeOnLoop(now float64, command, serverID string) (executed, error) {
+func (n *Node) executeOnLoop(now float64, command, serverID string) (commandResult, error) {
 	switch command {
 	case commandExclude:
 		changed, err := n.exclusions.Exclude(serverID, now)
-		return n.excluded(now, serverID, changed, serverID+" is left out", err)
+		return n.exclusionResult(now, serverID, changed, serverID+" is left out", err)
 	case commandReadmit:
 		changed, err := n.exclusions.Readmit(serverID, now)
-		return n.excluded(now, serverID, changed, serverID+" is used as the list has it", err)
+		return n.exclusionResult(now, serverID, changed, serverID+" is used as the list has it", err)
 	case commandStandby:
-		if n.life.EnterStandby(now) {
+		if n.lifecycle.EnterStandby(now) {
 			n.log.Info("standby started")
 		}
 	case commandActive:
-		if n.life.LeaveStandby() {
+		if n.lifecycle.LeaveStandby() {
 			n.log.Info("standby ended")
 		}
 	}
-	return executed{answer: n.life.Phase().String()}, nil
+	return commandResult{answer: n.lifecycle.Phase().String()}, nil
 }
 
-// excluded applies a change of the exclusions. They are saved also when nothing has changed: what could not be saved before may be now.
-func (n *Node) excluded(now float64, serverID string, changed bool, answer string, err error) (executed, error) {
+// exclusionResult applies a change of the exclusions and returns the result of the command. The exclusions are saved even if nothing has
+// changed: an earlier save may have failed.
+func (n *Node) exclusionResult(now float64, serverID string, changed bool, answer string, err error) (commandResult, error) {
 	if changed {
 		n.exclusionChanged(now, serverID)
 	}
 	if err != nil {
-		return executed{answer: answer}, err
+		return commandResult{answer: answer}, err
 	}
-	return executed{answer, n.exclusions.Export(false), n.handover.nextSaveSequence()}, nil
+	return commandResult{answer, n.exclusions.Export(false), n.handover.nextSaveSequence()}, nil
 }
 
-// exclusionChanged gives the policy a server whose exclusion has changed.
+// exclusionChanged logs the exclusions and passes the server whose exclusion has changed to the policy.
 func (n *Node) exclusionChanged(now float64, serverID string) {
 	n.log.WithField("server", serverID).WithField("excluded", strings.Join(n.exclusions.ExcludedIDs(), ",")).Info("maintenance exclusions changed")
 	if id, listed := n.serverTable.IDs[serverID]; listed {
--- a/internal/node/commands_test.go
+++ b/internal/node/commands_test.go
@@ -20,8 +20,8 @@
 	"mintspring/internal/node/hotrestart"
 )
 
-// An excluded server gets no request, whatever the endpoint list says of it meanwhile, and is used again after one command, though it was
-// excluded twice. Ids that were never listed, and the origin, are refused.
+// An excluded server gets no request, whatever the endpoint list says about it, and is used again after one readmission, even if it was
+// excluded twice. Commands with the origin's id, or an id that was never listed, fail.
 func TestExclusion(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	tc.expectPrefix(tc.request("KV.GET", "k", "1", "c=read,d=500"), "hit")
@@ -38,12 +38,12 @@
 		}
 	}
 	sent := tc.cacheRequests.Load()
-	box := entry("s0", tc.cacheAddrs[0], "box")
+	cacheEntry := entry("s0", tc.cacheAddrs[0], "box")
 	origin := entry("o", tc.originAddr, "origin")
 	for i, line := range []string{
-		`{"revision":2,"complete":false,"members":[` + box + `]}`,
+		`{"revision":2,"complete":false,"members":[` + cacheEntry + `]}`,
 		`{"revision":3,"complete":true,"members":[` + origin + `]}`,
-		`{"revision":4,"complete":true,"members":[` + origin + `,` + strings.Replace(box, `"size":1`, `"size":1,"up_since_ms":9`, 1) + `]}`,
+		`{"revision":4,"complete":true,"members":[` + origin + `,` + strings.Replace(cacheEntry, `"size":1`, `"size":1,"up_since_ms":9`, 1) + `]}`,
 	} {
 		tc.listUpdates <- line
 		time.Sleep(20 * time.Millisecond)
@@ -60,17 +60,17 @@
 		tc.request("KV.GET", "k", fmt.Sprint("b", i), "c=read,d=500")
 	}
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("readmitted, it was not used for %v", took)
+		t.Errorf("the readmitted server was not used for %v", took)
 	}
-	// It is warming up from the command on, though the list names no new start.
+	// The server is in slow start from the readmission on, though the list has no new start.
 	tc.onLoop(func(now float64) {
-		if m := tc.node.effectiveEndpoint(now, tc.node.serverTable.IDs["s0"]); m.State != fleet.Ready || now-m.StartedAt > 10000 {
-			t.Errorf("it is %+v", m)
+		if endpoint := tc.node.effectiveEndpoint(now, tc.node.serverTable.IDs["s0"]); endpoint.State != fleet.Ready || now-endpoint.StartedAt > 10000 {
+			t.Errorf("the readmitted server is %+v", endpoint)
 		}
 	})
 }
 
-// A server stays excluded when its slot is used by another one, and the list names it again.
+// A server stays excluded if another server takes its slot and the list then names the excluded one again.
 func TestExclusionSurvivesSlotReuse(t *testing.T) {
 	tc := newTestCluster(t, 2, serveHit, echoOrigin)
 	if _, err := tc.node.ExcludeServer("s0"); err != nil {
@@ -89,16 +89,16 @@
 			listChanged{mode: fleet.ListDelta, entries: []json.RawMessage{json.RawMessage(entry(fmt.Sprint("n", i), tc.cacheAddrs[1], "box"))}}.handle(n, later)
 		}
 		if _, known := n.serverTable.IDs["s0"]; known {
-			t.Error("its slot was not used again")
+			t.Error("the slot of s0 was not reused")
 		}
 		listChanged{mode: fleet.ListDelta, entries: []json.RawMessage{s0}}.handle(n, now+1e6)
 		if state := n.serverTable.State(n.serverTable.IDs["s0"]); state != fleet.Draining {
-			t.Errorf("back on the list it is in state %v", state)
+			t.Errorf("listed again, s0 is in state %v", state)
 		}
 	})
 }
 
-// On standby PING and status fail at once, and after it they succeed at once; the list and what was learned stay.
+// PING and status fail at once when standby begins and succeed at once when it ends.
 func TestStandby(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	c := tc.dial()
@@ -129,37 +129,37 @@
 	tc.expectPrefix(tc.request("KV.GET", "k", "2", "c=read,d=500"), "hit")
 }
 
-// An exclusion that cannot be saved for the next process holds in this one, and the command fails.
+// An exclusion that cannot be saved for the next process is in force in this one, and the command fails.
 func TestExclusionThatCannotBeSaved(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
-	dir := filepath.Join(t.TempDir(), "handover")
-	f, err := hotrestart.Open(dir)
+	path := filepath.Join(t.TempDir(), "handover")
+	restartDir, err := hotrestart.Open(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	tc.node.handover.dir = f
-	if err := os.RemoveAll(dir); err != nil {
+	tc.node.handover.dir = restartDir
+	if err := os.RemoveAll(path); err != nil {
 		t.Fatal(err)
 	}
-	if answer, err := tc.node.ExcludeServer("s0"); err == nil || !strings.Contains(err.Error(), "not beyond this process") {
+	if answer, err := tc.node.ExcludeServer("s0"); err == nil || !strings.Contains(err.Error(), "not saved for the next one") {
 		t.Errorf("%q, %v", answer, err)
 	}
 	tc.expectPrefix(tc.request("KV.GET", "k", "1", "c=read,d=500"), "GET /k")
 	if _, err := tc.node.ExcludeServer("s0"); err == nil {
-		t.Error("called again, it is reported as saved")
+		t.Error("the repeated command reports that the exclusion is saved")
 	}
-	if err := os.MkdirAll(dir, 0o700); err != nil {
+	if err := os.MkdirAll(path, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := tc.node.ExcludeServer("s0"); err != nil {
 		t.Error(err)
 	}
-	if saved, err := f.LoadExclusions(); err != nil || len(saved.Excluded) != 1 {
+	if saved, err := restartDir.LoadExclusions(); err != nil || len(saved.Excluded) != 1 {
 		t.Errorf("saved %+v, %v", saved, err)
 	}
 }
 
-// Requests that wait for a connection to a server when it is excluded are not sent there any more; an attempt that is out there may end.
+// Requests that wait for a connection to a server when it is excluded are not sent there; an attempt that was sent before may complete.
 func TestExclusionReachesWaitingRequests(t *testing.T) {
 	release := make(chan struct{})
 	tc := newTestCluster(t, 1, func(c redcon.Conn, key, id string) {
@@ -175,7 +175,7 @@
 	time.Sleep(30 * time.Millisecond)
 	sent := tc.cacheRequests.Load()
 	if sent != 1 {
-		t.Fatalf("%d attempts are out where one connection is allowed", sent)
+		t.Fatalf("%d attempts were sent where one connection is allowed", sent)
 	}
 	if _, err := tc.node.ExcludeServer("s0"); err != nil {
 		t.Fatal(err)
@@ -191,8 +191,8 @@
 	}
 }
 
-// The admin port answers within its second while clients hold all descriptors that they may, the loop is busy, and other callers hold
-// connections without a command.
+// The admin port answers within admin.ReplyTimeout while clients hold all descriptors that they may, the loop is busy, and other callers
+// keep admin connections open without sending a command.
 func TestAdminPortUnderLoad(t *testing.T) {
 	tc := newTestCluster(t, 2, serveHit, echoOrigin, func(c *Config) { c.MaxDescriptors = 200 })
 	ln := listen(t)
@@ -211,9 +211,9 @@
 		writeString(dial(t, addr), []string{"", "*4\r\n$6\r\nKV"}[i%2])
 	}
 	stop := make(chan struct{})
-	var busy sync.WaitGroup
+	var clients sync.WaitGroup
 	for i := range 8 {
-		busy.Go(func() {
+		clients.Go(func() {
 			for k := 0; ; k++ {
 				select {
 				case <-stop:
@@ -226,18 +226,18 @@
 	}
 	for i := range 20 {
 		start := time.Now()
-		line := []string{"status", "maint-on s1", "maint-off s1", "standby", "active"}[i%5]
+		command := []string{"status", "maint-on s1", "maint-off s1", "standby", "active"}[i%5]
 		c := dial(t, ln.Addr().String())
 		if err := c.SetDeadline(time.Now().Add(5 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
-		writeString(c, line+"\n")
+		writeString(c, command+"\n")
 		b, err := io.ReadAll(c)
 		closeQuietly(c)
 		if took := time.Since(start); err != nil || !strings.HasPrefix(string(b), "OK") || took > admin.ReplyTimeout {
-			t.Errorf("%s: %q, %v, after %v", line, b, err, took)
+			t.Errorf("%s: %q, %v, after %v", command, b, err, took)
 		}
 	}
 	close(stop)
-	busy.Wait()
+	clients.Wait()
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -14,15 +14,15 @@
 // Policy is the decision module as the loop calls it.
 type Policy = inflight.Policy
 
-// Config is what a node is started with.
+// Config is the configuration of a node.
 type Config struct {
 	Name           string
 	Discovery      string           // address of the discovery service
 	CachedList     discovery.Update // endpoint list known at the start
 	Deployment     settings.Deployment
-	Clock          *clock.Clock       // nil: one that begins with the wall clock. A successor continues its predecessor's
+	Clock          *clock.Clock       // nil: a new clock that begins at the wall-clock time; a successor continues its predecessor's
 	MemoryMB       int                // memory limit of the process; 0: none
-	MaxDescriptors int                // limit on file descriptors; 0: none that matters
+	MaxDescriptors int                // limit on file descriptors; 0: none
 	AdminEnabled   bool               // the admin port is open
 	Operator       *operatorfile.File // nil: every optional part is off
 
@@ -33,26 +33,27 @@
 
 	// NewPolicy makes the decision module; nil: decide.New.
 	NewPolicy func(now float64, limits fleet.Limits, slab *fleet.Slab) Policy
-	// OpenFiles returns the file system of the snapshot directory; nil: the operating system's.
-	OpenFiles func(dir string) snapshotfile.FileSystem
+	// SnapshotFileSystem returns the file system of the snapshot directory; nil: the operating system's.
+	SnapshotFileSystem func(dir string) snapshotfile.FileSystem
 }
 
 const (
 	// firstRequestTimeout is how long a client may take to complete its first request, in ms. The operators' page of daily operation
-	// allows 2,000 for the head of a command, and that of bad clients requires that one which never completes is closed within 3,000.
-	// Ordinary clients connect to send; those that never do come by the hundred and would use up the descriptors of others.
+	// allows 2,000 for the head of a command, and the page of bad clients requires that a connection whose command is never completed is
+	// closed within 3,000. Ordinary clients send soon after connecting; clients that never send come by the hundred and would use up the
+	// descriptors of the others.
 	firstRequestTimeout = 2500
 
-	// idleBeforeClose is how long a client connection without a request in flight is kept before it may be closed for a descriptor, in
-	// ms (the operators' page of the service, "The long day").
-	idleBeforeClose = 2000
+	// minIdleBeforeEviction is how long a client connection without a request in flight is kept before it may be closed to free a
+	// descriptor, in ms (the operators' page of the service, "The long day").
+	minIdleBeforeEviction = 2000
 
-	// memoryDivisor is the part of the memory limit, as 1/memoryDivisor, that each of these may hold: buffered commands and responses,
-	// large values of the origin whose length is not known in advance, and large values that clients write.
+	// memoryDivisor gives 1/memoryDivisor of the memory limit to each of these: buffered commands and responses, large values of the
+	// origin whose length is not known in advance, and large values that clients write.
 	memoryDivisor = 8
 )
 
-// ConnectTimeout is how long a connection to a server may take to be established, in ms.
+// ConnectTimeout returns how long a connection to a server may take to be established, in ms.
 func ConnectTimeout(deployment *settings.Deployment) float64 {
 	if deployment.ConnectTimeout > 0 {
 		return deployment.ConnectTimeout
@@ -61,15 +62,15 @@
 	return longestTimeout / 4
 }
 
-// SlotRetention is how long the slot of a removed server is kept, in ms. No request in flight is older, so that none can refer to
+// SlotRetention returns how long the slot of a removed server is kept, in ms. No request stays in flight longer, so none can refer to
 // the slot's next server.
 func SlotRetention(deployment *settings.Deployment) float64 {
 	_, longestTimeout := deployment.TimeBounds()
 	return longestTimeout + deployment.Limits.StopSendingWithin
 }
 
-// PoolConfigs returns the configuration of the connection pools to a cache server and to the origin. Without the operator's
-// section the pools limit nothing but what the servers do.
+// PoolConfigs returns the configuration of the connection pools to a cache server and to the origin. Without operator.Connections the
+// pools have no limits beyond those of the servers.
 func PoolConfigs(deployment *settings.Deployment, operator *operatorfile.File) (cache, origin connpool.Config) {
 	quantum := deployment.Limits.Quantum
 	base := connpool.Config{
--- a/internal/node/consensusreplica.go
+++ b/internal/node/consensusreplica.go
@@ -11,52 +11,52 @@
 	"mintspring/internal/cluster/consensus/replica"
 )
 
-// Bounds of the pause before a consensus replica whose data directory failed is started again.
+// Bounds of the backoff before a replica whose data directory failed is restarted.
 const (
-	minReplicaRestart = time.Second
-	maxReplicaRestart = time.Minute
+	minReplicaBackoff = time.Second
+	maxReplicaBackoff = time.Minute
 )
 
-// replicaSupervisor runs a consensus replica, and starts it again where its data directory failed: a disk may be full for a moment. A
-// replica that ended or could not be started for another reason stays ended; the node is a client of the group then.
+// replicaSupervisor runs a consensus replica and restarts it after its data directory has failed: a disk may be full for a moment. After
+// any other failure the replica is not restarted, and the node is only a client of the group.
 type replicaSupervisor struct {
-	log      *logrus.Entry
-	start    func() (*replica.Replica, error)
-	minPause time.Duration
-	stopping chan struct{}
-	stopOnce sync.Once
-	done     chan struct{}
+	log        *logrus.Entry
+	start      func() (*replica.Replica, error)
+	minBackoff time.Duration
+	stopping   chan struct{}
+	stopOnce   sync.Once
+	done       chan struct{}
 }
 
 func superviseReplica(log *logrus.Entry, start func() (*replica.Replica, error)) *replicaSupervisor {
-	s := &replicaSupervisor{log: log, start: start, minPause: minReplicaRestart, stopping: make(chan struct{}), done: make(chan struct{})}
-	first, err := start() // in time for the first call of this node's client
+	s := &replicaSupervisor{log: log, start: start, minBackoff: minReplicaBackoff, stopping: make(chan struct{}), done: make(chan struct{})}
+	first, err := start() // before run, to be up for the first call of this node's client
 	go s.run(first, err)
 	return s
 }
 
-// run ends with stop, or with a replica that must not be started again.
+// run returns on stop, or after a failure that allows no restart.
 func (s *replicaSupervisor) run(r *replica.Replica, err error) {
 	defer close(s.done)
-	for pause := s.minPause; ; pause = min(2*pause, maxReplicaRestart) {
+	for backoff := s.minBackoff; ; backoff = min(2*backoff, maxReplicaBackoff) {
 		if err == nil {
 			select {
 			case <-s.stopping:
 				r.Stop()
 				return
 			case <-r.Done():
-				err, pause = r.Err(), s.minPause
+				err, backoff = r.Err(), s.minBackoff
 			}
 		}
 		if !errors.Is(err, replica.ErrStorage) && !isSystemError(err) {
 			s.log.WithError(err).Error("cannot run the consensus replica, continuing as a client of the group")
 			return
 		}
-		s.log.WithError(err).WithField("retry_in", pause).Warn("the consensus replica cannot run for now")
+		s.log.WithError(err).WithField("retry_in", backoff).Warn("the consensus replica cannot run for now")
 		select {
 		case <-s.stopping:
 			return
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
 		if r, err = s.start(); err == nil {
 			s.log.Info("the consensus replica runs again")
@@ -70,7 +70,7 @@
 	<-s.done
 }
 
-// isSystemError reports whether something failed for what the operating system said, which may be otherwise later.
+// isSystemError reports whether an error comes from the operating system and so may pass.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
--- a/internal/node/consensusreplica_test.go
+++ b/internal/node/consensusreplica_test.go
@@ -17,20 +17,20 @@
 	"mintspring/internal/testbed/reservedport"
 )
 
-// testSupervisor returns a supervisor with short pauses.
+// testSupervisor returns a supervisor with a short backoff.
 func testSupervisor(start func() (*replica.Replica, error)) *replicaSupervisor {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	s := &replicaSupervisor{
-		log: log.WithField("node", "n0"), start: start, minPause: time.Millisecond, stopping: make(chan struct{}), done: make(chan struct{}),
+		log: log.WithField("node", "n0"), start: start, minBackoff: time.Millisecond, stopping: make(chan struct{}), done: make(chan struct{}),
 	}
 	r, err := start()
 	go s.run(r, err)
 	return s
 }
 
-// A consensus replica whose folder is full at the start runs once it is not, and ends with the node.
-func TestReplicaStartsOnceItsFolderWorks(t *testing.T) {
+// A consensus replica whose data directory is on a full disk at the start runs once there is space, and ends on stop.
+func TestReplicaStartsOnceDataDirWorks(t *testing.T) {
 	port, err := reservedport.ReserveUDP()
 	if err != nil {
 		t.Fatal(err)
@@ -58,22 +58,22 @@
 	})
 	r := <-running
 	if r == nil {
-		t.Fatal("it does not start")
+		t.Fatal("the replica does not start")
 	}
 	s.stop()
 	select {
 	case <-r.Done():
 	default:
-		t.Error("it runs on after the stop")
+		t.Error("the replica still runs after the stop")
 	}
 }
 
-// A replica that failed for another reason than its folder is not started again: it may know less than others know it to have known.
+// A replica that failed for another reason than its data directory is not restarted: it may have lost state that others rely on.
 func TestReplicaIsNotRestartedAfterOtherFailures(t *testing.T) {
 	var starts atomic.Int64
 	s := testSupervisor(func() (*replica.Replica, error) {
 		starts.Add(1)
-		return nil, errors.New("the log is shorter than others know it to have been")
+		return nil, errors.New("the log is truncated")
 	})
 	<-s.done
 	if starts.Load() != 1 {
--- a/internal/node/dispatcher.go
+++ b/internal/node/dispatcher.go
@@ -27,12 +27,12 @@
 	d.endpoint(at).Cancel(attempt)
 }
 
-// Withdraw stops an attempt unless its last byte is sent.
+// Withdraw stops an attempt unless its last byte has been sent.
 func (d dispatcher) Withdraw(_ float64, at fleet.ServerID, attempt *upstream.Attempt) {
 	d.endpoint(at).CancelUnsent(attempt)
 }
 
-// BodyComplete sets the deadline of an attempt whose streamed value is complete.
+// BodyComplete sets the deadline of an attempt once its streamed value is complete.
 func (d dispatcher) BodyComplete(_ float64, at fleet.ServerID, attempt *upstream.Attempt, deadline float64) {
 	d.endpoint(at).BodyComplete(attempt, deadline)
 }
@@ -49,10 +49,10 @@
 // Admitted counts a request under its class.
 func (d dispatcher) Admitted(entry *inflightEntry) { d.node.classes.Acquire(entry.Request.Class) }
 
-// Released is called when a request has its response and no attempt is out.
+// Released is called when a request has its response and none of its attempts is running.
 func (d dispatcher) Released(now float64, entry *inflightEntry) {
 	if d.node.idempotency != nil {
-		d.node.idempotency.released(now, entry)
+		d.node.idempotency.handleReleased(now, entry)
 	}
 	d.node.logRequest(now, entry)
 	d.node.classes.Release(now, entry.Request.Class)
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -14,21 +14,21 @@
 
 // server is one server of the endpoint list, with the connections to it.
 type server struct {
-	entry    discovery.Entry // merged from all updates
-	started  float64         // of its process, by the node's clock; 0: long ago
-	endpoint *upstream.Endpoint
+	entry     discovery.Entry // merged from all updates
+	startedAt float64         // start of its process by the node's clock; 0: long ago
+	endpoint  *upstream.Endpoint
 }
 
-// listChanged: the discovery service has sent entries of the endpoint list.
+// listChanged is the event that the discovery service has sent entries of the endpoint list.
 type listChanged struct {
 	mode        fleet.ListMode
 	entries     []json.RawMessage
-	confirmedAt float64 // when the list was last known to be complete without these entries
+	confirmedAt float64 // last time at which the list was known to be complete without these entries
 }
 
 func (e listChanged) handle(n *Node, now float64) {
 	endpoints := make([]fleet.Endpoint, 0, len(e.entries))
-	confirmedAt := n.startsConfirmedAt(now, e)
+	confirmedAt := n.earliestStart(now, e)
 	for _, text := range e.entries {
 		endpoint, err := n.applyEntry(now, text, confirmedAt)
 		if err != nil {
@@ -46,7 +46,7 @@
 	if n.snapshots != nil && e.mode != fleet.ListCached {
 		n.snapshots.listReceived(now)
 	}
-	if n.hasReadyServer() && n.life.MarkListed() {
+	if n.hasReadyServer() && n.lifecycle.MarkListed() {
 		n.log.WithField("servers", len(endpoints)).Info("serving")
 	}
 }
@@ -60,49 +60,49 @@
 	return false
 }
 
-// listFailed: a request to the discovery service has failed, or its watch has ended. The current list stays in use.
+// listFailed is the event that a request to the discovery service has failed or its watch has ended. The current list stays in use.
 type listFailed struct{ err error }
 
 func (e listFailed) handle(n *Node, now float64) {
 	n.log.WithError(e.err).Warn("cannot get the endpoint list; keeping the current one")
 	if n.discovery.Watching() {
-		return // it was an earlier call that failed: another one is under way
+		return // an earlier call failed, and a later one is already running
 	}
 	n.inflight.Policy.UpdateEndpoints(now, fleet.ListFailed, nil)
 }
 
-// startsConfirmedAt returns the time before which no start can have been that the list changes bring. The first list of a process
-// that knew another one at its start brings starts since then, at any time: one so long ago that its server would be warm is not
-// believed, for the clocks may be apart.
-func (n *Node) startsConfirmedAt(now float64, e listChanged) float64 {
+// earliestStart returns the earliest plausible time of a server start that first appears in e. If this process began with a cached list,
+// its first full list may report starts from any time since that list was saved. A start so long ago that the server would be warm is
+// then not plausible, because the clock of the server's machine may be wrong.
+func (n *Node) earliestStart(now float64, e listChanged) float64 {
 	if e.mode == fleet.ListFull && e.confirmedAt == serverstart.Never() && len(n.servers) > 0 {
 		return now - n.deployment.Limits.WarmUpTime
 	}
 	return e.confirmedAt
 }
 
-// applyEntry merges an entry of the endpoint list into what is known of its server, and points the connections at it.
+// applyEntry merges an entry of the endpoint list into the known entry of its server, and updates the connections to it.
 func (n *Node) applyEntry(now float64, text json.RawMessage, confirmedAt float64) (fleet.Endpoint, error) {
 	entry, err := discovery.Merge(discovery.Entry{}, text)
 	if err != nil {
 		return fleet.Endpoint{}, err
 	}
-	id, added, replaced := n.serverTable.Assign(now, entry.ID)
+	id, added, replacedID := n.serverTable.Assign(now, entry.ID)
 	if added {
-		n.addServer(id, &entry, replaced)
+		n.addServer(id, &entry, replacedID)
 	} else if entry, err = discovery.Merge(n.servers[id].entry, text); err != nil {
 		return fleet.Endpoint{}, err
 	}
 	n.servers[id].entry = entry
-	n.servers[id].started = n.serverStarts.Observe(now, entry.ID, entry.UpSince, confirmedAt)
+	n.servers[id].startedAt = n.serverStarts.Observe(now, entry.ID, entry.UpSince, confirmedAt)
 	return n.effectiveEndpoint(now, id), nil
 }
 
-// addServer makes the connections to a new server. Its slot is a new one, or that of a server that is long gone, named replaced.
-func (n *Node) addServer(id fleet.ServerID, entry *discovery.Entry, replaced string) {
-	if replaced != "" {
-		n.exclusions.Forget(replaced)
-		n.serverStarts.Forget(replaced)
+// addServer creates the endpoint of a new server, in a new slot or, if replacedID is not empty, in the slot of that removed server.
+func (n *Node) addServer(id fleet.ServerID, entry *discovery.Entry, replacedID string) {
+	if replacedID != "" {
+		n.exclusions.Forget(replacedID)
+		n.serverStarts.Forget(replacedID)
 		n.servers[id].endpoint.Remove()
 	} else {
 		n.servers = append(n.servers, nil)
@@ -116,21 +116,21 @@
 
 func (n *Node) protocolOf(entry *discovery.Entry) (upstream.Protocol, connpool.Config) {
 	if entry.Flavor == discovery.OriginFlavor {
-		return origin.Protocol{}, n.originPool
+		return origin.Protocol{}, n.originPoolConfig
 	}
-	return cacheserver.Protocol{}, n.cachePool
+	return cacheserver.Protocol{}, n.cachePoolConfig
 }
 
-// effectiveEndpoint returns a server's entry as the decision module sees it: the entry of the list, changed by what operators and
-// the rolling maintenance have excluded. It applies the state to the server's connections.
+// effectiveEndpoint returns a server's entry for the decision module: the entry of the list, changed by the exclusions of operators and
+// of the rolling restart. It applies the state to the server's connections.
 func (n *Node) effectiveEndpoint(now float64, id fleet.ServerID) fleet.Endpoint {
 	s := n.servers[id]
 	endpoint := s.entry.Member(id, &n.deployment)
-	endpoint.StartedAt = n.exclusions.StartedAt(s.entry.ID, s.started)
+	endpoint.StartedAt = n.exclusions.StartedAt(s.entry.ID, s.startedAt)
 	if s.entry.Flavor != discovery.OriginFlavor {
 		endpoint.State = n.exclusions.EffectiveState(s.entry.ID, endpoint.State)
 		if n.maintenance != nil {
-			endpoint = n.maintenance.apply(s.entry.ID, endpoint)
+			endpoint = n.maintenance.applyExclusions(s.entry.ID, endpoint)
 		}
 	}
 	s.endpoint.ServerStarted(endpoint.StartedAt)
@@ -138,7 +138,7 @@
 	return endpoint
 }
 
-// setServerState takes over the state of a server, and opens or closes its connections.
+// setServerState applies the state of a server, and opens or closes its connections.
 func (n *Node) setServerState(now float64, id fleet.ServerID, state fleet.State) {
 	n.serverTable.SetState(now, id, state)
 	if n.clusterMember != nil {
@@ -148,8 +148,8 @@
 	s.endpoint.SetTarget(s.entry.HostPort, state == fleet.Ready)
 }
 
-// reapplyExclusions gives the decision module all servers anew, after exclusions or settings have changed as a whole.
-func (n *Node) reapplyExclusions(now float64) {
+// reapplyEndpoints passes all servers to the decision module again, after all exclusions or settings were replaced.
+func (n *Node) reapplyEndpoints(now float64) {
 	var all []fleet.Endpoint
 	for id := range n.servers {
 		all = append(all, n.effectiveEndpoint(now, fleet.ServerID(id)))
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -26,7 +26,7 @@
 	}
 	sent := tc.cacheRequests.Load()
 	tc.expectPrefix(tc.request("KV.GET", "k", "3", "c=read,d=500"), "GET /k")
-	// A server that a complete list no longer names is gone, also if it comes back as one without an address.
+	// A server that a complete list does not name is gone, even if a later update names it without an address.
 	tc.listUpdates <- `{"revision":3,"complete":true,"members":[` + entry("o", tc.originAddr, "origin") + `]}`
 	tc.listUpdates <- `{"revision":4,"complete":false,"members":[{"id":"s0","phase":"in_service","host_port":""}]}`
 	tc.listUpdates <- `{"revision":`
@@ -36,8 +36,8 @@
 	}
 }
 
-// Entries of the list as the policy gets them: with the start of a server, which decides how much it is sent while it warms up, and as
-// draining without an address or a known phase.
+// Entries of the endpoint list are converted for the policy with the start time of the server, on which slow start depends. A server without an
+// address or with an unknown phase counts as draining.
 func TestApplyEntry(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	n := New(Config{Deployment: tc.node.deployment, Discovery: "127.0.0.1:1"}, logrus.New())
@@ -75,8 +75,8 @@
 	}
 }
 
-// Where servers are replaced all the time by ones with new ids, also at the same addresses, the node keeps no more slots than there are
-// servers, once no request in flight can refer to those that are gone. One that comes back in time keeps its slot.
+// While servers are replaced continuously by servers with new ids, some at the same addresses, the node reuses the slots of removed servers
+// once no request in flight can refer to them. A server that is listed again before that keeps its slot.
 func TestSlotsOfRemovedServersAreReused(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	n := New(Config{Deployment: tc.node.deployment, Discovery: "127.0.0.1:1"}, logrus.New())
@@ -109,8 +109,8 @@
 	}
 }
 
-// Two thousand servers in turn leave nothing behind in the loop, the connection pools and the policy.
-func TestServerChurnKeepsTheHeap(t *testing.T) {
+// Replacing a server two thousand times leaves nothing behind in the loop, the connection pools and the policy.
+func TestServerChurnDoesNotGrowHeap(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	log := logrus.New()
 	log.SetOutput(io.Discard)
@@ -123,21 +123,21 @@
 		runtime.ReadMemStats(&m)
 		return float64(m.HeapAlloc)
 	}
-	var first float64
+	var heapAfter200 float64
 	for i := range 2000 {
-		gone := fmt.Sprintf(`{"id":"s%d","phase":"terminated"}`, i-3)
+		removal := fmt.Sprintf(`{"id":"s%d","phase":"terminated"}`, i-3)
 		listChanged{mode: fleet.ListDelta, entries: []json.RawMessage{
-			json.RawMessage(gone),
+			json.RawMessage(removal),
 			json.RawMessage(entry(fmt.Sprint("s", i), "127.0.0.1:1", "box")),
 		}}.handle(n, now)
 		if now += n.serverTable.Retention / 2; i == 199 {
-			first = heap()
+			heapAfter200 = heap()
 		}
 	}
-	last := heap()
-	t.Logf("heap %.2f MB after 200, %.2f MB after 2000; %d slots", first/1e6, last/1e6, len(n.servers))
-	// What other tests have left varies a little; a server that was kept would cost over a thousand bytes.
-	if last-first > 1800*150 {
-		t.Errorf("heap %.2f MB after 200 replacements and %.2f MB after 2000", first/1e6, last/1e6)
+	heapAfter2000 := heap()
+	t.Logf("heap %.2f MB after 200, %.2f MB after 2000; %d slots", heapAfter200/1e6, heapAfter2000/1e6, len(n.servers))
+	// Garbage of other tests varies by less than the limit; a server that is not freed takes over a thousand bytes.
+	if heapAfter2000-heapAfter200 > 1800*150 {
+		t.Errorf("heap %.2f MB after 200 replacements and %.2f MB after 2000", heapAfter200/1e6, heapAfter2000/1e6)
 	}
 }
--- a/internal/node/fingerprint.go
+++ b/internal/node/fingerprint.go
@@ -9,16 +9,16 @@
 	"mintspring/internal/state/snapshot"
 )
 
-// limitsText and classText have the fields of fleet.Limits and fleet.Class under the names that those had when the policy hash was
-// defined. The names are part of the hash, which stands in every snapshot file: they must not change.
+// hashedLimits and hashedClass have the fields of fleet.Limits and fleet.Class under the names that these had when the policy hash was
+// defined. The names are part of the hash, which is stored in every snapshot file: they must not change.
 type (
-	limitsText struct {
+	hashedLimits struct {
 		Seed              uint64
 		Nodes             int
 		Zone              fleet.ZoneID
 		Zones             int
 		OriginKind        fleet.KindID
-		Workloads         []classText
+		Workloads         []hashedClass
 		MaxExecutions     int
 		SecondCopies      bool
 		Cancelling        bool
@@ -36,7 +36,7 @@
 		Quantum           float64
 		WasteCost         float64
 	}
-	classText struct {
+	hashedClass struct {
 		Effect           fleet.Effect
 		Scope            fleet.DedupScope
 		SLOTime          float64
@@ -50,11 +50,11 @@
 	}
 )
 
-// policyHash identifies the settings under which a snapshot was learned. The seed and the zone are left out: the seed is new at
-// each start, and the zone is compared by its name.
+// policyHash identifies the settings under which the state in a snapshot was learned. The seed and the zone are left out: the seed is new
+// at each start, and the zone is compared by its name.
 func policyHash(deployment *settings.Deployment) uint64 {
 	l := &deployment.Limits
-	text := limitsText{
+	hashed := hashedLimits{
 		Nodes: l.Nodes, Zones: l.Zones, OriginKind: l.OriginKind,
 		MaxExecutions: l.MaxAttempts, SecondCopies: l.Hedging, Cancelling: l.Cancellation, FullFails: l.FullServersRefuse,
 		RetryAfter: l.SendRetryAfter, MaxRetryAfter: l.MaxRetryAfter, Subscribe: l.Subscribe,
@@ -63,15 +63,15 @@
 		Quantum: l.Quantum, WasteCost: l.UnusedAttemptCost,
 	}
 	for i := range l.Classes {
-		text.Workloads = append(text.Workloads, newClassText(&l.Classes[i]))
+		hashed.Workloads = append(hashed.Workloads, newHashedClass(&l.Classes[i]))
 	}
 	h := fnv.New64a()
-	_, _ = fmt.Fprintf(h, "%d %+v %v %v", snapshot.Version, text, deployment.RequestClasses, deployment.Kinds) // a hash takes every byte
+	_, _ = fmt.Fprintf(h, "%d %+v %v %v", snapshot.Version, hashed, deployment.RequestClasses, deployment.Kinds) // writing to a hash never fails
 	return h.Sum64()
 }
 
-func newClassText(c *fleet.Class) classText {
-	return classText{
+func newHashedClass(c *fleet.Class) hashedClass {
+	return hashedClass{
 		Effect: c.Effect, Scope: c.DedupScope, SLOTime: c.LatencyObjective, SLOStretch: c.ObjectivePerWork, StatementTimeout: c.ClientTimeout,
 		DedupSpan: c.DedupWindow, Importance: c.PriorityWeight, LateShare: c.LateWeightFactor, MaxExecutions: c.MaxAttempts, Stream: c.Stream,
 	}
--- a/internal/node/golden_test.go
+++ b/internal/node/golden_test.go
@@ -21,7 +21,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// checkGolden compares bytes of the present program with a golden file.
+// checkGolden compares encoded bytes with a golden file.
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	if want := goldentest.Read(t, name); !bytes.Equal(got, want) {
@@ -31,8 +31,8 @@
 
 const goldenNow = 1_700_000_000_000.0
 
-// goldenNode is a node whose loop does not run, with two cache servers, one excluded by the operators and one
-// that was excluded before, and an origin.
+// goldenNode returns a node whose loop does not run, with an origin and two cache servers: s0, which operators have excluded, and s1, which
+// they have excluded and readmitted.
 func goldenNode(t *testing.T) *Node {
 	t.Helper()
 	deployment, err := settings.Parse([]byte(settingsText), 7)
@@ -68,18 +68,18 @@
 	return n
 }
 
-// The state that a process sends to its successor has the golden bytes, and a successor restores it; also that of a build which sent no
-// clock (state_transfer_without_clock.json).
+// The state that a process sends to its successor has the golden bytes, and a successor restores it. The same holds for the state from a
+// build that sent no clock (state_transfer_without_clock.json).
 func TestGoldenStateTransfer(t *testing.T) {
 	n := goldenNode(t)
-	n.life.EnterStandby(goldenNow + 5)
-	given := n.stateTransfer(goldenNow + 10)
-	withoutClock := given
+	n.lifecycle.EnterStandby(goldenNow + 5)
+	state := n.stateTransfer(goldenNow + 10)
+	withoutClock := state
 	withoutClock.Clock, withoutClock.ServerStarts = 0, nil
 	for _, c := range []struct {
 		file  string
 		state hotrestart.State
-	}{{"state_transfer.json", given}, {"state_transfer_without_clock.json", withoutClock}} {
+	}{{"state_transfer.json", state}, {"state_transfer_without_clock.json", withoutClock}} {
 		b, err := json.Marshal(c.state)
 		if err != nil {
 			t.Fatal(err)
@@ -104,11 +104,11 @@
 	if got := successor.exclusions.ExcludedIDs(); !reflect.DeepEqual(got, []string{"s0"}) {
 		t.Errorf("excluded: %v", got)
 	}
-	if at := successor.life.StandbySince(); at != goldenNow+5 {
+	if at := successor.lifecycle.StandbySince(); at != goldenNow+5 {
 		t.Errorf("on standby since %v", at)
 	}
-	if successor.restoredAt != goldenNow+10 {
-		t.Errorf("restored the snapshot of %v", successor.restoredAt)
+	if successor.restoredSnapshotTime != goldenNow+10 {
+		t.Errorf("restored the snapshot of %v", successor.restoredSnapshotTime)
 	}
 	if e := successor.servers[successor.serverTable.IDs["s1"]].entry; e != (discovery.Entry{
 		ID: "s1", HostPort: "127.0.0.1:7001", Locality: "a", Flavor: "box", Cell: 3,
@@ -116,13 +116,13 @@
 	}) {
 		t.Errorf("%+v", e)
 	}
-	if at := successor.servers[successor.serverTable.IDs["s1"]].started; at != 1600000000000 {
+	if at := successor.servers[successor.serverTable.IDs["s1"]].startedAt; at != 1600000000000 {
 		t.Errorf("s1 has started at %v", at)
 	}
 }
 
-// The policy hash stands in every snapshot file that was ever written.
-func TestGoldenSnapshotTerms(t *testing.T) {
+// The policy hash is stored in every existing snapshot file and must not change.
+func TestGoldenSnapshotConfig(t *testing.T) {
 	full := settings.Deployment{
 		RequestClasses: []string{"read", "put"}, Kinds: []string{"box", "origin"}, Zones: []string{"a", "b"},
 		Limits: fleet.Limits{
@@ -145,8 +145,8 @@
 	}
 	var b bytes.Buffer
 	for _, s := range []settings.Deployment{full, deployment, {}} {
-		terms := SnapshotConfig("n0", s, &operatorfile.Snapshot{HalfLife: 600e9, MaxAge: 86400e9})
-		fmt.Fprintf(&b, "%016x %v %v %q %q\n", terms.PolicyFingerprint, terms.HalfLife, terms.MaxAge, terms.Node, terms.Zone)
+		config := SnapshotConfig("n0", s, &operatorfile.Snapshot{HalfLife: 600e9, MaxAge: 86400e9})
+		fmt.Fprintf(&b, "%016x %v %v %q %q\n", config.PolicyFingerprint, config.HalfLife, config.MaxAge, config.Node, config.Zone)
 		if snapshot.Version != 2 {
 			t.Errorf("version %d", snapshot.Version)
 		}
@@ -154,17 +154,17 @@
 	checkGolden(t, "snapshot_terms.txt", b.Bytes())
 }
 
-// The answers on the admin port have the golden bytes.
+// The replies on the admin port have the golden bytes.
 func TestGoldenAdminAnswers(t *testing.T) {
-	alone := newTestCluster(t, 1, serveHit, echoOrigin).node
-	member := newTestCluster(t, 1, serveHit, echoOrigin, singleConsensusReplica(t)).node
+	standalone := newTestCluster(t, 1, serveHit, echoOrigin).node
+	consensusMember := newTestCluster(t, 1, serveHit, echoOrigin, singleConsensusReplica(t)).node
 	roll := func(n *Node, args ...string) func() (string, error) {
 		return func() (string, error) { return n.RollingRestart(args) }
 	}
-	council := func(n *Node, word string, args ...string) func() (string, error) {
-		return func() (string, error) { return n.ChangeMembership(word, args) }
+	council := func(n *Node, subcommand string, args ...string) func() (string, error) {
+		return func() (string, error) { return n.ChangeMembership(subcommand, args) }
 	}
-	maint := func(call func(string) (string, error), id string) func() (string, error) {
+	maintenance := func(call func(string) (string, error), id string) func() (string, error) {
 		return func() (string, error) { return call(id) }
 	}
 	var b bytes.Buffer
@@ -172,42 +172,42 @@
 		name string
 		call func() (string, error)
 	}{
-		{"status", alone.Status},
-		{"maint-on s0", maint(alone.ExcludeServer, "s0")},
-		{"maint-on s0", maint(alone.ExcludeServer, "s0")},
-		{"maint-on nobody", maint(alone.ExcludeServer, "nobody")},
-		{"maint-off s0", maint(alone.ReadmitServer, "s0")},
-		{"maint-off nobody", maint(alone.ReadmitServer, "nobody")},
-		{"standby", alone.EnterStandby},
-		{"standby", alone.EnterStandby},
-		{"status", alone.Status},
-		{"active", alone.LeaveStandby},
-		{"active", alone.LeaveStandby},
-		{"peers", alone.Peers},
-		{"book", alone.IdempotencyStatus},
-		{"roll", roll(alone)},
-		{"council-add 2 1", council(alone, "add", "2", "1")},
-		{"member: roll", roll(member)},
-		{"member: roll show", roll(member, "show")},
-		{"member: roll pause", roll(member, "pause")},
-		{"member: roll start x s0", roll(member, "start", "x", "s0")},
-		{"member: roll start 0 s0", roll(member, "start", "0", "s0")},
-		{"member: roll start 1 s9", roll(member, "start", "1", "s9")},
-		{"member: council-take-in 1", council(member, "take-in", "1")},
-		{"member: council-take-in 1 0", council(member, "take-in", "1", "0")},
-		{"member: council-drop", council(member, "drop")},
-		{"member: council-drop x", council(member, "drop", "x")},
-		{"member: council-join 1", council(member, "join", "1")},
-		{"member: council-drop 7", council(member, "drop", "7")},
+		{"status", standalone.Status},
+		{"maint-on s0", maintenance(standalone.ExcludeServer, "s0")},
+		{"maint-on s0", maintenance(standalone.ExcludeServer, "s0")},
+		{"maint-on nobody", maintenance(standalone.ExcludeServer, "nobody")},
+		{"maint-off s0", maintenance(standalone.ReadmitServer, "s0")},
+		{"maint-off nobody", maintenance(standalone.ReadmitServer, "nobody")},
+		{"standby", standalone.EnterStandby},
+		{"standby", standalone.EnterStandby},
+		{"status", standalone.Status},
+		{"active", standalone.LeaveStandby},
+		{"active", standalone.LeaveStandby},
+		{"peers", standalone.Peers},
+		{"book", standalone.IdempotencyStatus},
+		{"roll", roll(standalone)},
+		{"council-add 2 1", council(standalone, "add", "2", "1")},
+		{"member: roll", roll(consensusMember)},
+		{"member: roll show", roll(consensusMember, "show")},
+		{"member: roll pause", roll(consensusMember, "pause")},
+		{"member: roll start x s0", roll(consensusMember, "start", "x", "s0")},
+		{"member: roll start 0 s0", roll(consensusMember, "start", "0", "s0")},
+		{"member: roll start 1 s9", roll(consensusMember, "start", "1", "s9")},
+		{"member: council-take-in 1", council(consensusMember, "take-in", "1")},
+		{"member: council-take-in 1 0", council(consensusMember, "take-in", "1", "0")},
+		{"member: council-drop", council(consensusMember, "drop")},
+		{"member: council-drop x", council(consensusMember, "drop", "x")},
+		{"member: council-join 1", council(consensusMember, "join", "1")},
+		{"member: council-drop 7", council(consensusMember, "drop", "7")},
 	} {
-		words, err := c.call()
+		answer, err := c.call()
 		for i := 0; err != nil && strings.Contains(err.Error(), "does not answer") && i < 20; i++ {
-			words, err = c.call() // it has no leader yet
+			answer, err = c.call() // the consensus group has no leader yet
 		}
 		if err != nil {
-			words = "ERR " + err.Error()
+			answer = "ERR " + err.Error()
 		}
-		fmt.Fprintf(&b, "%s: %s\n", c.name, words)
+		fmt.Fprintf(&b, "%s: %s\n", c.name, answer)
 	}
 	checkGolden(t, "admin_answers.txt", b.Bytes())
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -13,34 +13,34 @@
 	"mintspring/internal/node/lifecycle"
 )
 
-// handoverPhase is what this process is to the other process of the node during a hot restart.
+// handoverPhase is the role of this process, and its progress, in a hot restart with another process of the node.
 type handoverPhase uint8
 
 const (
 	noHandover       handoverPhase = iota // there is no other process
-	successorJoined                       // this is the predecessor; its successor has the state and does not serve yet
+	successorJoined                       // this is the predecessor; its successor has received the state and does not serve yet
 	successorServing                      // this is the predecessor; its successor serves
 	joining                               // this is the successor; it does not serve yet
-	takenOver                             // this is the successor; it serves, and the predecessor still has clients
+	takenOver                             // this is the successor; it serves, and the predecessor still has connections of clients
 )
 
 // isSuccessor reports whether the other process is the older one.
 func (p handoverPhase) isSuccessor() bool { return p == joining || p == takenOver }
 
-// successorAccepts reports whether new clients reach another process. Stop then gives them no grace period here.
+// successorAccepts reports whether new clients connect to the successor. Stop then needs no grace period for them.
 func (p handoverPhase) successorAccepts() bool { return p == successorServing }
 
-// handover is the relation to the other process of the node, while one takes over from the other. Both together keep to the limits of
-// one node.
+// handover is the state of a hot restart, in which a process of the node takes over from another one. Together the two keep to the limits
+// of one node.
 type handover struct {
-	dir       *hotrestart.Dir // nil: there is no hot restart. Set before Serve
+	dir       *hotrestart.Dir // nil: hot restart is disabled. Set before Serve
 	takenOver chan struct{}   // closed once this process has taken over
 
-	mu      sync.Mutex          // guards channel and phase; held while descriptors are lent, so that none are lent to a lost process
+	mu      sync.Mutex          // guards channel and phase; held while descriptors are lent, so that none are lent to a process that is gone
 	channel *hotrestart.Channel // nil: there is no other process
 	phase   handoverPhase
 
-	saveSequence uint64 // of the exclusions saved last; owned by the loop
+	saveSequence uint64 // of the last saved exclusions; owned by the loop
 }
 
 // nextSaveSequence numbers the exclusions to save, so that an older save never replaces a newer one. The loop calls it.
@@ -49,23 +49,23 @@
 	return h.saveSequence
 }
 
-// set begins a phase with the process at the other end of a channel.
-func (h *handover) set(channel *hotrestart.Channel, phase handoverPhase) {
+// begin begins a phase with the process at the other end of a channel.
+func (h *handover) begin(channel *hotrestart.Channel, phase handoverPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.channel, h.phase = channel, phase
 }
 
-// other returns the channel to the other process, nil for none, and the phase.
-func (h *handover) other() (*hotrestart.Channel, handoverPhase) {
+// otherProcess returns the channel to the otherProcess process, nil for none, and the phase.
+func (h *handover) otherProcess() (*hotrestart.Channel, handoverPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return h.channel, h.phase
 }
 
-// markServing says that the successor of the two serves, whichever of them this process is. It changes nothing where the other one was
-// lost before that.
-func (h *handover) markServing() {
+// markSuccessorServing records that the successor serves, whichever of the two processes this is. It changes nothing if the connection to
+// the other process was lost before.
+func (h *handover) markSuccessorServing() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	switch h.phase {
@@ -81,24 +81,24 @@
 	descriptorReportInterval = 20 * time.Millisecond
 	// successorDivisor gives the successor 1/successorDivisor of the descriptors until it serves.
 	successorDivisor = 4
-	// descriptorSlack is by how many descriptors the two processes may be wrong about each other while messages are on their way.
+	// descriptorSlack is how many descriptors the counts of the two processes may differ by while reports are on their way.
 	descriptorSlack = 8
 	// listenRetryInterval is the time between two attempts to listen for a successor.
 	listenRetryInterval = 50 * time.Millisecond
-	// readyPollInterval is the time between two looks at whether a successor can serve.
+	// readyPollInterval is the interval at which a successor checks whether it can serve.
 	readyPollInterval = 5 * time.Millisecond
 )
 
-// SetMemoryLimit sets the soft limit of the Go runtime for a process that is one of several of its node. A quarter of the node's
-// limit is left for what the runtime does not count.
+// SetMemoryLimit sets the soft memory limit of the Go runtime in one of the processes of a node. A quarter of the node's limit is left for
+// memory that the runtime does not count.
 func SetMemoryLimit(mb, processes int) {
 	if mb > 0 {
 		debug.SetMemoryLimit(int64(mb) << 20 * 3 / 4 / int64(processes))
 	}
 }
 
-// StartHandover takes over from the predecessor, where join is not nil, and then listens for a successor. It is called before Serve.
-// Without a directory there is no hot restart.
+// StartHandover takes over from the predecessor, if join is not nil, and then listens for a successor. It is called before Serve. If dir is
+// nil, hot restart is disabled.
 func (n *Node) StartHandover(dir *hotrestart.Dir, join *hotrestart.Handover) {
 	if dir == nil {
 		return
@@ -108,12 +108,12 @@
 		n.startAlone(dir)
 		return
 	}
-	n.life.SetPredecessor(true)
+	n.lifecycle.SetPredecessor(true)
 	n.shareLimits(n.descriptors.Limit() * (successorDivisor - 1) / successorDivisor)
 	n.restoreTransfer(n.clock.Now(), &join.State)
-	// Set before the channel is read: if the other process is gone already, PeerLost has to know what to undo.
+	// The phase is set before the channel is read: if the predecessor is gone already, PeerLost must undo the right one.
 	channel := join.Channel()
-	n.handover.set(channel, joining)
+	n.handover.begin(channel, joining)
 	join.Start(n)
 	go n.reportDescriptors(channel)
 	go n.becomeReady(channel, join.State.Descriptors)
@@ -126,42 +126,42 @@
 	}
 	excluded.RebaseStored(n.clock.Now())
 	n.exclusions.Import(excluded)
-	n.reapplyExclusions(n.clock.Now())
+	n.reapplyEndpoints(n.clock.Now())
 	n.listenForSuccessor()
 }
 
-// becomeReady waits until this process can serve, and announces it to the predecessor. It ends then, or with the node.
+// becomeReady waits until this process can serve, and announces that to the predecessor. It returns then, or when the node stops.
 func (n *Node) becomeReady(channel *hotrestart.Channel, held int) {
-	for !n.life.CanServe() {
+	for !n.lifecycle.CanServe() {
 		select {
 		case <-n.quit:
 			return
 		case <-time.After(readyPollInterval):
 		}
 	}
-	n.handover.markServing()
-	n.lendDescriptors(channel, held+descriptorSlack) // from the announcement on the predecessor takes no more than it has
+	n.handover.markSuccessorServing()
+	n.lendDescriptors(channel, held+descriptorSlack) // once readiness is announced the predecessor takes no more than it holds
 	if err := channel.AnnounceReady(); err != nil {
 		n.log.WithError(err).Warn("cannot announce readiness to the predecessor")
 	}
-	n.listenForSuccessor() // before operators are told that this process is ready: they may start the next one then
-	n.life.SetPredecessor(false)
+	n.listenForSuccessor() // before this process reports ready to operators, who may then start the next one
+	n.lifecycle.SetPredecessor(false)
 	n.frontend.ResumeAccept()
 	n.log.Info("took over from the predecessor")
 	close(n.handover.takenOver)
 }
 
-// TakenOver returns a channel that is closed once this process has taken over from another one. For a process that has started alone it never is.
+// TakenOver returns a channel that is closed once this process has taken over from a predecessor. Without a predecessor it is never closed.
 func (n *Node) TakenOver() <-chan struct{} { return n.handover.takenOver }
 
-// listenForSuccessor has successors reach this process. Where that is not possible for the moment, it is tried again until it is.
+// listenForSuccessor listens for a successor, and retries in the background if that fails.
 func (n *Node) listenForSuccessor() {
 	err := n.handover.dir.Listen(n)
 	if err == nil {
 		return
 	}
 	n.log.WithError(err).Warn("cannot listen for a successor; retrying")
-	go func() { // ends with the first success, or with the node
+	go func() { // ends with the first success, or when the node stops
 		for err != nil {
 			select {
 			case <-n.quit:
@@ -174,20 +174,20 @@
 	}()
 }
 
-// shareLimits leaves descriptors to the other process, and half of the memory.
-func (n *Node) shareLimits(othersDescriptors int) {
-	n.descriptors.Lend(othersDescriptors)
+// shareLimits lends descriptors to the other process, and half of the memory.
+func (n *Node) shareLimits(lentDescriptors int) {
+	n.descriptors.Lend(lentDescriptors)
 	SetMemoryLimit(n.memoryMB, 2)
 }
 
-// reclaimLimits takes back what was left to the other process.
+// reclaimLimits takes back the descriptors and the memory that were lent to the other process.
 func (n *Node) reclaimLimits() {
 	n.descriptors.Lend(0)
 	SetMemoryLimit(n.memoryMB, 1)
 }
 
-// lendDescriptors leaves descriptors to the process at the other end of a channel, unless that has been lost meanwhile: it would
-// keep them for good.
+// lendDescriptors lends descriptors to the process at the other end of a channel, unless the channel has been lost: they would never be
+// returned.
 func (n *Node) lendDescriptors(channel *hotrestart.Channel, count int) {
 	n.handover.mu.Lock()
 	defer n.handover.mu.Unlock()
@@ -196,16 +196,16 @@
 	}
 }
 
-// reportDescriptors sends the number of descriptors that this process holds every descriptorReportInterval. It ends with the channel.
+// reportDescriptors sends the number of descriptors that this process holds, every descriptorReportInterval, until the channel is lost.
 func (n *Node) reportDescriptors(channel *hotrestart.Channel) {
 	for ; ; time.Sleep(descriptorReportInterval) {
 		held := n.descriptors.Held()
-		current, phase := n.handover.other()
+		current, phase := n.handover.otherProcess()
 		if current != channel {
 			return
 		}
 		if phase == successorServing {
-			n.lendDescriptors(channel, n.descriptors.Limit()-held) // this process takes no more: what it releases is the successor's
+			n.lendDescriptors(channel, n.descriptors.Limit()-held) // this process takes no more: those it releases go to the successor
 		}
 		if channel.ReportDescriptors(held) != nil {
 			return
@@ -213,27 +213,27 @@
 	}
 }
 
-// SuccessorJoined returns the state for a successor that has connected. One whose state is not had in time is refused: without any it
-// would serve with no exclusions and no servers. While the predecessor of this process has not ended, a successor is told to wait: three
-// processes could neither keep to the limits of one node, nor would all learn of operators' commands. It implements hotrestart.Handler,
-// as the methods below do.
+// SuccessorJoined returns the state for a successor that has connected. If the state is not available in time the successor is refused:
+// it would serve without exclusions and servers. While the predecessor of this process has not ended, a successor is told to wait: three
+// processes could not keep to the limits of one node, and not all of them would receive operators' commands. SuccessorJoined implements
+// hotrestart.Handler, as the methods below do.
 func (n *Node) SuccessorJoined(channel *hotrestart.Channel) (hotrestart.State, error) {
-	if _, phase := n.handover.other(); phase.isSuccessor() {
+	if _, phase := n.handover.otherProcess(); phase.isSuccessor() {
 		return hotrestart.State{}, hotrestart.ErrBusy
 	}
-	type transfer struct {
+	type export struct {
 		state hotrestart.State
-		pause time.Duration // for so long the loop did nothing else
+		pause time.Duration // how long the export blocked the loop
 	}
-	t, err := onLoopWithin(n, hotrestart.StateTimeout, func(now float64) (transfer, error) {
+	t, err := onLoopWithin(n, hotrestart.StateTimeout, func(now float64) (export, error) {
 		start := time.Now()
 		state := n.stateTransfer(now)
 		pause := time.Since(start)
-		n.handover.set(channel, successorJoined)
-		return transfer{state, pause}, nil
+		n.handover.begin(channel, successorJoined)
+		return export{state, pause}, nil
 	})
 	if err != nil {
-		n.log.WithError(err).Warn("cannot export the state for the successor, which is refused")
+		n.log.WithError(err).Warn("cannot export the state; refusing the successor")
 		return hotrestart.State{}, err
 	}
 	t.state.Clock, t.state.Monotonic = n.clock.Now(), clock.Monotonic()
@@ -243,16 +243,16 @@
 	return t.state, nil
 }
 
-// SuccessorReady hands new clients to the successor, which serves now, and each client between two of its requests.
+// SuccessorReady passes new clients to the successor, which serves now, and existing clients when they have no request in flight.
 func (n *Node) SuccessorReady() {
-	channel, _ := n.handover.other()
-	n.handover.markServing()
-	n.life.SetSuccessor(true)
+	channel, _ := n.handover.otherProcess()
+	n.handover.markSuccessorServing()
+	n.lifecycle.SetSuccessor(true)
 	n.frontend.SetHandover(channel.PassClient)
 	n.frontend.DrainConns()
 	n.upstreams.CloseUnused()
 	n.log.Info("successor ready, handing over client connections")
-	_ = n.runOnLoop(func(float64) {}) // it wakes the loop, which sweeps the clients that are left; a busy one is awake
+	_ = n.runOnLoop(func(float64) {}) // wakes the loop, which passes on the other clients; errLoopBusy means that it is awake
 }
 
 // ApplyCommand executes an admin command that was received by the other process.
@@ -263,36 +263,37 @@
 	}
 }
 
-// PeerDescriptors takes the number of descriptors that the other process holds. A predecessor that no longer serves needs no more.
+// PeerDescriptors handles a report of the number of descriptors that the other process holds. A predecessor that no longer serves needs
+// no more than that.
 func (n *Node) PeerDescriptors(held int) {
-	if channel, phase := n.handover.other(); phase == takenOver {
+	if channel, phase := n.handover.otherProcess(); phase == takenOver {
 		n.lendDescriptors(channel, held+descriptorSlack)
 	}
 }
 
-// AdoptClient serves a client connection that the predecessor has passed on. hasRequested says whether the client has sent a request.
+// AdoptClient serves a client connection that the predecessor has passed on. hasRequested is true if the client has sent a request.
 func (n *Node) AdoptClient(conn net.Conn, hasRequested bool) { n.frontend.Adopt(conn, hasRequested) }
 
-// PeerLost makes this process the only one of the node: the other one is gone or cannot be understood.
+// PeerLost makes this process the only one of the node: the other one is gone, or its messages are malformed.
 func (n *Node) PeerLost(cause error) {
-	phase := n.handover.reset(n.reclaimLimits)
+	phase := n.handover.end(n.reclaimLimits)
 	if phase.isSuccessor() {
-		n.life.SetPredecessor(false)
+		n.lifecycle.SetPredecessor(false)
 		n.frontend.ResumeAccept()
 		n.log.WithError(cause).Info("predecessor disconnected")
 		return
 	}
 	n.log.WithError(cause).Warn("successor disconnected, this process serves alone")
 	n.frontend.SetHandover(nil)
-	n.life.SetSuccessor(false)
+	n.lifecycle.SetSuccessor(false)
 	n.frontend.ResumeAccept()
-	if phase.successorAccepts() && n.life.Phase() != lifecycle.Stopping {
+	if phase.successorAccepts() && n.lifecycle.Phase() != lifecycle.Stopping {
 		n.listenForSuccessor()
 	}
 }
 
-// reset ends the handover and returns the phase before. It calls reclaim before anything can be lent again.
-func (h *handover) reset(reclaim func()) handoverPhase {
+// end ends the handover and returns its last phase. It calls reclaim before descriptors can be lent again.
+func (h *handover) end(reclaim func()) handoverPhase {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	before := h.phase
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -23,8 +23,8 @@
 	return dir
 }
 
-// A successor whose predecessor is lost before it can serve is the only process of its node: at its own stop it gives new clients the
-// grace period like any other. It once closed its listener at once, as if another process had its clients.
+// A successor whose predecessor is lost before it can serve is the only process of its node: at its own stop it accepts new clients for the
+// grace period. It used to close its listener at once, as if another process accepted the clients.
 func TestStopAfterPredecessorWasLostEarly(t *testing.T) {
 	predecessor := newTestCluster(t, 1, serveHit, echoOrigin)
 	path := t.TempDir()
@@ -43,7 +43,7 @@
 	ln := listen(t)
 	n.StartHandover(dir, join)
 	serve(t, n, ln)
-	channel, _ := predecessor.node.handover.other()
+	channel, _ := predecessor.node.handover.otherProcess()
 	channel.Close()
 	recorder.WaitFor(t, "predecessor disconnected")
 	n.inbox.post(listChanged{mode: fleet.ListFull, entries: servers.Members})
@@ -56,40 +56,40 @@
 		n.Stop(grace, 3*time.Second)
 		stopped <- time.Since(start)
 	}()
-	for n.life.Phase() != lifecycle.Stopping {
+	for n.lifecycle.Phase() != lifecycle.Stopping {
 		time.Sleep(time.Millisecond)
 	}
 	predecessor.expectPrefix(requestOn(dial(t, ln.Addr().String()), "KV.GET", "k", "1", "c=read,d=500"), "hit")
 	if took := <-stopped; took < grace {
-		t.Errorf("it stops after %v, and clients have %v to notice", took, grace)
+		t.Errorf("the node stopped after %v, within the grace period of %v", took, grace)
 	}
 }
 
-// Descriptors that were lent to the other process come back when it is lost, also where its last message is handled only then: the
-// node once went on with the few that were left for good.
+// Descriptors that were lent to the other process are taken back when it is lost, even if its last report is handled after that. The node
+// used to keep them lent for good.
 func TestLentDescriptorsReturnWhenPeerIsLost(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	n, c := tc.node, new(hotrestart.Channel)
-	n.handover.set(c, takenOver)
+	n.handover.begin(c, takenOver)
 	all := n.descriptors.Limit()
 	n.PeerDescriptors(all)
 	if n.descriptors.Acquire(fdlimit.Server) {
 		t.Fatal("all descriptors are lent, and one more is acquired")
 	}
 	n.PeerLost(nil)
-	n.lendDescriptors(c, all) // by a goroutine that saw the channel before it was lost
+	n.lendDescriptors(c, all) // as by a goroutine that read the channel before it was lost
 	n.PeerDescriptors(all)
 	if !n.descriptors.Acquire(fdlimit.Server) {
 		t.Error("descriptors stay lent to a lost process")
 	}
 }
 
-// Each process learns from the phases of a handover whether the other one is its successor, and whether that takes the new clients.
+// The phases of a handover say whether this process is the successor, and whether a successor accepts the new clients.
 func TestHandoverPhases(t *testing.T) {
 	for _, c := range []struct {
-		begin, serving   handoverPhase // serving: once the successor of the two serves
-		isSuccessor      bool
-		successorAccepts bool // in the phase serving
+		begin, whenServing handoverPhase // serving: once the successor of the two serves
+		isSuccessor        bool
+		successorAccepts   bool // in the phase serving
 	}{
 		{noHandover, noHandover, false, false},
 		{successorJoined, successorServing, false, true},
@@ -99,37 +99,37 @@
 	} {
 		var h handover
 		channel := new(hotrestart.Channel)
-		h.set(channel, c.begin)
-		h.markServing()
-		if got, phase := h.other(); got != channel || phase != c.serving {
-			t.Errorf("from phase %d to %d, want %d", c.begin, phase, c.serving)
+		h.begin(channel, c.begin)
+		h.markSuccessorServing()
+		if got, phase := h.otherProcess(); got != channel || phase != c.whenServing {
+			t.Errorf("from phase %d to %d, want %d", c.begin, phase, c.whenServing)
 		}
-		if c.begin.isSuccessor() != c.isSuccessor || c.serving.successorAccepts() != c.successorAccepts {
-			t.Errorf("phase %d: successor %v; phase %d: successor accepts %v", c.begin, c.begin.isSuccessor(), c.serving, c.serving.successorAccepts())
+		if c.begin.isSuccessor() != c.isSuccessor || c.whenServing.successorAccepts() != c.successorAccepts {
+			t.Errorf("phase %d: successor %v; phase %d: successor accepts %v", c.begin, c.begin.isSuccessor(), c.whenServing, c.whenServing.successorAccepts())
 		}
 		reclaimed := false
-		before := h.reset(func() { reclaimed = true })
-		if got, phase := h.other(); before != c.serving || got != nil || phase != noHandover || !reclaimed {
+		before := h.end(func() { reclaimed = true })
+		if got, phase := h.otherProcess(); before != c.whenServing || got != nil || phase != noHandover || !reclaimed {
 			t.Errorf("after reset phase %d, before it %d, reclaimed %v", phase, before, reclaimed)
 		}
 	}
 }
 
-// A successor that connects while the loop of its predecessor is busy gets no state. It once got an empty one, with which it served: without
-// the exclusions, and without a word. Once the loop goes on, nothing is left of that successor, and the next one gets the state.
+// A successor that connects while the loop of its predecessor is busy is refused. It used to get an empty state, with which it served
+// without the exclusions and logged nothing. Once the loop continues, no trace of that successor is left, and the next one gets the state.
 func TestSuccessorOfBusyLoopIsRefused(t *testing.T) {
 	tc := newTestCluster(t, 2, serveHit, echoOrigin)
 	path := t.TempDir()
 	tc.node.StartHandover(openHotRestartDir(t, path), nil)
-	goOn := make(chan struct{})
-	tc.node.inbox.post(loopCall(func(float64) { <-goOn }))
+	unblock := make(chan struct{})
+	tc.node.inbox.post(loopCall(func(float64) { <-unblock }))
 	join, err := openHotRestartDir(t, path).Join()
-	close(goOn)
+	close(unblock)
 	if err == nil {
 		t.Errorf("joined a busy process, with the state %+v", join.State)
 	}
 	tc.onLoop(func(float64) {})
-	if channel, phase := tc.node.handover.other(); channel != nil || phase != noHandover {
+	if channel, phase := tc.node.handover.otherProcess(); channel != nil || phase != noHandover {
 		t.Errorf("the handover is in phase %d after its successor was refused", phase)
 	}
 	for deadline := time.Now().Add(5 * time.Second); ; time.Sleep(time.Millisecond) {
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -13,14 +13,14 @@
 	"mintspring/internal/node/exchange"
 )
 
-// bindRetryInterval is the time between two looks at whether the predecessor has released the address of the replica. Claims that are
-// made meanwhile wait for it, as long as they may.
+// bindRetryInterval is the interval at which the replica tries to bind an address that the predecessor still holds. Claims made before
+// then wait for it until their deadline.
 const bindRetryInterval = 10 * time.Millisecond
 
-// errNoReplica is a reply on the admin port. Operators' scripts know the text, so that it keeps the words of the port's calls.
+// errNoReplica is a reply on the admin port. Operators' scripts match its text, which uses the words of the admin commands.
 var errNoReplica = errors.New("this node takes part in no book: its operator's file has no [book], or the process before has its place")
 
-// startIdempotency makes the node a replica of its cluster's idempotency records, if the operator's file says so.
+// startIdempotency starts the node's replica of the idempotency records, if the operator's file configures one.
 func (n *Node) startIdempotency(config *Config) error {
 	if config.Operator == nil || config.Operator.Idempotency == nil {
 		return nil
@@ -33,7 +33,7 @@
 	if number < 1 || number > len(section.Members) {
 		return fmt.Errorf("idempotency: this node's number, %d, is not among %d members", number, len(section.Members))
 	}
-	n.idempotency = &claimGate{
+	n.idempotency = &claimManager{
 		node:       n,
 		settings:   section,
 		claims:     map[uint64]*claim{},
@@ -52,11 +52,11 @@
 	return nil
 }
 
-// replicaChangeTimeout is how long the claims of a replica that is replaced may take to end.
-const replicaChangeTimeout = 100 * time.Millisecond
+// replicaStopTimeout is how long a replica that is being replaced waits for its claims to end.
+const replicaStopTimeout = 100 * time.Millisecond
 
 func (n *Node) startReplica(config *replica.Config) error {
-	r, err := replica.Start(*config, n.clock, n.log.Logger, func(result idempotency.Result) { n.inbox.post(recordResult{result}) })
+	r, err := replica.Start(*config, n.clock, n.log.Logger, func(result idempotency.Result) { n.inbox.post(replicaResult{result}) })
 	if err != nil {
 		return err
 	}
@@ -67,14 +67,14 @@
 	return nil
 }
 
-// reopenDataDir starts the replica anew once its data directory can be opened: a disk may be full for a moment. Until then the replica asks
-// the others only. It ends with the node.
-func (n *Node) reopenDataDir(config *replica.Config, asking *replica.Replica) {
-	for pause := minReplicaRestart; ; pause = min(2*pause, maxReplicaRestart) {
+// reopenDataDir restarts the replica once its data directory can be opened: a disk may be full for a moment. Until then the current
+// replica stores no records and only queries the others. reopenDataDir returns when the node stops.
+func (n *Node) reopenDataDir(config *replica.Config, current *replica.Replica) {
+	for backoff := minReplicaBackoff; ; backoff = min(2*backoff, maxReplicaBackoff) {
 		select {
 		case <-n.quit:
 			return
-		case <-time.After(pause):
+		case <-time.After(backoff):
 		}
 		if config.CheckDataDir() == nil {
 			break
@@ -83,7 +83,7 @@
 	if stopped, err := onLoop(n, func(float64) (bool, error) { return n.idempotency.closed, nil }); err != nil || stopped {
 		return
 	}
-	asking.Stop(replicaChangeTimeout)
+	current.Stop(replicaStopTimeout)
 	if err := n.startReplica(config); err != nil {
 		n.log.WithError(err).Error("continuing without idempotency records")
 		return
@@ -91,7 +91,7 @@
 	n.log.Info("the data directory of the idempotency records works now")
 }
 
-// retryReplica starts the replica once the predecessor has released its address. It ends with the node.
+// retryReplica starts the replica once the predecessor has released its address. It returns when the node stops.
 func (n *Node) retryReplica(config *replica.Config) {
 	err := n.retryWhileAddressInUse(bindRetryInterval, func() error { return n.startReplica(config) })
 	if err != nil {
@@ -99,29 +99,29 @@
 	}
 }
 
-// replicaStarted: this node has become a replica of the idempotency records.
+// replicaStarted is the event that the replica of the idempotency records has started.
 type replicaStarted struct{ replica *replica.Replica }
 
 func (e replicaStarted) handle(n *Node, _ float64) {
-	g := n.idempotency
-	g.replica = e.replica
-	for _, id := range g.claimIDs() { // requests that have arrived meanwhile
-		if c := g.claims[id]; c.phase == claiming {
-			g.replica.Claim(c.id, c.key, c.options, c.giveUpAt)
+	m := n.idempotency
+	m.replica = e.replica
+	for _, id := range m.claimIDs() { // requests that arrived before the replica started
+		if c := m.claims[id]; c.phase == claiming {
+			m.replica.Claim(c.id, c.key, c.options, c.replicaDeadline)
 		}
 	}
-	if s := n.snapshots; s != nil && s.startEmpty && n.restoredAt == 0 {
-		go s.fetch(e.replica) // it ends after fetchTimeout
+	if s := n.snapshots; s != nil && s.startedEmpty && n.restoredSnapshotTime == 0 {
+		go s.fetchFromReplica(e.replica) // it ends after fetchTimeout
 	}
 }
 
-// recordResult: the replica has the result of a claim or of a settlement.
-type recordResult struct{ result idempotency.Result }
+// replicaResult is the event that the replica has the result of a claim or of a settlement.
+type replicaResult struct{ result idempotency.Result }
 
-func (e recordResult) handle(n *Node, now float64) { n.idempotency.resultArrived(now, &e.result) }
+func (e replicaResult) handle(n *Node, now float64) { n.idempotency.handleResult(now, &e.result) }
 
-// stopIdempotency stops the replica once all is answered and replicated, at the deadline at the latest. It does not wait for the
-// connections of clients: until it returns the successor has no replica, and rejects what needs a claim.
+// stopIdempotency stops the replica once all claims are answered and replicated, or at the deadline. It does not wait for client
+// connections to close: until the replica has stopped, the successor has none and rejects requests that need a claim.
 func (n *Node) stopIdempotency(deadline time.Time) {
 	if n.idempotency == nil {
 		return
@@ -138,7 +138,7 @@
 	}
 }
 
-// IdempotencyStatus returns what this replica of the idempotency records holds, as JSON.
+// IdempotencyStatus returns the status of this replica of the idempotency records, as JSON.
 func (n *Node) IdempotencyStatus() (string, error) {
 	r, err := onLoop(n, func(float64) (*replica.Replica, error) {
 		if n.idempotency == nil || n.idempotency.replica == nil {
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -19,7 +19,7 @@
 )
 
 // singleReplica makes a node the only replica of its idempotency records.
-func singleReplica(t *testing.T, change func(*operatorfile.Idempotency)) func(*Config) {
+func singleReplica(t *testing.T, configure func(*operatorfile.Idempotency)) func(*Config) {
 	t.Helper()
 	address, err := reservedport.ReserveUDP()
 	if err != nil {
@@ -35,24 +35,24 @@
 	if err := storage.Create(section.DataDir, storage.Owner{Group: "b"}, 7); err != nil {
 		t.Fatal(err)
 	}
-	if change != nil {
-		change(section)
+	if configure != nil {
+		configure(section)
 	}
 	return func(c *Config) { c.Operator = &operatorfile.File{Idempotency: section} }
 }
 
-// A retry of a request with an idempotency key is answered with the receipt of the first one, or that nobody knows what became of it, or
-// it is executed where no attempt of the first one ran. A read, and a write without a key, are not claimed.
+// A retry of a request with an idempotency key is answered with the receipt of the first request, or aborted if the outcome of that is
+// unknown, or executed if no attempt of the first request was. A read, and a write without a key, are not claimed.
 func TestRetriesWithIdempotencyKey(t *testing.T) {
 	var mu sync.Mutex
-	runs := map[string]int{}
-	var how atomic.Value
-	how.Store("")
-	tc := newTestCluster(t, 2, serveHit, func(rw http.ResponseWriter, q *http.Request) {
+	executions := map[string]int{}
+	var originMode atomic.Value
+	originMode.Store("")
+	tc := newTestCluster(t, 2, serveHit, func(rw http.ResponseWriter, req *http.Request) {
 		mu.Lock()
-		runs[q.URL.Path]++
+		executions[req.URL.Path]++
 		mu.Unlock()
-		switch how.Load() {
+		switch originMode.Load() {
 		case "lost":
 			panic(http.ErrAbortHandler)
 		case "declined":
@@ -63,14 +63,14 @@
 			writeString(rw, strings.Repeat("r", 300))
 			return
 		}
-		echoOrigin(rw, q)
+		echoOrigin(rw, req)
 	}, singleReplica(t, nil))
-	ran := func(key string, want int) {
+	expectExecutions := func(key string, want int) {
 		t.Helper()
 		mu.Lock()
 		defer mu.Unlock()
-		if runs["/"+key] != want {
-			t.Errorf("%s was executed %d times, want %d", key, runs["/"+key], want)
+		if executions["/"+key] != want {
+			t.Errorf("%s was executed %d times, want %d", key, executions["/"+key], want)
 		}
 	}
 	requests := 0
@@ -79,24 +79,24 @@
 		return tc.request("KV.SET", key, fmt.Sprint("id", requests), "c="+class+",d=500,k=m-"+key, "v")
 	}
 	tc.expectPrefix(send("pay", "a"), "PUT /a id1")
-	tc.expectPrefix(send("pay", "a"), "PUT /a id1") // the receipt of the first one, under another id
-	ran("a", 1)
+	tc.expectPrefix(send("pay", "a"), "PUT /a id1") // the receipt of the first request, which has another id
+	expectExecutions("a", 1)
 
-	how.Store("lost")
+	originMode.Store("lost")
 	tc.expectPrefix(send("pay", "b"), "-ERR")
-	how.Store("")
+	originMode.Store("")
 	tc.expectPrefix(send("pay", "b"), "-ERR it was tried before")
-	ran("b", 1)
+	expectExecutions("b", 1)
 
-	how.Store("large")
+	originMode.Store("large")
 	tc.expectPrefix(send("pay", "c"), "rrr")
-	how.Store("")
+	originMode.Store("")
 	tc.expectPrefix(send("pay", "c"), "-ERR it was tried before") // its receipt is larger than MaxReceiptBytes
-	ran("c", 1)
+	expectExecutions("c", 1)
 
-	how.Store("declined")
+	originMode.Store("declined")
 	tc.expectPrefix(send("pay", "d"), "-BUSY")
-	how.Store("")
+	originMode.Store("")
 	tc.expectPrefix(send("pay", "d"), "PUT /d")
 	tc.expectPrefix(send("pay", "d"), "PUT /d")
 
@@ -110,11 +110,11 @@
 
 // Requests with the same key at the same time are executed once: the others are rejected with a Retry-After.
 func TestConcurrentRequestsWithOneKey(t *testing.T) {
-	var runs atomic.Int64
-	tc := newTestCluster(t, 2, serveHit, func(rw http.ResponseWriter, q *http.Request) {
-		runs.Add(1)
+	var executions atomic.Int64
+	tc := newTestCluster(t, 2, serveHit, func(rw http.ResponseWriter, req *http.Request) {
+		executions.Add(1)
 		time.Sleep(100 * time.Millisecond)
-		echoOrigin(rw, q)
+		echoOrigin(rw, req)
 	}, singleReplica(t, nil))
 	responses := make(chan string, 5)
 	for i := range 5 {
@@ -128,13 +128,13 @@
 			t.Errorf("answered %q", response)
 		}
 	}
-	if completed != 1 || runs.Load() != 1 {
-		t.Errorf("%d were completed, %d executed", completed, runs.Load())
+	if completed != 1 || executions.Load() != 1 {
+		t.Errorf("%d were completed, %d executed", completed, executions.Load())
 	}
 }
 
-// A request that needs a claim when the replica has stopped, as during a stop of the node, is rejected at once: it would wait for a result
-// that never comes, and the process could end before.
+// A request that needs a claim after the replica has stopped, as during a stop of the node, is rejected at once: it would wait for a result
+// that never comes, and the process could end before it is answered.
 func TestRequestAfterReplicaHasStopped(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin, singleReplica(t, nil))
 	tc.expectPrefix(tc.request("KV.SET", "k", "1", "c=put,d=500,k=1", "v"), "PUT")
@@ -142,45 +142,46 @@
 	began := time.Now()
 	tc.expectPrefix(tc.request("KV.SET", "k", "2", "c=put,d=500,k=2", "v"), "-BUSY ")
 	if took := time.Since(began); took > 100*time.Millisecond {
-		t.Errorf("it is rejected after %v", took)
+		t.Errorf("the request is rejected after %v", took)
 	}
 }
 
-// A request that needs a claim waits for the replica's address while the predecessor holds it, and is executed when that is released in
-// time; else it is rejected.
+// A request that needs a claim waits while the predecessor holds the address of the replica. It is executed if the address is released in
+// time, and rejected otherwise.
 func TestClaimsWaitForReplicaAddress(t *testing.T) {
-	var taken net.PacketConn
+	var occupied net.PacketConn
 	tc := newTestCluster(t, 1, serveHit, echoOrigin, singleReplica(t, func(section *operatorfile.Idempotency) {
 		var err error
-		if taken, err = net.ListenPacket("udp4", section.Members[0]); err != nil {
+		if occupied, err = net.ListenPacket("udp4", section.Members[0]); err != nil {
 			t.Fatal(err)
 		}
 	}))
-	quickest := time.Second // of a few, for the machine may be busy
+	fastest := time.Second // of four, since the machine may be busy
 	for i := range 4 {
 		began := time.Now()
 		tc.expectPrefix(tc.request("KV.SET", "k", fmt.Sprint("0", i), "c=put,d=80,k=1", "v"), "-BUSY ")
-		quickest = min(quickest, time.Since(began))
+		fastest = min(fastest, time.Since(began))
 	}
-	if quickest > 78*time.Millisecond {
-		t.Errorf("requests with 80 ms are rejected after %v at the soonest", quickest)
+	if fastest > 78*time.Millisecond {
+		t.Errorf("requests with 80 ms are rejected after %v at the soonest", fastest)
 	}
 	began := time.Now()
 	tc.expectPrefix(tc.request("KV.SET", "k", "1", "c=put,d=500,k=1", "v"), "-BUSY ")
 	if took := time.Since(began); took < 100*time.Millisecond || took > 400*time.Millisecond {
 		t.Errorf("it is rejected after %v", took)
 	}
-	time.AfterFunc(50*time.Millisecond, func() { closeQuietly(taken) })
+	time.AfterFunc(50*time.Millisecond, func() { closeQuietly(occupied) })
 	tc.expectPrefix(tc.request("KV.SET", "k", "2", "c=put,d=500,k=1", "v"), "PUT")
 }
 
-// A replica whose folder cannot be opened at the start, because of the system and not of what is in it, stores records once it can be.
-func TestRecordsFolderIsOpenedLater(t *testing.T) {
+// A replica whose data directory cannot be opened at the start, because of a system error and not of its contents, stores records once it can
+// be opened.
+func TestDataDirIsOpenedLater(t *testing.T) {
 	var dir string
 	tc := newTestCluster(t, 1, serveHit, echoOrigin, singleReplica(t, func(section *operatorfile.Idempotency) {
 		dir = section.DataDir + "-later"
 		section.DataDir = dir
-		if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file stands where the folder is to be
+		if err := os.WriteFile(dir, nil, 0o600); err != nil { // a file in place of the directory
 			t.Fatal(err)
 		}
 	}))
--- a/internal/node/inbox.go
+++ b/internal/node/inbox.go
@@ -23,7 +23,7 @@
 
 // inbox takes events from any goroutine. Posting never blocks.
 type inbox struct {
-	wake chan struct{} // has room for one: there are events
+	wake chan struct{} // buffered; holds one token while events are pending
 
 	mu     sync.Mutex // guards events
 	events []event
@@ -52,12 +52,12 @@
 	return into
 }
 
-// loopCallTimeout leaves time for the answer on the admin port to arrive in time.
+// loopCallTimeout leaves the rest of admin.ReplyTimeout for the reply to reach the caller on the admin port.
 const loopCallTimeout = admin.ReplyTimeout * 4 / 5
 
 var (
-	errLoopBusy     = errors.New("the node is too busy to say")
-	errLoopPanicked = errors.New("the call has panicked")
+	errLoopBusy     = errors.New("the event loop is too busy")
+	errLoopPanicked = errors.New("the call panicked in the event loop")
 	errLoopEnded    = errors.New("the node has stopped")
 )
 
@@ -66,15 +66,15 @@
 
 func (c loopCall) handle(_ *Node, now float64) { c(now) }
 
-// onLoop runs f on the loop and returns what it returns. Where the loop does not get to it within loopCallTimeout it returns
-// errLoopBusy; f runs all the same, later. Once the loop has ended it returns errLoopEnded: a reload at the end of a stop must not
-// delay that. It must not be called from the loop.
+// onLoop runs f on the loop and returns its result. If f has not returned within loopCallTimeout, onLoop returns errLoopBusy, and f
+// still runs later. Once the loop has ended onLoop returns errLoopEnded at once, so that a reload does not delay the end of a stop.
+// onLoop must not be called from the loop.
 func onLoop[T any](n *Node, f func(now float64) (T, error)) (T, error) {
 	type result struct {
 		value T
 		err   error
 	}
-	done := make(chan result, 1) // has room: the loop never waits for the caller
+	done := make(chan result, 1) // buffered: the loop never waits for the caller
 	n.inbox.post(loopCall(func(now float64) {
 		value, err := f(now)
 		done <- result{value, err}
@@ -83,49 +83,49 @@
 	case r := <-done:
 		return r.value, r.err
 	case <-n.quit:
-		var none T
-		return none, errLoopEnded
+		var zero T
+		return zero, errLoopEnded
 	case <-time.After(loopCallTimeout):
-		var none T
-		return none, errLoopBusy
+		var zero T
+		return zero, errLoopBusy
 	}
 }
 
-// onLoopWithin is as onLoop with a timeout of its own, but f does not run any more once an error of the loop was returned, and one that
-// panics is such an error.
+// onLoopWithin is like onLoop with the given timeout, except that f never runs after onLoopWithin has returned errLoopBusy, and a panic
+// in f is returned as errLoopPanicked.
 func onLoopWithin[T any](n *Node, timeout time.Duration, f func(now float64) (T, error)) (T, error) {
 	type result struct {
 		value T
 		err   error
 	}
-	done := make(chan result, 1) // has room: the loop never waits for the caller
-	var claimed atomic.Bool      // by the loop, which runs f, or by the caller, who has given up
+	done := make(chan result, 1) // buffered: the loop never waits for the caller
+	var decided atomic.Bool      // set by the loop before it runs f, or by the caller when it times out
 	n.inbox.post(loopCall(func(now float64) {
-		if !claimed.CompareAndSwap(false, true) {
+		if !decided.CompareAndSwap(false, true) {
 			return
 		}
 		defer close(done)
 		value, err := f(now)
 		done <- result{value, err}
 	}))
-	var none T
-	giveUp := time.After(timeout)
+	var zero T
+	timedOut := time.After(timeout)
 	for {
 		select {
 		case r, ok := <-done:
 			if !ok {
-				return none, errLoopPanicked
+				return zero, errLoopPanicked
 			}
 			return r.value, r.err
-		case <-giveUp:
-			if claimed.CompareAndSwap(false, true) {
-				return none, errLoopBusy
+		case <-timedOut:
+			if decided.CompareAndSwap(false, true) {
+				return zero, errLoopBusy
 			}
 		}
 	}
 }
 
-// runOnLoop runs f on the loop, as onLoop does, and waits for its end.
+// runOnLoop runs f on the loop and waits for its end, as onLoop does.
 func (n *Node) runOnLoop(f func(now float64)) error {
 	_, err := onLoop(n, func(now float64) (struct{}, error) {
 		f(now)
--- a/internal/node/largevalues_test.go
+++ b/internal/node/largevalues_test.go
@@ -18,11 +18,11 @@
 	"github.com/tidwall/redcon"
 )
 
-// Forty values of 4 MiB at once, from cache servers and from the origin, to clients that read slowly: all arrive complete, little of them
-// is buffered, and small requests do not wait for them.
+// Forty values of 4 MiB are sent at once, from cache servers and from the origin, to clients that read slowly. All arrive complete, only a
+// small part of them is buffered, and small requests do not wait for them.
 func TestConcurrentLargeValues(t *testing.T) {
 	const size, count = 4 << 20, 40
-	value := bytes.Repeat([]byte("0123456789abcdef"), size/16) // not a string: writing one would copy it into the heap that is measured
+	value := bytes.Repeat([]byte("0123456789abcdef"), size/16) // a slice, since writing a string would copy it to the heap that is measured
 	tc := newTestCluster(t, 3, func(c redcon.Conn, key, id string) {
 		switch {
 		case strings.HasPrefix(key, "large"):
@@ -36,9 +36,9 @@
 		default:
 			serveHit(c, key, id)
 		}
-	}, func(rw http.ResponseWriter, q *http.Request) {
-		if strings.HasPrefix(q.URL.Path, "/k") {
-			writeString(rw, "hit") // a small one, should its own server seem slow
+	}, func(rw http.ResponseWriter, req *http.Request) {
+		if strings.HasPrefix(req.URL.Path, "/k") {
+			writeString(rw, "hit") // small value, in case the cache server of the key seems slow
 			return
 		}
 		rw.Header().Set("Content-Length", fmt.Sprint(size))
@@ -77,14 +77,15 @@
 		}
 	}
 	wg.Wait()
-	if grew := int64(peak) - int64(before.HeapInuse); grew > count*size/8 {
-		t.Errorf("%d MB are buffered of %d MB", grew>>20, count*size>>20)
+	if growth := int64(peak) - int64(before.HeapInuse); growth > count*size/8 {
+		t.Errorf("%d MB are buffered of %d MB", growth>>20, count*size>>20)
 	}
 	sort.Slice(took, func(i, k int) bool { return took[i] < took[k] })
 	t.Logf("small requests beside them: half within %v, the slowest %v; heap %d MB more", took[50], took[99], (int64(peak)-int64(before.HeapInuse))>>20)
 }
 
-// readSlowly sends a command until it is not rejected, which it may be on a busy machine, and reads a value of so many bytes.
+// readSlowly sends a command and slowly reads a value of size bytes. It repeats the command while it is rejected, as may happen on a busy
+// machine.
 func readSlowly(addr string, request []byte, size int) error {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -97,19 +98,19 @@
 	if _, err := c.Write(request); err != nil {
 		return err
 	}
-	head := fmt.Sprintf("$%d\r\n", size)
-	got, piece := 0, make([]byte, 256<<10)
-	for got < len(head)+size+2 {
-		n, err := c.Read(piece)
-		if got == 0 && err == nil && bytes.HasPrefix(piece[:n], []byte(rejection)) {
-			time.Sleep(retryAfter(piece[:n]))
+	header := fmt.Sprintf("$%d\r\n", size)
+	got, buf := 0, make([]byte, 256<<10)
+	for got < len(header)+size+2 {
+		n, err := c.Read(buf)
+		if got == 0 && err == nil && bytes.HasPrefix(buf[:n], []byte(rejection)) {
+			time.Sleep(retryAfter(buf[:n]))
 			if _, err := c.Write(request); err != nil {
 				return err
 			}
 			continue
 		}
-		if err != nil || got == 0 && string(piece[:min(n, len(head))]) != head {
-			return fmt.Errorf("%q after %d bytes, %w", piece[:min(n, 40)], got, err)
+		if err != nil || got == 0 && string(buf[:min(n, len(header))]) != header {
+			return fmt.Errorf("%q after %d bytes, %w", buf[:min(n, 40)], got, err)
 		}
 		got += n
 		time.Sleep(5 * time.Millisecond)
@@ -117,10 +118,10 @@
 	return nil
 }
 
-// rejection is what a rejected client is answered, followed by a Retry-After in ms.
+// rejection begins the reply to a rejected request; a Retry-After in ms follows.
 const rejection = "-BUSY "
 
-// retryAfter returns the Retry-After of a rejection, 0 where it has none.
+// retryAfter returns the Retry-After of a rejection, or 0 if it has none.
 func retryAfter(line []byte) time.Duration {
 	ms, err := strconv.Atoi(strings.TrimSpace(strings.TrimPrefix(string(line), rejection)))
 	if err != nil {
@@ -129,54 +130,54 @@
 	return time.Duration(ms) * time.Millisecond
 }
 
-// A large value is sent to the origin as a whole, again where that is allowed, and only once where it may have been executed.
+// A large value reaches the origin complete. The write is retried where that is allowed, and sent only once if it may have been executed.
 func TestLargeWriteReachesTheOrigin(t *testing.T) {
-	var runs, received atomic.Int64
-	tc := newTestCluster(t, 1, serveHit, func(rw http.ResponseWriter, q *http.Request) {
-		n, err := io.Copy(io.Discard, q.Body)
-		if err != nil || n != q.ContentLength {
-			t.Errorf("%d bytes of %d: %v", n, q.ContentLength, err)
+	var executions, received atomic.Int64
+	tc := newTestCluster(t, 1, serveHit, func(rw http.ResponseWriter, req *http.Request) {
+		n, err := io.Copy(io.Discard, req.Body)
+		if err != nil || n != req.ContentLength {
+			t.Errorf("%d bytes of %d: %v", n, req.ContentLength, err)
 		}
 		received.Store(n)
-		if runs.Add(1) == 1 && strings.HasPrefix(q.URL.Path, "/again") {
+		if executions.Add(1) == 1 && strings.HasPrefix(req.URL.Path, "/again") {
 			rw.Header().Set("Srv-Declined", "1")
 			rw.WriteHeader(503)
 			return
 		}
-		if strings.HasPrefix(q.URL.Path, "/once") {
+		if strings.HasPrefix(req.URL.Path, "/once") {
 			panic(http.ErrAbortHandler)
 		}
 		writeString(rw, "receipt")
 	})
 	value := strings.Repeat("x", 3<<20)
 	tc.expectPrefix(tc.request("KV.SET", "again", "1", "c=put,d=590,k=1", value), "receipt")
-	if runs.Load() != 2 || received.Load() != 3<<20 {
-		t.Errorf("%d executions, the last with %d bytes", runs.Load(), received.Load())
+	if executions.Load() != 2 || received.Load() != 3<<20 {
+		t.Errorf("%d executions, the last with %d bytes", executions.Load(), received.Load())
 	}
-	runs.Store(0)
+	executions.Store(0)
 	tc.expectPrefix(tc.request("KV.SET", "once", "2", "c=pay,d=590", value), "-ERR it may or may not have been carried out")
-	if runs.Load() != 1 {
-		t.Errorf("executed %d times", runs.Load())
+	if executions.Load() != 1 {
+		t.Errorf("executed %d times", executions.Load())
 	}
 	tc.expectPrefix(tc.request("KV.GET", "k", "3", "c=read,d=500"), "hit")
 }
 
-// Large writes for which there is no memory are streamed: the client's timeout runs from the last byte, reads at the origin go on beside
-// them, each is executed once, and one that the origin declines early is rejected, since it was not executed.
+// Large writes that exceed the memory limit are streamed: the client's timeout runs from the last byte, the origin serves reads meanwhile,
+// each write is executed once, and one that the origin declines early is rejected, since it was not executed.
 func TestLargeWritesAreStreamed(t *testing.T) {
-	var runs, complete atomic.Int64
-	tc := newTestCluster(t, 1, serveMiss, func(rw http.ResponseWriter, q *http.Request) {
-		if q.Method == "GET" {
+	var executions, complete atomic.Int64
+	tc := newTestCluster(t, 1, serveMiss, func(rw http.ResponseWriter, req *http.Request) {
+		if req.Method == "GET" {
 			writeString(rw, "read")
 			return
 		}
-		if strings.HasPrefix(q.URL.Path, "/full") {
+		if strings.HasPrefix(req.URL.Path, "/full") {
 			rw.Header().Set("Srv-Declined", "1")
 			rw.WriteHeader(503)
 			return
 		}
-		runs.Add(1)
-		if n, err := io.Copy(io.Discard, q.Body); err == nil && n == q.ContentLength {
+		executions.Add(1)
+		if n, err := io.Copy(io.Discard, req.Body); err == nil && n == req.ContentLength {
 			complete.Add(1)
 			writeString(rw, "receipt")
 		}
@@ -186,7 +187,7 @@
 		c := tc.dial()
 		b := command("KV.SET", key, key, class, value)
 		for i := range 10 {
-			time.Sleep(80 * time.Millisecond) // 0.8 s in all, with a timeout of 0.5 s from the last byte on
+			time.Sleep(80 * time.Millisecond) // 0.8 s in total; the timeout of 0.5 s runs from the last byte
 			if _, err := c.Write(b[i*len(b)/10 : (i+1)*len(b)/10]); err != nil {
 				break
 			}
@@ -202,8 +203,8 @@
 		tc.expectPrefix(tc.request("KV.GET", fmt.Sprint("k", i), fmt.Sprint("r", i), "c=read,d=400"), "read")
 	}
 	wg.Wait()
-	if runs.Load() != 4 || complete.Load() != 4 {
-		t.Errorf("%d executions, %d complete", runs.Load(), complete.Load())
+	if executions.Load() != 4 || complete.Load() != 4 {
+		t.Errorf("%d executions, %d complete", executions.Load(), complete.Load())
 	}
 	tc.expectPrefix(writeSlowly("full", "c=pay,d=500"), "-BUSY")
 	tc.expectPrefix(tc.request("KV.GET", "k", "last", "c=read,d=400"), "read")
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -8,17 +8,17 @@
 )
 
 const (
-	// maxWait is how long the loop waits when nothing is due, in ms.
-	maxWait = 1000
-	// waitAfterPanic is how long it waits when it does not know what is due, since asking for it panicked.
+	// maxWaitMs is how long the loop waits when nothing is due.
+	maxWaitMs = 1000
+	// waitAfterPanic is how long the loop waits after a panic in runDueDecisions, which leaves the next due time unknown.
 	waitAfterPanic = 10 * time.Millisecond
-	// sweepInterval is the time between two sweeps of client connections, while any are to be closed.
+	// sweepInterval is the time between two sweeps of client connections while the node closes them.
 	sweepInterval = 50 * time.Millisecond
-	// reportInterval is the time between two log lines of the traffic.
+	// reportInterval is the time between two "traffic" log lines.
 	reportInterval = 5 * time.Second
 )
 
-// loop is the goroutine that owns the decision module and all that hangs on it. It ends when quit is closed.
+// loop handles events and runs due tasks until quit is closed. It owns the decision module and the state listed in the package comment.
 func (n *Node) loop() {
 	wakeUp := time.NewTimer(0)
 	defer wakeUp.Stop()
@@ -29,7 +29,7 @@
 		events = n.inbox.drain(events[:0])
 		now := n.clock.Now()
 		for _, e := range events {
-			n.guard(exchangeOf(e), func() { e.handle(n, now) })
+			n.withRecovery(exchangeOf(e), func() { e.handle(n, now) })
 		}
 		wakeUp.Reset(n.runTasks(now))
 		n.signalDrained()
@@ -52,8 +52,9 @@
 	return nil
 }
 
-// guard runs f and survives its panic. The request that f was about, if any, is then aborted, which promises nothing of its effect.
-func (n *Node) guard(x *exchange.Exchange, f func()) {
+// withRecovery runs f and recovers from its panic. It then aborts the request x that f was handling, if any: an abort leaves open
+// whether the request was executed.
+func (n *Node) withRecovery(x *exchange.Exchange, f func()) {
 	defer func() {
 		p := recover()
 		if p == nil {
@@ -67,46 +68,46 @@
 	f()
 }
 
-// runTasks does what is due by itself, and returns how long nothing else is.
+// runTasks runs all tasks that are due, and returns how long the loop may wait for the next one.
 func (n *Node) runTasks(now float64) time.Duration {
 	wait := waitAfterPanic
-	n.guard(nil, func() { wait = n.runDue(now) })
+	n.withRecovery(nil, func() { wait = n.runDueDecisions(now) })
 	if n.clusterMember != nil {
-		n.guard(nil, func() { n.clusterMember.tick(now) })
+		n.withRecovery(nil, func() { n.clusterMember.tick(now) })
 		wait = min(wait, clusterTick)
 	}
 	if n.maintenance != nil {
-		n.guard(nil, func() { n.maintenance.tick(now) })
+		n.withRecovery(nil, func() { n.maintenance.tick(now) })
 		wait = min(wait, clusterTick)
 	}
 	if n.idempotency != nil {
-		n.guard(nil, func() { n.idempotency.tick(now) })
+		n.withRecovery(nil, func() { n.idempotency.tick(now) })
 		wait = min(wait, claimTick)
 	}
-	if n.life.ClosesConnections() {
+	if n.lifecycle.ClosesConnections() {
 		n.sweepClients(now)
 		wait = min(wait, sweepInterval)
 	}
 	return wait
 }
 
-// runDue calls the decision module for everything that is due, and returns how long to wait for the next.
-func (n *Node) runDue(now float64) time.Duration {
+// runDueDecisions calls the decision module for everything that is due, and returns the time until its next call is due.
+func (n *Node) runDueDecisions(now float64) time.Duration {
 	for {
 		entry, wait := n.inflight.NextDue(now)
 		if wait > 0 {
-			return clock.Duration(min(wait, maxWait))
+			return clock.Duration(min(wait, maxWaitMs))
 		}
 		if entry == nil {
 			n.inflight.Decide(now, nil)
 			continue
 		}
-		n.guard(entry.Exchange, func() { n.inflight.Decide(now, entry) })
+		n.withRecovery(entry.Exchange, func() { n.inflight.Decide(now, entry) })
 	}
 }
 
-// sweepClients closes the client connections whose time has come, every sweepInterval. A sweep takes the locks of all connections,
-// so it runs beside the loop; it ends by itself.
+// sweepClients closes the client connections that are due to be closed, once per sweepInterval. A sweep locks every connection, so it
+// runs in a goroutine of its own, which ends with the sweep.
 func (n *Node) sweepClients(now float64) {
 	if now < n.nextSweepAt {
 		return
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -18,13 +18,13 @@
 )
 
 const (
-	// firstCallID is where the ids of calls to the consensus group begin that the lease client does not number.
+	// firstCallID is the first id of calls to the consensus group that are not numbered by the lease client.
 	firstCallID = 1 << 40
-	// stepMarginMs bounds how long a step takes from the look at the clock until its command is sent.
+	// stepMarginMs bounds the time from the check of the lease to the sending of a step's command.
 	stepMarginMs = 100
 )
 
-// maintenanceTask follows the plan of rolling maintenance that the consensus group keeps, and takes its steps while this node holds the
+// maintenanceTask applies the rolling restart plan that the consensus group stores, and proposes its steps while this node holds the
 // lease. The loop owns it.
 type maintenanceTask struct {
 	node     *Node
@@ -32,23 +32,23 @@
 	replica  *replicaSupervisor // nil: this node is no member of the group
 	client   *replica.Client
 	lease    *lease.Client
-	excluded *exclusion.Set // by the plan, apart from what operators exclude on the admin port
+	excluded *exclusion.Set // by the plan; operators' exclusions on the admin port are kept separately
 
 	plan     *rollingrestart.Plan
-	revision uint64 // of the plan
+	revision uint64 // of plan
 
-	nextPollAt  float64
-	nextStepAt  float64
-	lastReplyAt float64
-	groupSilent bool // as logged last
-	holdsLease  bool // as logged last
+	nextPollAt        float64
+	nextStepAt        float64
+	lastReplyAt       float64
+	groupUnresponsive bool // as last logged
+	holdsLease        bool // as last logged
 
-	nextMember int // that a command is sent to
-	lastCallID uint64
-	waiting    map[uint64]chan<- lease.Result // by call id; a result that has no room is dropped
+	memberCursor int // modulo the number of members, the member that the last command was sent to
+	lastCallID   uint64
+	pendingCalls map[uint64]chan<- lease.Result // by call id; results that the channel cannot take are dropped
 }
 
-// joinConsensus makes the node a client of the consensus group of the operator's file, if there is one, and a member if the file says so.
+// joinConsensus makes the node a client, or a member, of the consensus group if the operator's file configures it.
 func (n *Node) joinConsensus(config *Config) error {
 	if config.Operator == nil || config.Operator.Consensus == nil {
 		return nil
@@ -60,14 +60,14 @@
 		Incarnation: cluster.NewIncarnation(now, n.random()),
 	}
 	t := &maintenanceTask{
-		node:        n,
-		settings:    section,
-		lease:       lease.NewClient(rollingrestart.LeaseName, process, section.Lease.Milliseconds()),
-		excluded:    exclusion.New(),
-		lastReplyAt: now,
-		lastCallID:  firstCallID,
-		waiting:     map[uint64]chan<- lease.Result{},
-		nextMember:  rand.IntN(len(section.Members)),
+		node:         n,
+		settings:     section,
+		lease:        lease.NewClient(rollingrestart.LeaseName, process, section.Lease.Milliseconds()),
+		excluded:     exclusion.New(),
+		lastReplyAt:  now,
+		lastCallID:   firstCallID,
+		pendingCalls: map[uint64]chan<- lease.Result{},
+		memberCursor: rand.IntN(len(section.Members)),
 	}
 	t.replica = t.startReplica()
 	var err error
@@ -81,7 +81,7 @@
 	return nil
 }
 
-// startReplica makes the node a member of the group, if it is to be one; nil: it is not.
+// startReplica starts the consensus replica of a node that is a member of the group. It returns nil for any other node.
 func (t *maintenanceTask) startReplica() *replicaSupervisor {
 	if t.settings.MemberNumber <= 0 {
 		return nil
@@ -99,7 +99,7 @@
 	return superviseReplica(t.node.log, func() (*replica.Replica, error) { return replica.Start(config, t.node.log.Logger) })
 }
 
-// stop releases the lease and ends the node's part in the group.
+// stop releases the lease, closes the client and stops the replica.
 func (t *maintenanceTask) stop() {
 	if t.holdsLease {
 		t.send(t.nextCallID(), t.lease.Release())
@@ -110,7 +110,7 @@
 	}
 }
 
-// consensusReply: a member of the group has answered a call.
+// consensusReply is the event that a member of the group has answered a call.
 type consensusReply struct {
 	callID uint64
 	result lease.Result
@@ -119,28 +119,28 @@
 func (e consensusReply) handle(n *Node, now float64) {
 	t := n.maintenance
 	t.lastReplyAt = now
-	if t.groupSilent {
-		t.groupSilent = false
+	if t.groupUnresponsive {
+		t.groupUnresponsive = false
 		n.log.Info("consensus group responds again")
 	}
 	t.lease.HandleResult(e.callID, e.result)
-	if waiting := t.waiting[e.callID]; waiting != nil {
-		delete(t.waiting, e.callID)
+	if results := t.pendingCalls[e.callID]; results != nil {
+		delete(t.pendingCalls, e.callID)
 		select {
-		case waiting <- e.result:
-		default: // another member has answered the same call: the loop never waits for the caller
+		case results <- e.result:
+		default: // another member has answered this command already; the loop never waits for the caller
 		}
 	}
-	t.follow(now, e.result)
+	t.applyPlan(now, e.result)
 }
 
-// stopWaiting drops the calls whose results would be sent on a channel: nobody receives from it any more.
-func (t *maintenanceTask) stopWaiting(results chan<- lease.Result) {
-	maps.DeleteFunc(t.waiting, func(_ uint64, waiting chan<- lease.Result) bool { return waiting == results })
+// dropPendingCalls drops the calls whose results go to a channel that is no longer received from.
+func (t *maintenanceTask) dropPendingCalls(results chan<- lease.Result) {
+	maps.DeleteFunc(t.pendingCalls, func(_ uint64, pending chan<- lease.Result) bool { return pending == results })
 }
 
-// follow applies the plan of a result here, if it is newer than the current one.
-func (t *maintenanceTask) follow(now float64, result lease.Result) {
+// applyPlan applies the plan in a result if it is newer than the current one.
+func (t *maintenanceTask) applyPlan(now float64, result lease.Result) {
 	if result.Revision <= t.revision {
 		return
 	}
@@ -150,37 +150,37 @@
 		return
 	}
 	t.revision, t.plan = result.Revision, plan
-	planned := plan.Excluded()
+	plannedIDs := plan.Excluded()
 	for _, id := range t.excluded.ExcludedIDs() {
-		if !slices.Contains(planned, id) {
-			t.applyChange(id, now, t.excluded.Readmit)
+		if !slices.Contains(plannedIDs, id) {
+			t.applyExclusionChange(id, now, t.excluded.Readmit)
 		}
 	}
-	for _, id := range planned {
-		t.applyChange(id, now, t.excluded.Exclude)
+	for _, id := range plannedIDs {
+		t.applyExclusionChange(id, now, t.excluded.Exclude)
 	}
 }
 
-// applyChange excludes or readmits a server. One that was never listed here is not excluded: there is nothing to keep from it.
-func (t *maintenanceTask) applyChange(id string, now float64, change func(id string, now float64) (bool, error)) {
+// applyExclusionChange excludes or readmits a server. A server that was never listed on this node is not excluded: it gets no requests.
+func (t *maintenanceTask) applyExclusionChange(id string, now float64, change func(id string, now float64) (bool, error)) {
 	if changed, err := change(id, now); err == nil && changed {
 		t.node.exclusionChanged(now, id)
 	}
 }
 
-// apply changes the endpoint of a cache server by what the plan excludes.
-func (t *maintenanceTask) apply(id string, endpoint fleet.Endpoint) fleet.Endpoint {
+// applyExclusions applies the exclusions of the plan to the endpoint of a cache server.
+func (t *maintenanceTask) applyExclusions(id string, endpoint fleet.Endpoint) fleet.Endpoint {
 	t.excluded.MarkListed(id)
 	endpoint.StartedAt = t.excluded.StartedAt(id, endpoint.StartedAt)
 	endpoint.State = t.excluded.EffectiveState(id, endpoint.State)
 	return endpoint
 }
 
-// tick polls the group, and takes the next step if this node holds the lease.
+// tick polls the group, and proposes the next step if this node holds the lease.
 func (t *maintenanceTask) tick(now float64) {
 	if now >= t.nextPollAt {
 		t.nextPollAt = now + t.pollInterval()*(0.8+0.4*t.node.random())
-		t.warnIfSilent(now)
+		t.warnIfUnresponsive(now)
 		t.poll(now)
 	}
 	if mayAct := t.lease.MayAct(now, stepMarginMs); mayAct != t.holdsLease {
@@ -191,33 +191,33 @@
 	}
 	if t.holdsLease && now >= t.nextStepAt {
 		t.nextStepAt = now + t.lease.TTLMillis/8
-		t.step(now)
+		t.proposeStep(now)
 	}
 }
 
 func (t *maintenanceTask) pollInterval() float64 {
 	interval := t.settings.PollInterval.Milliseconds()
 	if t.hasWork() {
-		interval = min(interval, t.lease.TTLMillis/4) // so that the lease is renewed in time
+		interval = min(interval, t.lease.TTLMillis/4) // to renew the lease in time
 	}
 	return interval
 }
 
-func (t *maintenanceTask) warnIfSilent(now float64) {
-	if !t.groupSilent && now-t.lastReplyAt > 5*t.settings.PollInterval.Milliseconds()+t.lease.TTLMillis {
-		t.groupSilent = true
+func (t *maintenanceTask) warnIfUnresponsive(now float64) {
+	if !t.groupUnresponsive && now-t.lastReplyAt > 5*t.settings.PollInterval.Milliseconds()+t.lease.TTLMillis {
+		t.groupUnresponsive = true
 		t.node.log.Warn("consensus group does not respond, the last maintenance plan stays in force")
 	}
 }
 
-// hasWork reports whether there is a plan to hold the lease for.
+// hasWork reports whether there is an unfinished plan, for which a node has to hold the lease.
 func (t *maintenanceTask) hasWork() bool { return t.plan != nil && !t.plan.Finished() }
 
-// send sends a command to one member, and to another one each time: one that is dead or cut off does not answer. A command that could
-// not be sent is like one that was lost: whoever waits for its result sends it again.
+// send sends a command to the next member in turn, since a member that is dead or cut off does not answer. A command that cannot be sent
+// counts as lost: the caller that waits for its result sends it again.
 func (t *maintenanceTask) send(callID uint64, command lease.Command) {
-	t.nextMember++
-	if err := t.client.Send(t.nextMember%len(t.settings.Members), callID, command); err != nil {
+	t.memberCursor++
+	if err := t.client.Send(t.memberCursor%len(t.settings.Members), callID, command); err != nil {
 		t.node.log.WithError(err).Debug("cannot send a command to the consensus group")
 	}
 }
@@ -227,7 +227,7 @@
 	return t.lastCallID
 }
 
-// poll renews or acquires the lease while there is work, and else releases it and reads the plan.
+// poll renews or acquires the lease while there is work. Otherwise it releases the lease, or reads the plan if this node holds none.
 func (t *maintenanceTask) poll(now float64) {
 	switch {
 	case t.hasWork():
@@ -240,9 +240,9 @@
 	}
 }
 
-// step has the next step of the plan committed under the token, if one is due. It takes effect with the group's answer, on this node as
-// on the others.
-func (t *maintenanceTask) step(now float64) {
+// proposeStep proposes the next step of the plan under the lease token, if one is due. The step takes effect on this node, as on the others,
+// when a result of the group contains the new plan.
+func (t *maintenanceTask) proposeStep(now float64) {
 	if !t.hasWork() {
 		return
 	}
@@ -251,7 +251,7 @@
 		t.node.log.WithError(err).Error("cannot copy the maintenance plan")
 		return
 	}
-	description, due := next.Advance(now, t.node.deployment.Limits.WarmUpTime, t.observe)
+	description, due := next.Advance(now, t.node.deployment.Limits.WarmUpTime, t.serverStatus)
 	if !due || !t.lease.MayAct(t.node.clock.Now(), stepMarginMs) {
 		return
 	}
@@ -266,8 +266,8 @@
 	})
 }
 
-// observe returns what the endpoint list says of a server.
-func (t *maintenanceTask) observe(serverID string) rollingrestart.ServerStatus {
+// serverStatus returns the status of a server in the endpoint list.
+func (t *maintenanceTask) serverStatus(serverID string) rollingrestart.ServerStatus {
 	id, known := t.node.serverTable.IDs[serverID]
 	if !known {
 		return rollingrestart.ServerStatus{}
@@ -276,6 +276,6 @@
 	return rollingrestart.ServerStatus{
 		Listed:      entry.Phase == discovery.PhaseInService && t.node.serverTable.State(id) != fleet.Gone,
 		ListedStart: entry.UpSince,
-		StartedAt:   t.node.servers[id].started,
+		StartedAt:   t.node.servers[id].startedAt,
 	}
 }
--- a/internal/node/maintenance_test.go
+++ b/internal/node/maintenance_test.go
@@ -34,20 +34,20 @@
 	}
 }
 
-// A call that was sent to a second replica, since the first was slow, gets two results. The second one once blocked the loop for ever, and
-// with it every request: on a disk whose syncs take a second, that was any call.
+// A call that was sent to a second replica because the first was slow gets two results. The second result used to block the loop, and with it
+// every request, forever. On a disk whose syncs take a second, every call did so.
 func TestLateConsensusResultsDoNotBlockTheLoop(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin, singleConsensusReplica(t))
 	results := make(chan lease.Result, 1)
 	for i := range uint64(3) {
 		callID := 1000 + i
-		tc.onLoop(func(float64) { tc.node.maintenance.waiting[callID] = results })
+		tc.onLoop(func(float64) { tc.node.maintenance.pendingCalls[callID] = results })
 		tc.node.inbox.post(consensusReply{callID, lease.Result{OK: true}})
 	}
 	if err := tc.node.runOnLoop(func(float64) {}); err != nil {
 		t.Fatalf("the loop is blocked: %v", err)
 	}
-	// And the group of this one replica answers.
+	// The group, which has only this replica, answers calls.
 	for deadline := time.Now().Add(10 * time.Second); ; {
 		text, err := tc.node.RollingRestart([]string{"show"})
 		if err == nil && text == "no roll; nobody holds the lease" {
@@ -64,7 +64,7 @@
 		t.Errorf("%s, %v", text, err)
 	}
 	if _, err := tc.node.ChangeMembership("take-in", []string{"1", "0"}); err == nil {
-		t.Error("a member is taken in anew with its first generation")
+		t.Error("a member is replaced with its first generation")
 	}
 }
 
@@ -86,11 +86,11 @@
 // waitingCalls returns the ids of the calls that wait for a result, in order.
 func (tc *testCluster) waitingCalls() (ids []uint64) {
 	tc.t.Helper()
-	tc.onLoop(func(float64) { ids = slices.Sorted(maps.Keys(tc.node.maintenance.waiting)) })
+	tc.onLoop(func(float64) { ids = slices.Sorted(maps.Keys(tc.node.maintenance.pendingCalls)) })
 	return ids
 }
 
-// waitForCall returns the oldest call that waits for a result and was sent after another one.
+// waitForCall returns the oldest call that waits for a result and was sent after the call with id after.
 func (tc *testCluster) waitForCall(after uint64) uint64 {
 	tc.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -104,30 +104,30 @@
 	return 0
 }
 
-// The plan is read with two calls, since the first member is slow, and both are answered, the second while the plan is being written. That
-// answer was once taken for the one to the write: a plan was reported that no member had committed.
+// The plan is read with two calls, since the first member is slow. Both are answered, the second one while the plan is being written. That
+// answer used to be taken for the result of the write, so that a plan was reported that no member had committed.
 func TestLateReadResultIsNotTakenForTheWrite(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin, silentConsensusGroup(t))
-	failed := make(chan error, 1)
+	startErr := make(chan error, 1)
 	go func() {
 		_, err := tc.node.RollingRestart([]string{"start", "1", "s9"})
-		failed <- err
+		startErr <- err
 	}()
 	first := tc.waitForCall(0)
 	second := tc.waitForCall(first)
 	tc.node.inbox.post(consensusReply{first, lease.Result{OK: true}})
 	tc.waitForCall(second) // the write
 	tc.node.inbox.post(consensusReply{second, lease.Result{OK: true}})
-	if err := <-failed; !errors.Is(err, errConsensusSilent) {
-		t.Errorf("the write was not answered, and ends with %v", err)
+	if err := <-startErr; !errors.Is(err, errConsensusUnavailable) {
+		t.Errorf("the write, which was not answered, returns %v", err)
 	}
 }
 
-// Calls without an answer are forgotten when they are given up: they once stayed in memory for as long as the process ran.
+// Calls that are never answered are forgotten when the command fails. They used to stay in memory until the process ended.
 func TestUnansweredConsensusCallsAreForgotten(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin, silentConsensusGroup(t))
-	if _, err := tc.node.RollingRestart([]string{"show"}); !errors.Is(err, errConsensusSilent) {
-		t.Errorf("a group that does not answer: %v", err)
+	if _, err := tc.node.RollingRestart([]string{"show"}); !errors.Is(err, errConsensusUnavailable) {
+		t.Errorf("the call to a group that does not answer returns %v", err)
 	}
 	if calls := tc.waitingCalls(); len(calls) > 0 {
 		t.Errorf("calls %v still wait for a result", calls)
--- a/internal/node/maintenancecommands.go
+++ b/internal/node/maintenancecommands.go
@@ -12,24 +12,24 @@
 )
 
 const (
-	// consensusAttempts is how often a call is sent, each time to another member, before it is given up.
+	// consensusAttempts is how many times a command is sent, each time to another member, before the call fails.
 	consensusAttempts = 4
-	// consensusReplyTimeout is how long each of them may take.
+	// consensusReplyTimeout is how long each of these attempts waits for a result.
 	consensusReplyTimeout = 150 * time.Millisecond
 )
 
-// Replies on the admin port. Operators' scripts know the texts, so that they keep the words of the port's calls.
+// Replies on the admin port. Operators' scripts match these texts, which use the words of the admin commands.
 var (
-	errNoConsensus       = errors.New("this node has no council: its operator's file has no [council]")
-	errConsensusSilent   = errors.New("the council does not answer: most of its members are not there")
-	errPlanChanged       = errors.New("the plan has changed meanwhile; look and call again")
-	errNoPlan            = errors.New("no roll goes on")
-	errRollUsage         = errors.New("a roll has show, start MOST ID,ID..., pause, go-on and stop")
-	errUnknownMembership = errors.New("no such call of the council; there are council-take-in, council-add and council-drop")
+	errNoConsensus          = errors.New("this node has no council: its operator's file has no [council]")
+	errConsensusUnavailable = errors.New("the council does not answer: most of its members are not there")
+	errPlanChanged          = errors.New("the plan has changed meanwhile; look and call again")
+	errNoPlan               = errors.New("no roll goes on")
+	errRollUsage            = errors.New("a roll has show, start MOST ID,ID..., pause, go-on and stop")
+	errUnknownMembership    = errors.New("no such call of the council; there are council-take-in, council-add and council-drop")
 )
 
-// RollingRestart executes a command on the plan of rolling maintenance: show, start MOST ID,ID..., pause, go-on or stop. It returns the
-// plan as text.
+// RollingRestart executes a command on the rolling restart plan: show, start MOST ID,ID..., pause, go-on or stop. It returns the plan as
+// text.
 func (n *Node) RollingRestart(args []string) (string, error) {
 	read, err := n.callConsensus(func(*maintenanceTask) lease.Command {
 		return lease.Command{Kind: lease.KindRead, Name: rollingrestart.LeaseName}
@@ -73,7 +73,7 @@
 	return fmt.Sprintf("; node %d takes its steps under token %d", read.Holder.Node, read.Token)
 }
 
-// editPlan returns the plan after a command of the operators. plan is nil where there is none.
+// editPlan returns the plan as changed by an operator's command. plan is nil if there is none.
 func editPlan(plan *rollingrestart.Plan, args []string) (*rollingrestart.Plan, error) {
 	command := args[0]
 	finished := plan == nil || plan.Finished()
@@ -98,21 +98,21 @@
 }
 
 func startPlan(maxExcluded, serverIDs string) (*rollingrestart.Plan, error) {
-	most, err := strconv.Atoi(maxExcluded)
+	limit, err := strconv.Atoi(maxExcluded)
 	if err != nil {
 		return nil, fmt.Errorf("%q is no number of servers", maxExcluded)
 	}
-	return rollingrestart.NewPlan(strings.Split(serverIDs, ","), most)
+	return rollingrestart.NewPlan(strings.Split(serverIDs, ","), limit)
 }
 
-// membershipChange is a command that changes who is a member of the consensus group.
+// membershipChange is a command that changes the members of the consensus group.
 type membershipChange struct {
 	command    string // take-in, add or drop
 	member     int    // its number, from 1
 	generation int    // of its data directory; unused by drop
 }
 
-// ChangeMembership has the leader of the consensus group take in a member that has lost its data directory, add one or drop one.
+// ChangeMembership asks the leader of the consensus group to replace a member that has lost its data directory, or to add or remove one.
 func (n *Node) ChangeMembership(command string, args []string) (string, error) {
 	change, err := parseMembershipChange(command, args)
 	if err != nil {
@@ -136,10 +136,10 @@
 }
 
 func parseMembershipChange(command string, args []string) (membershipChange, error) {
-	hasGeneration, leastGeneration := true, 0
+	hasGeneration, minGeneration := true, 0
 	switch command {
 	case "take-in":
-		leastGeneration = 1
+		minGeneration = 1
 	case "add":
 	case "drop":
 		hasGeneration = false
@@ -158,27 +158,27 @@
 	if hasGeneration {
 		change.generation, generationErr = strconv.Atoi(args[1])
 	}
-	if numberErr != nil || generationErr != nil || change.member < 1 || change.generation < leastGeneration {
+	if numberErr != nil || generationErr != nil || change.member < 1 || change.generation < minGeneration {
 		return membershipChange{}, fmt.Errorf("%q are no member's number and generation", args)
 	}
 	return change, nil
 }
 
-// callConsensus sends a command to the consensus group and waits for its result, from another member where one does not answer. A result
-// that arrives when the call has ended is dropped.
+// callConsensus sends a command to the consensus group and waits for its result. If a member does not answer, it sends the command to the
+// next one. A result that arrives after the call has ended is dropped.
 func (n *Node) callConsensus(newCommand func(t *maintenanceTask) lease.Command) (lease.Result, error) {
 	if n.maintenance == nil {
 		return lease.Result{}, errNoConsensus
 	}
 	results := make(chan lease.Result, 1)
-	defer n.inbox.post(loopCall(func(float64) { n.maintenance.stopWaiting(results) }))
+	defer n.inbox.post(loopCall(func(float64) { n.maintenance.dropPendingCalls(results) }))
 	for range consensusAttempts {
 		if err := n.runOnLoop(func(float64) {
 			t := n.maintenance
 			callID := t.nextCallID()
-			t.waiting[callID] = results
+			t.pendingCalls[callID] = results
 			command := newCommand(t)
-			command.Process = t.lease.Process // its incarnation tells the result from one for an earlier process
+			command.Process = t.lease.Process // the incarnation distinguishes the result from one for an earlier process
 			t.send(callID, command)
 		}); err != nil {
 			return lease.Result{}, err
@@ -189,5 +189,5 @@
 		case <-time.After(consensusReplyTimeout):
 		}
 	}
-	return lease.Result{}, errConsensusSilent
+	return lease.Result{}, errConsensusUnavailable
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -45,29 +45,29 @@
 	upstreams   *upstream.Group
 	discovery   *discovery.Client
 	inbox       inbox
-	life        lifecycle.State
+	lifecycle   lifecycle.State
 	handover    handover
 	randomDraws atomic.Uint64
 
 	// Owned by the loop. New and StartHandover use them before it runs.
-	deployment            settings.Deployment
-	inflight              *inflight.Table[*upstream.Attempt]
-	exclusions            *exclusion.Set // by operators on the admin port
-	classes               requestclass.Table
-	serverTable           *servertable.Table
-	servers               []*server // by slot of the server table
-	serverStarts          serverstart.Tracker
-	cachePool, originPool connpool.Config
-	traffic               trafficCounters
-	nextSweepAt           float64
-	restoredAt            float64 // when the snapshot restored last was taken; 0: none was restored
-	shutdown              shutdown
+	deployment                        settings.Deployment
+	inflight                          *inflight.Table[*upstream.Attempt]
+	exclusions                        *exclusion.Set // set by operators on the admin port
+	classes                           requestclass.Table
+	serverTable                       *servertable.Table
+	servers                           []*server // indexed by slot of the server table
+	serverStarts                      serverstart.Tracker
+	cachePoolConfig, originPoolConfig connpool.Config
+	traffic                           trafficCounters
+	nextSweepAt                       float64
+	restoredSnapshotTime              float64 // when the last restored snapshot was taken; 0: none has been restored
+	shutdown                          shutdown
 
 	// Optional parts, owned by the loop unless they say otherwise.
 	snapshots     *snapshotStore   // nil: no snapshots are written
-	clusterMember *clusterMember   // nil: the node has no peers, or waits for their address
+	clusterMember *clusterMember   // nil: the node has no peers, or its peer address is still in use
 	maintenance   *maintenanceTask // nil: the node has no consensus group
-	idempotency   *claimGate       // nil: no idempotency records are kept
+	idempotency   *claimManager    // nil: no idempotency records are kept
 }
 
 // New makes a node with the endpoint list known at the start. An optional part that cannot be started is logged and left out.
@@ -96,7 +96,7 @@
 	n.frontend.SetConfig(clients.NewConfig(config.Deployment, n.classes.ID))
 	n.discovery = n.newDiscovery(config.Discovery)
 	n.addEvictors()
-	n.cachePool, n.originPool = PoolConfigs(&config.Deployment, config.Operator)
+	n.cachePoolConfig, n.originPoolConfig = PoolConfigs(&config.Deployment, config.Operator)
 	n.serverTable = servertable.New(SlotRetention(&config.Deployment))
 	now := n.clock.Now()
 	config.Deployment = EffectiveDeployment(config.Deployment)
@@ -107,20 +107,20 @@
 	return n
 }
 
-// EffectiveDeployment returns a deployment as the decision module of a node is configured for it: the node watches the endpoint list
-// whatever the settings say, because over HTTP no change arrives unasked. Snapshot files have the policy hash of this deployment. The
-// state for a successor has that of the settings as they are, which builds side by side have to agree on.
+// EffectiveDeployment returns the deployment for which a node configures its decision module: Subscribe is always set, because over HTTP
+// the node learns of a change of the endpoint list only by watching it. The policy hash in snapshot files is that of this deployment.
+// The policy hash in the state for a successor is that of the unmodified deployment: both builds in a hot restart must agree on it.
 func EffectiveDeployment(deployment settings.Deployment) settings.Deployment {
 	deployment.Limits.Subscribe = true
 	return deployment
 }
 
 func newDescriptorBudget(config *Config) *fdlimit.Budget {
-	setAside := 0
+	reserved := 0
 	if config.AdminEnabled {
-		setAside = admin.MaxConnections
+		reserved = admin.MaxConnections
 	}
-	return fdlimit.New(config.MaxDescriptors, setAside)
+	return fdlimit.New(config.MaxDescriptors, reserved)
 }
 
 func newPolicy(now float64, config *Config, slab *fleet.Slab) Policy {
@@ -148,7 +148,7 @@
 func (n *Node) newFrontend(config *Config) *clients.Server {
 	return &clients.Server{
 		Handler:        n,
-		Lifecycle:      &n.life,
+		Lifecycle:      &n.lifecycle,
 		Random:         n.random,
 		Clock:          n.clock,
 		Sockets:        n.descriptors,
@@ -160,7 +160,7 @@
 	}
 }
 
-// memoryShare is 1/memoryDivisor of the memory limit, in bytes.
+// memoryShare returns 1/memoryDivisor of the memory limit, in bytes.
 func (c *Config) memoryShare() int64 { return int64(c.MemoryMB) << 20 / memoryDivisor }
 
 func (n *Node) newDiscovery(addr string) *discovery.Client {
@@ -181,16 +181,16 @@
 	}
 }
 
-// addEvictors says whose connections are closed, and in which order, when descriptors run out. A client that has had a response and
-// stays goes before one that has just connected: where silent clients held all descriptors, each newcomer took the place of the
-// one before it, whose request was still being read.
+// addEvictors sets the order in which connections are closed when descriptors run out. Idle clients that have had a response are
+// evicted before clients that have just connected: otherwise, once silent clients held all descriptors, each new client evicted the
+// previous one, whose request was still being read.
 func (n *Node) addEvictors() {
-	const ofClient, ofServer = fdlimit.Client, fdlimit.Server
-	n.descriptors.AddEvictor(ofClient, func() bool { return n.frontend.EvictAnswered(idleBeforeClose) })
-	n.descriptors.AddEvictor(ofClient, func() bool { return n.frontend.EvictOldest(clients.Silent, 0) })
-	n.descriptors.AddEvictor(ofServer, n.upstreams.CloseOldestUnused)
-	n.descriptors.AddEvictor(ofClient, func() bool { return n.frontend.EvictOldest(clients.Idle, 0) })
-	n.descriptors.AddEvictor(ofClient, func() bool { return n.frontend.EvictOldest(clients.Incomplete, 0) })
+	const clientConn, serverConn = fdlimit.Client, fdlimit.Server
+	n.descriptors.AddEvictor(clientConn, func() bool { return n.frontend.EvictAnswered(minIdleBeforeEviction) })
+	n.descriptors.AddEvictor(clientConn, func() bool { return n.frontend.EvictOldest(clients.Silent, 0) })
+	n.descriptors.AddEvictor(serverConn, n.upstreams.CloseOldestUnused)
+	n.descriptors.AddEvictor(clientConn, func() bool { return n.frontend.EvictOldest(clients.Idle, 0) })
+	n.descriptors.AddEvictor(clientConn, func() bool { return n.frontend.EvictOldest(clients.Incomplete, 0) })
 }
 
 func (n *Node) startOptionalParts(config *Config) {
@@ -206,7 +206,7 @@
 	n.openSnapshots(config)
 }
 
-// Serve runs the loop and accepts clients on a listener. It returns when Stop has closed the listener.
+// Serve runs the loop and accepts clients on a listener. It returns after Stop has closed the listener.
 func (n *Node) Serve(ln net.Listener) error {
 	go n.loop()
 	return n.frontend.Serve(ln)
@@ -215,10 +215,10 @@
 // SetDiscovery switches to a discovery service at another address. Requests in flight and clients are not affected.
 func (n *Node) SetDiscovery(addr string) { n.discovery.SwitchTo(addr) }
 
-// MaxRequestTimeout is the longest timeout of any request class, in ms.
+// MaxRequestTimeout returns the longest timeout of any request class, in ms.
 func (n *Node) MaxRequestTimeout() float64 { return n.frontend.Config().LongestTimeout }
 
-// random draws from [0,1). The draws follow from the seed alone.
+// random returns a pseudorandom number in [0,1). The sequence depends on the seed alone.
 func (n *Node) random() float64 { return fleet.UnitInterval(n.seed + n.randomDraws.Add(1)) }
 
 func (n *Node) logPanic(p any) {
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -32,10 +32,10 @@
 
 // A write that may have been executed is neither rejected nor retried, whatever the origin answers.
 func TestUncertainWriteIsNotRetried(t *testing.T) {
-	var runs atomic.Int64
-	tc := newTestCluster(t, 2, serveHit, func(rw http.ResponseWriter, q *http.Request) {
-		runs.Add(1)
-		if q.URL.Path == "/reset" {
+	var executions atomic.Int64
+	tc := newTestCluster(t, 2, serveHit, func(rw http.ResponseWriter, req *http.Request) {
+		executions.Add(1)
+		if req.URL.Path == "/reset" {
 			panic(http.ErrAbortHandler)
 		}
 		rw.WriteHeader(500)
@@ -43,13 +43,13 @@
 	})
 	for i, key := range []string{"reset", "failed"} {
 		tc.expectPrefix(tc.request("KV.SET", key, fmt.Sprint(i), "c=pay,d=500", "v"), "-ERR ")
-		if n := runs.Swap(0); n != 1 {
+		if n := executions.Swap(0); n != 1 {
 			t.Errorf("%s: executed %d times", key, n)
 		}
 	}
 }
 
-// An error line of a server is never passed on: its BUSY would turn what may have been executed into a rejection.
+// An error line of a server is never passed on to the client: a BUSY in it would report a request that may have been executed as rejected.
 func TestServerErrorsAreNotPassedOn(t *testing.T) {
 	tc := newTestCluster(t, 2, func(c redcon.Conn, _, _ string) { c.WriteRaw([]byte("-ERR BUSY 1\r\n")) },
 		func(rw http.ResponseWriter, _ *http.Request) {
@@ -62,7 +62,7 @@
 	tc.expectPrefix(tc.request("KV.SET", "k", "2", "c=pay,d=300", "v"), "-BUSY")
 }
 
-// Attempts at servers that never answer end by the node's own timers, before the client's deadline.
+// Attempts at servers that never answer are ended by the node's timers, before the client's deadline.
 func TestSilentServers(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
@@ -75,9 +75,9 @@
 	tc.expectPrefix(tc.request("KV.SET", "k", "2", "c=pay,d=100", "v"), "-ERR")
 }
 
-// Servers that drop requests with a few ms left without a word are no outliers for that: each gets its share of those that follow.
+// A server that does not answer requests with only a few ms left is not ejected for that: each server gets its share of later requests.
 func TestRequestsWithLittleTimeEjectNoServer(t *testing.T) {
-	const servers, brief, usual = 3, 90, 120
+	const servers, shortRequests, normalRequests = 3, 90, 120
 	var served sync.Map // by server
 	tc := newTestCluster(t, servers, func(c redcon.Conn, key, id string) {
 		if strings.HasPrefix(key, "brief") {
@@ -86,31 +86,31 @@
 		served.Store(c.NetConn().LocalAddr().String(), true)
 		serveHit(c, key, id)
 	}, echoOrigin)
-	for i := range brief {
+	for i := range shortRequests {
 		tc.expectPrefix(tc.request("KV.GET", fmt.Sprint("brief", i), fmt.Sprint("b", i), fmt.Sprint("c=read,d=", 1+i%5)), "-")
 	}
-	for i := range usual {
+	for i := range normalRequests {
 		tc.expectPrefix(tc.request("KV.GET", fmt.Sprint("key", i), fmt.Sprint(i), "c=read,d=500"), "hit")
 	}
-	used := 0
-	served.Range(func(any, any) bool { used++; return true })
-	if used != servers {
-		t.Errorf("%d of %d servers are used", used, servers)
+	usedServers := 0
+	served.Range(func(any, any) bool { usedServers++; return true })
+	if usedServers != servers {
+		t.Errorf("%d of %d servers are used", usedServers, servers)
 	}
 }
 
-// A value of no length from the origin is complete at the end of its connection in order, and at no other: a reset after any byte, the last
-// one too, fails the request.
-func TestResetIsNoEndOfAValue(t *testing.T) {
+// A value without a declared length from the origin is complete only when the connection is closed in an orderly way. A reset after any byte,
+// even the last one, fails the request.
+func TestResetDoesNotCompleteValue(t *testing.T) {
 	const response = "HTTP/1.1 200 OK\r\n\r\nvalue"
-	cuts := make(chan int, 1)
+	resetPositions := make(chan int, 1)
 	tc := newTestCluster(t, 1, serveMiss, func(rw http.ResponseWriter, _ *http.Request) {
 		conn, _, err := http.NewResponseController(rw).Hijack()
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		cut := <-cuts
+		cut := <-resetPositions
 		writeString(conn, response[:min(cut, len(response))])
 		time.Sleep(2 * time.Millisecond) // until the node has read it
 		if cut <= len(response) {
@@ -119,7 +119,7 @@
 		closeQuietly(conn)
 	})
 	for cut := range len(response) + 2 {
-		cuts <- cut
+		resetPositions <- cut
 		got := tc.request("KV.SET", "k", fmt.Sprint(cut), "c=pay,d=500", "v")
 		if cut <= len(response) {
 			tc.expectPrefix(got, "-ERR")
@@ -129,19 +129,19 @@
 	}
 }
 
-// panickingEvent is an event whose handling panics.
+// panickingEvent is an event whose handler panics.
 type panickingEvent struct{ request *exchange.Exchange }
 
 func (e panickingEvent) handle(*Node, float64) { panic("fault") }
 
 func (e panickingEvent) exchange() *exchange.Exchange { return e.request }
 
-// responseChannel is a client that passes on its response.
+// responseChannel is a client that sends its responses on a channel.
 type responseChannel chan *exchange.Response
 
 func (c responseChannel) ResponseReady(x *exchange.Exchange) { c <- x.Response() }
 
-// A panic in the loop aborts the request that the event was about, and the node goes on.
+// A panic in the loop aborts the request of the event, and the node keeps running.
 func TestPanicInTheLoop(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	client := make(responseChannel, 1)
@@ -153,7 +153,7 @@
 	tc.expectPrefix(tc.request("KV.GET", "k", "1", "c=read,d=500"), "hit")
 }
 
-// faultyServers serve requests with faults that are drawn at random, and count how often each request is executed by a backend.
+// faultyServers serves requests with random faults, and counts how often each request is executed by the origin.
 type faultyServers struct {
 	mu         sync.Mutex
 	random     *rand.Rand
@@ -192,8 +192,8 @@
 	}
 }
 
-func (s *faultyServers) serveOrigin(rw http.ResponseWriter, q *http.Request) {
-	id := q.Header.Get("Req-Id")
+func (s *faultyServers) serveOrigin(rw http.ResponseWriter, req *http.Request) {
+	id := req.Header.Get("Req-Id")
 	switch s.draw() {
 	case 0:
 		rw.Header().Set("Srv-Declined", "1")
@@ -228,9 +228,9 @@
 	}
 }
 
-// Among servers and an origin that do anything at all, each request gets one complete response in its time, and no effect happens twice:
-// rules 1 and 2 over sockets, judged by what the fake servers have executed.
-func TestRulesWithFaultyServers(t *testing.T) {
+// With arbitrary faults of the servers and the origin, each request gets one complete response in time, and no request whose effect must not
+// be repeated is executed twice. The test checks this over sockets, by what the fake servers have executed.
+func TestInvariantsWithFaultyServers(t *testing.T) {
 	servers := &faultyServers{random: rand.New(rand.NewSource(3)), executions: map[string]int{}}
 	tc := newTestCluster(t, 4, servers.serveCache, servers.serveOrigin)
 	var requests sync.WaitGroup
@@ -252,8 +252,8 @@
 	requests.Wait()
 }
 
-// A fake cache server refuses what is no request to a cache server, such as the poll of a node for which another server had the address
-// before, and does not count it. It once ended the program of all tests.
+// A fake cache server refuses commands that are not requests to a cache server, and does not count them. One example is the discovery poll of
+// a node that expects another server at the address; it used to crash the test binary.
 func TestFakeCacheRefusesForeignCommands(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	conn := dial(t, tc.cacheAddrs[0])
--- a/internal/node/reconfigure.go
+++ b/internal/node/reconfigure.go
@@ -8,15 +8,15 @@
 	"mintspring/internal/node/clients"
 )
 
-// reconfigurable is a policy whose limits can be changed while it runs.
+// reconfigurable is a policy whose limits can be changed at run time.
 type reconfigurable interface {
 	Reconfigure(now float64, limits fleet.Limits)
 }
 
-var errNotReconfigurable = errors.New("this policy takes no other settings while it runs")
+var errNotReconfigurable = errors.New("this policy cannot be reconfigured at run time")
 
-// Reconfigure takes over other settings while the node serves. Requests in flight keep the class under which they arrived. The
-// seed, the way of following the endpoint list and the timeouts of connections stay as they were. On an error nothing has changed.
+// Reconfigure applies new settings while the node serves. Requests in flight keep the class under which they arrived. The seed, the way
+// of following the endpoint list and the timeouts of connections do not change. If Reconfigure returns an error, nothing has changed.
 func (n *Node) Reconfigure(deployment settings.Deployment) error {
 	_, err := onLoop(n, func(now float64) (struct{}, error) { return struct{}{}, n.reconfigure(now, deployment) })
 	return err
@@ -33,12 +33,12 @@
 	deployment.Limits.Seed, deployment.Limits.Subscribe = n.deployment.Limits.Seed, n.deployment.Limits.Subscribe
 	deployment.ConnIdleTimeout, deployment.ConnectTimeout = n.deployment.ConnIdleTimeout, n.deployment.ConnectTimeout
 	n.deployment = deployment
-	// Requests under the settings before may be in flight still.
+	// Requests that arrived under the previous settings may still be in flight.
 	n.serverTable.Retention = max(n.serverTable.Retention, SlotRetention(&deployment))
 	limits := deployment.Limits
 	limits.Classes, limits.Subscribe = n.classes.Classes(), true
 	policy.Reconfigure(now, limits)
-	n.reapplyExclusions(now) // zones and kinds are numbered by their order in the settings
+	n.reapplyEndpoints(now) // zones and kinds are numbered by their order in the settings
 	// Last: a request of a new class must not arrive before the policy knows the class.
 	n.frontend.SetConfig(clients.NewConfig(deployment, n.classes.ID))
 	return nil
--- a/internal/node/reconfigure_test.go
+++ b/internal/node/reconfigure_test.go
@@ -12,27 +12,27 @@
 	"mintspring/internal/config/settings"
 )
 
-// Settings are taken over while requests are in flight: a new class is known at once and its rules apply, one that is removed is an error
-// for new requests, and a request in flight keeps the class under which it arrived.
+// New settings apply while requests are in flight: a new class is known at once and its rules apply, a removed class is an error for new
+// requests, and a request in flight keeps the class under which it arrived.
 func TestReconfigure(t *testing.T) {
-	hold := make(chan struct{})
-	var runs atomic.Int64
+	release := make(chan struct{})
+	var executions atomic.Int64
 	tc := newTestCluster(t, 2, func(c redcon.Conn, key, id string) {
 		if strings.HasPrefix(key, "held") {
-			runs.Add(1)
-			<-hold
+			executions.Add(1)
+			<-release
 			c.WriteRaw([]byte("-ERR failed\r\n"))
 			return
 		}
 		serveHit(c, key, id)
-	}, func(rw http.ResponseWriter, q *http.Request) {
-		runs.Add(1)
-		if strings.HasPrefix(q.URL.Path, "/held") {
-			<-hold
+	}, func(rw http.ResponseWriter, req *http.Request) {
+		executions.Add(1)
+		if strings.HasPrefix(req.URL.Path, "/held") {
+			<-release
 		}
 		rw.WriteHeader(500)
 	})
-	// By the classes under which they arrived, a read may be executed again and a payment may not.
+	// By the classes under which they arrived, the read may be retried and the payment may not.
 	answers := make(chan string, 2)
 	for i, extra := range []string{"c=pay,d=550", "c=read,d=550"} {
 		go func() {
@@ -40,30 +40,30 @@
 			answers <- extra[:5] + tc.request(command, "held", extra, extra, value...)
 		}()
 	}
-	for deadline := time.Now().Add(5 * time.Second); runs.Load() < 2 && time.Now().Before(deadline); {
+	for deadline := time.Now().Add(5 * time.Second); executions.Load() < 2 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	tc.reconfigure(`"Name":"pay","Effect":"side_effect"`, `"Name":"pay","Effect":"pure"`)
 	tc.expectPrefix(tc.request("KV.GET", "k", "1", "c=read,d=500"), "hit")
-	close(hold)
+	close(release)
 	for range 2 {
-		// The payment may have been executed, and is aborted though the class of its name is idempotent now.
+		// The payment may have been executed. It is aborted, though the class with its name is idempotent now.
 		if got := <-answers; strings.HasPrefix(got, "c=pay") && got != "c=pay-ERR it may or may not have been carried out" {
 			t.Errorf("answered %q", got)
 		}
 	}
-	runs.Store(0)
+	executions.Store(0)
 	tc.request("KV.SET", "again", "2", "c=pay,d=500", "v")
-	if runs.Load() < 2 {
+	if executions.Load() < 2 {
 		t.Error("a request of a class that is idempotent now is not retried")
 	}
 	tc.reconfigure(`{"Name":"read","Effect":"pure"`, `{"Name":"look","Effect":"pure"`)
 	tc.expectPrefix(tc.request("KV.GET", "k", "3", "c=look,d=500"), "hit")
 	tc.expectPrefix(tc.request("KV.GET", "k", "4", "c=read,d=500"), "-ERR class 'read' is not known")
-	runs.Store(0)
+	executions.Store(0)
 	tc.reconfigure(`"MaxExecutions":4`, `"MaxExecutions":1`)
 	tc.request("KV.SET", "once", "5", "c=put,d=500,k=1", "v")
-	if n := runs.Load(); n != 1 {
+	if n := executions.Load(); n != 1 {
 		t.Errorf("executed %d times where one attempt is allowed", n)
 	}
 	if n := len(tc.node.classes.Classes()); n > 9 {
@@ -71,10 +71,10 @@
 	}
 }
 
-// reconfigure replaces a part of the settings of all tests and has the node take them over.
-func (tc *testCluster) reconfigure(old, with string) {
+// reconfigure replaces old in settingsText and applies the result to the node.
+func (tc *testCluster) reconfigure(old, replacement string) {
 	tc.t.Helper()
-	deployment, err := settings.Parse([]byte(strings.Replace(settingsText, old, with, 1)), 7)
+	deployment, err := settings.Parse([]byte(strings.Replace(settingsText, old, replacement, 1)), 7)
 	if err != nil {
 		tc.t.Fatal(err)
 	}
@@ -83,21 +83,21 @@
 	}
 }
 
-// The slot of a removed server is kept for as long as any request may refer to it: also requests that arrive under settings with longer
-// timeouts, and those that arrived before settings with shorter ones.
+// The slot of a removed server is kept for as long as any request may refer to it, including requests that arrive after timeouts were raised
+// and those that arrived before timeouts were lowered.
 func TestSlotsOutliveRequestsUnderOtherSettings(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	retention := func() (ms float64) {
 		tc.onLoop(func(float64) { ms = tc.node.serverTable.Retention })
 		return ms
 	}
-	short := retention()
+	initial := retention()
 	tc.reconfigure(`"StatementTimeout":600000`, `"StatementTimeout":9000000`)
-	if long := retention(); long < 9000 {
-		t.Errorf("with timeouts of 9 s slots are kept for %.0f ms", long)
+	if extended := retention(); extended < 9000 {
+		t.Errorf("with timeouts of 9 s slots are kept for %.0f ms", extended)
 	}
 	tc.reconfigure(`"StatementTimeout":600000`, `"StatementTimeout":300000`)
-	if after := retention(); after < 9000 || short > after {
-		t.Errorf("beside requests of 9 s slots are kept for %.0f ms", after)
+	if reduced := retention(); reduced < 9000 || initial > reduced {
+		t.Errorf("beside requests of 9 s slots are kept for %.0f ms", reduced)
 	}
 }
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -7,7 +7,7 @@
 	"mintspring/internal/node/upstream"
 )
 
-// HandleRequest takes a request of a client. It implements clients.Handler, as ClientGone and BodyReceived do.
+// HandleRequest accepts a request from a client. It implements clients.Handler, as ClientGone and BodyReceived do.
 func (n *Node) HandleRequest(x *exchange.Exchange) { n.inbox.post(requestArrived{x}) }
 
 // ClientGone reports that the client of a request has closed its connection.
@@ -16,12 +16,12 @@
 // BodyReceived reports that the last byte of a value that is streamed to its server was read at the given time.
 func (n *Node) BodyReceived(x *exchange.Exchange, at float64) { n.inbox.post(bodyComplete{x, at}) }
 
-// attemptDone takes the end of an attempt from the connections to the servers.
+// attemptDone is called by the connections to the servers at the end of an attempt.
 func (n *Node) attemptDone(attempt *upstream.Attempt, completion upstream.Completion) {
 	n.inbox.post(attemptDone{attempt, completion})
 }
 
-// requestArrived: a client has sent a request.
+// requestArrived is the event that a client has sent a request.
 type requestArrived struct{ request *exchange.Exchange }
 
 func (e requestArrived) exchange() *exchange.Exchange { return e.request }
@@ -29,13 +29,13 @@
 func (e requestArrived) handle(n *Node, now float64) {
 	x := e.request
 	if n.shutdown.deadline > 0 {
-		x.Deadline = min(x.Deadline, n.shutdown.deadline) // the process ends then; after it the request is rejected without an attempt
+		x.Deadline = min(x.Deadline, n.shutdown.deadline) // the process ends then; a request that arrives later is rejected without an attempt
 	}
 	if n.isFull() {
 		n.inflight.Respond(x, exchange.Response{Kind: exchange.Rejected, RetryAfter: n.frontend.Config().RetryAfter})
 		return
 	}
-	if n.idempotency != nil && n.idempotency.claim(now, x) {
+	if n.idempotency != nil && n.idempotency.claimIfNeeded(now, x) {
 		return
 	}
 	n.inflight.Admit(now, x)
@@ -47,14 +47,14 @@
 	if limit <= 0 {
 		return false
 	}
-	claiming := 0
+	waitingClaims := 0
 	if n.idempotency != nil {
-		claiming = n.idempotency.pending
+		waitingClaims = n.idempotency.pending
 	}
-	return n.inflight.Len()+claiming >= limit
+	return n.inflight.Len()+waitingClaims >= limit
 }
 
-// bodyComplete: the last byte of a streamed value was read. The client's timeout runs from there.
+// bodyComplete is the event that the last byte of a streamed value was read. The client's timeout runs from then on.
 type bodyComplete struct {
 	request *exchange.Exchange
 	at      float64
@@ -68,7 +68,7 @@
 	}
 }
 
-// clientGone: the client of a request has closed its connection.
+// clientGone is the event that the client of a request has closed its connection.
 type clientGone struct{ request *exchange.Exchange }
 
 func (e clientGone) exchange() *exchange.Exchange { return e.request }
@@ -79,7 +79,7 @@
 	}
 }
 
-// attemptDone: an attempt has ended.
+// attemptDone is the event that an attempt has ended.
 type attemptDone struct {
 	attempt    *upstream.Attempt
 	completion upstream.Completion
--- a/internal/node/serverclock_test.go
+++ b/internal/node/serverclock_test.go
@@ -13,12 +13,12 @@
 	"mintspring/internal/node/serverstart"
 )
 
-// restartedEntry is the entry of a cache server whose process has started at a time by its own clock.
+// restartedEntry returns the entry of a cache server whose process has started at a time by its own clock.
 func restartedEntry(id, addr string, startedMs float64) string {
 	return strings.TrimSuffix(entry(id, addr, "box"), "}") + fmt.Sprintf(`,"up_since_ms":%.0f}`, startedMs)
 }
 
-// startedAt returns when the decision module takes a cache server to have started; NaN: it is not known yet.
+// startedAt returns the start time that the decision module has for a cache server, or NaN if it has none yet.
 func (tc *testCluster) startedAt(id string) (started float64) {
 	tc.t.Helper()
 	started = math.NaN()
@@ -35,7 +35,7 @@
 	return started
 }
 
-// awaitStart waits until the restart of a server is known, and returns how long ago that is to the decision module, in ms.
+// awaitStart waits until the decision module has the start time of a server, and returns the time since then in ms.
 func (tc *testCluster) awaitStart(id string) float64 {
 	tc.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
@@ -47,8 +47,8 @@
 	return 0
 }
 
-// A server that restarts while the node runs is in slow start from then on by the node's monotonic clock, however far the clock of its
-// machine, or the node's, has been stepped. An hour apart one way it used to count as warm, the other way as cold for an hour.
+// A server that restarts while the node runs is in slow start from then on by the node's monotonic clock, however far the clock of either
+// machine has been stepped. With clocks an hour apart the server used to count as warm at once, or as cold for an hour.
 func TestServerStartByAnotherClock(t *testing.T) {
 	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, 40 * time.Second, -40 * time.Second} {
 		tc := newTestCluster(t, 2, serveHit, echoOrigin)
@@ -56,32 +56,32 @@
 		started := tc.node.clock.Now() + float64(offset/time.Millisecond)
 		tc.listUpdates <- fmt.Sprintf(`{"revision":2,"complete":false,"members":[%s]}`, restartedEntry("s0", tc.cacheAddrs[0], started))
 		if age := tc.awaitStart("s0"); age < 0 || age > 1000 {
-			t.Errorf("clocks %v apart: it has started %.0f ms ago", offset, age)
+			t.Errorf("clocks %v apart: the server has started %.0f ms ago", offset, age)
 		}
 	}
 }
 
-// A server that is new to the list known at the start, or has restarted since, and would be warm by the clock, may have started
-// just now: the clock may be wrong. One that is in that list as it is now is as old as listed.
+// A server that is not in the cached list, or has restarted since, and would be warm by its listed start counts as just started: its clock
+// may be wrong. A server whose listed start is the same in the cached list is as old as listed.
 func TestServerStartSinceCachedList(t *testing.T) {
-	old := float64(time.Now().Add(-time.Hour).UnixMilli())
+	hourAgo := float64(time.Now().Add(-time.Hour).UnixMilli())
 	tc := newTestCluster(t, 2, serveHit, echoOrigin, func(config *Config) {
-		var known discovery.Update
-		known.Members = append(known.Members, []byte(restartedEntry("s1", "127.0.0.1:1", old)))
-		config.CachedList = known
+		var cachedList discovery.Update
+		cachedList.Members = append(cachedList.Members, []byte(restartedEntry("s1", "127.0.0.1:1", hourAgo)))
+		config.CachedList = cachedList
 	})
 	firstList := listChanged{mode: fleet.ListFull, confirmedAt: serverstart.Never(), entries: []json.RawMessage{
-		[]byte(restartedEntry("s0", tc.cacheAddrs[0], old)), []byte(restartedEntry("s1", tc.cacheAddrs[1], old)),
+		[]byte(restartedEntry("s0", tc.cacheAddrs[0], hourAgo)), []byte(restartedEntry("s1", tc.cacheAddrs[1], hourAgo)),
 		[]byte(entry("o", tc.originAddr, "origin")),
 	}}
-	for listed := false; !listed; { // that of the cluster comes first
+	for listed := false; !listed; { // the list of the test cluster has to arrive first
 		tc.onLoop(func(float64) { _, listed = tc.node.serverTable.IDs["s0"] })
 	}
 	tc.onLoop(func(now float64) { firstList.handle(tc.node, now) })
 	if age := tc.awaitStart("s0"); age > 5000 {
-		t.Errorf("the new one has started %.0f ms ago", age)
+		t.Errorf("the new server has started %.0f ms ago", age)
 	}
 	if age := tc.awaitStart("s1"); age < 3_599_000 {
-		t.Errorf("the known one has started %.0f ms ago", age)
+		t.Errorf("the known server has started %.0f ms ago", age)
 	}
 }
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -2,70 +2,69 @@
 
 import "time"
 
-// shutdownPhase is how far the end of the node has come.
+// shutdownPhase is the progress of a stop with the requests in flight.
 type shutdownPhase uint8
 
 const (
 	running  shutdownPhase = iota
-	draining               // requests in flight are answered, then the node ends
+	draining               // the node ends once all requests in flight have a response
 	drained                // every request has its response
 )
 
 // shutdown is the progress of a stop. The loop owns it.
 type shutdown struct {
-	phase    shutdownPhase
-	deadline float64       // requests that arrive have their response by then; 0: no stop has begun
-	drained  chan struct{} // closed on reaching the phase drained; may be received from anywhere
-	left     bool          // the node has left its cluster, and does not join it any more
+	phase      shutdownPhase
+	deadline   float64       // requests that arrive get their response by then; 0: no stop has begun
+	drained    chan struct{} // closed on reaching the phase drained; any goroutine may receive from it
+	leftGroups bool          // the node has left its cluster and its consensus group, and must not join them again
 }
 
 func newShutdown() shutdown { return shutdown{drained: make(chan struct{})} }
 
-// stopMargin is how long past its bound a stop may take, for the last responses on their way and for the last snapshot. The platform
-// kills the process 100 ms past the bound that the program is given.
+// stopMargin is how long a stop may take beyond its bound, to send the last responses and write the final snapshot. The platform kills
+// the process 100 ms after the bound that the program is given.
 const stopMargin = 80 * time.Millisecond
 
-// holdUpAllowance is for how long the system may not schedule the process, at any moment (the standing test's page, "What production adds"). What
-// arrives during a stop has its response so much before the bound.
-const holdUpAllowance = 150 * time.Millisecond
+// schedulingStallAllowance is how long the system may leave the process unscheduled at any moment (the standing test's page, "What
+// production adds"). Requests that arrive during a stop get their response that long before its bound.
+const schedulingStallAllowance = 150 * time.Millisecond
 
-// closePollInterval is the time between two looks at whether all clients are gone.
+// closePollInterval is the interval at which a stop checks whether all client connections are closed.
 const closePollInterval = time.Millisecond
 
-// leaveTimeout is how long Stop waits for the loop to leave the cluster and the consensus group, where its deadline is past: a slow disk
-// may have taken that time for the last snapshot.
+// leaveTimeout is how long Stop waits for the loop to leave the cluster and the consensus group even if its deadline has passed: writing
+// the final snapshot to a slow disk may have used up the time.
 const leaveTimeout = 20 * time.Millisecond
 
-// Stop ends the node at a planned restart. Clients are accepted for the grace period, unless a successor has them already, and
-// their requests are answered. Stop returns when all are answered. Requests without a response at the bound are aborted, for one that
-// the end of the process leaves without any is lost.
+// Stop ends the node at a planned restart. It accepts new clients for the grace period, unless a successor accepts them already, and
+// returns when all requests are answered. Requests without a response at the bound are aborted: the end of the process would lose them.
 func (n *Node) Stop(grace, bound time.Duration) {
 	start := time.Now()
-	n.life.BeginStop()
-	n.inbox.post(stopDeadline{n.clock.Now() + float64(max(0, bound-holdUpAllowance)/time.Millisecond)})
+	n.lifecycle.BeginStop()
+	n.inbox.post(stopDeadline{n.clock.Now() + float64(max(0, bound-schedulingStallAllowance)/time.Millisecond)})
 	n.frontend.DrainConns()
-	if _, phase := n.handover.other(); phase.successorAccepts() {
-		// New clients go to the successor already, and so do clients between two requests. Those that never pause are closed in time.
-		defer time.AfterFunc(bound/2, n.life.FinishStop).Stop()
+	if _, phase := n.handover.otherProcess(); phase.successorAccepts() {
+		// The successor gets new clients, and existing ones that have no request in flight. Clients that never pause are closed after half the bound.
+		defer time.AfterFunc(bound/2, n.lifecycle.FinishStop).Stop()
 	} else {
 		time.Sleep(grace)
-		n.life.FinishStop()
+		n.lifecycle.FinishStop()
 	}
-	n.frontend.Close(time.Until(start.Add(bound - holdUpAllowance)))
+	n.frontend.Close(time.Until(start.Add(bound - schedulingStallAllowance)))
 	n.frontend.DrainConns()
 	n.inbox.post(stopRequest{})
 	select {
 	case <-n.shutdown.drained:
 	case <-time.After(time.Until(start.Add(bound))):
 	}
-	// A client may have begun a command that is complete only now: all are answered when all connections are closed.
+	// A command that a client began to send earlier may be complete only now. Once all connections are closed, all requests are answered.
 	n.waitForClients(start.Add(bound))
 	if n.frontend.OpenConns() > 0 {
 		n.log.Warn("aborting requests still in flight")
 		n.inbox.post(stopRequest{abort: true})
 	}
 	n.stopIdempotency(start.Add(bound + stopMargin))
-	n.waitForClients(start.Add(bound + stopMargin/2)) // the last responses are being written
+	n.waitForClients(start.Add(bound + stopMargin/2)) // for the last responses to be written
 	n.stopOptionalParts(start.Add(bound + stopMargin))
 	close(n.quit)
 }
@@ -90,9 +89,9 @@
 	}
 }
 
-// leaveGroups ends the node's part in its cluster and its consensus group. The loop calls it.
+// leaveGroups leaves the cluster and the consensus group. The loop calls it.
 func (n *Node) leaveGroups() {
-	n.shutdown.left = true
+	n.shutdown.leftGroups = true
 	if n.clusterMember != nil {
 		n.clusterMember.close()
 	}
@@ -110,12 +109,12 @@
 	close(n.shutdown.drained)
 }
 
-// stopDeadline says by when the process ends.
+// stopDeadline is the event that a stop has begun. Requests have to be answered by its time.
 type stopDeadline struct{ at float64 }
 
 func (e stopDeadline) handle(n *Node, _ float64) { n.shutdown.deadline = e.at }
 
-// stopRequest has the node end once every request has its response, or with abort at once.
+// stopRequest is the event that the node is to end, once every request has its response or, with abort, at once.
 type stopRequest struct{ abort bool }
 
 func (e stopRequest) handle(n *Node, now float64) {
--- a/internal/node/shutdown_test.go
+++ b/internal/node/shutdown_test.go
@@ -59,28 +59,29 @@
 	tc.expectPrefix(<-answer, "-ERR the node is stopping")
 }
 
-// failingListener is one whose accepts fail for a time, as where the system has no descriptor. Connections wait in the backlog meanwhile.
+// failingListener is a listener whose accepts can be made to fail, as when the system has no free descriptor. Connections then wait in the
+// backlog.
 type failingListener struct {
 	*net.TCPListener
-	fails atomic.Bool
+	failing atomic.Bool
 }
 
 func (l *failingListener) Accept() (net.Conn, error) {
-	if l.fails.Load() {
+	if l.failing.Load() {
 		return nil, syscall.ENFILE
 	}
 	return l.TCPListener.Accept()
 }
 
-// setFailing has accepts fail behind the one that is under way, which a connection ends.
+// setFailing makes accepts fail. It opens a connection to end the accept that is already blocked.
 func (l *failingListener) setFailing(t *testing.T) {
 	t.Helper()
-	l.fails.Store(true)
+	l.failing.Store(true)
 	closeQuietly(dial(t, l.Addr().String()))
 }
 
-// Accepts that fail beyond the grace period of a stop cost nobody their answer: the backlog is accepted as long as there is time to answer.
-// It was once given up 100 ms after the grace period, and its connections were reset.
+// If accepts fail beyond the grace period of a stop, the connections in the backlog are still answered: they are accepted as long as there is
+// time to answer. The node used to close the listener 100 ms after the grace period, which reset them.
 func TestStopAnswersBacklogOfFailingAccepts(t *testing.T) {
 	const grace, bound = 100 * time.Millisecond, 900 * time.Millisecond
 	ln := &failingListener{TCPListener: listen(t).(*net.TCPListener)}
@@ -90,7 +91,7 @@
 	answer := make(chan string, 1)
 	conn := dial(t, tc.addr) // waits in the backlog
 	go func() { answer <- requestOn(conn, "KV.GET", "k", "1", "c=read,d=800") }()
-	time.AfterFunc(grace+250*time.Millisecond, func() { ln.fails.Store(false) })
+	time.AfterFunc(grace+250*time.Millisecond, func() { ln.failing.Store(false) })
 	tc.node.Stop(grace, bound)
 	tc.expectPrefix(<-answer, "hit")
 }
@@ -111,8 +112,8 @@
 	}
 }
 
-// Clients send without waiting for responses, up to the end of the process: what was executed has its response, each connection ends in
-// order, and what arrived too late was not begun.
+// Clients that send without waiting for responses, until the process ends, get a response to every request that was executed. Each connection
+// ends between two responses, and requests that arrive too late are not executed.
 func TestStopWithPipeliningClients(t *testing.T) {
 	var mu sync.Mutex
 	executed := map[string]bool{}
@@ -126,7 +127,7 @@
 	clients := make([]*pipeliningClient, 12)
 	var wg sync.WaitGroup
 	for i := range clients {
-		c := &pipeliningClient{number: i, conn: tc.dial(), underWay: make(chan struct{})}
+		c := &pipeliningClient{number: i, conn: tc.dial(), receiving: make(chan struct{})}
 		if err := c.conn.SetDeadline(time.Now().Add(20 * time.Second)); err != nil {
 			t.Fatal(err)
 		}
@@ -135,7 +136,7 @@
 		wg.Go(func() { c.receive(t) })
 	}
 	for _, c := range clients {
-		<-c.underWay
+		<-c.receiving
 	}
 	tc.node.Stop(20*time.Millisecond, 2*time.Second)
 	wg.Wait()
@@ -157,10 +158,10 @@
 	number    int
 	conn      net.Conn
 	responses int           // owned by receive
-	underWay  chan struct{} // closed after some responses
+	receiving chan struct{} // closed after a few responses
 }
 
-// send sends until the connection ends: every third client as fast as it may.
+// send sends requests until the connection ends, every third client without pauses.
 func (c *pipeliningClient) send() {
 	for sent := 0; ; sent++ {
 		id := fmt.Sprintf("%d-%d", c.number, sent)
@@ -189,18 +190,18 @@
 			return
 		}
 		if c.responses == 5 {
-			close(c.underWay)
+			close(c.receiving)
 		}
 	}
 }
 
-// exchangeChannel is the client of requests that arrive by no connection.
+// exchangeChannel is the client of requests that the test passes to the node without a connection.
 type exchangeChannel chan *exchange.Exchange
 
 func (c exchangeChannel) ResponseReady(x *exchange.Exchange) { c <- x }
 
-// A request that arrives while the node stops has its response before the process ends, however long its client would wait; one that arrives
-// after the rest was aborted is rejected at once, without an attempt.
+// A request that arrives while the node stops gets its response before the process ends, however long its client would wait. A request that
+// arrives after the others were aborted is rejected at once, without an attempt.
 func TestRequestsDuringStop(t *testing.T) {
 	release := make(chan struct{})
 	tc := newTestCluster(t, 1, func(redcon.Conn, string, string) { <-release }, func(http.ResponseWriter, *http.Request) { <-release })
@@ -227,12 +228,12 @@
 	}
 }
 
-// A stop ends in time where the loop does not get to anything any more.
-func TestStopOnABusyLoop(t *testing.T) {
+// A stop ends in time even if the loop is blocked.
+func TestStopWithBusyLoop(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
-	goOn := make(chan struct{})
-	defer close(goOn)
-	tc.node.inbox.post(loopCall(func(float64) { <-goOn }))
+	unblock := make(chan struct{})
+	defer close(unblock)
+	tc.node.inbox.post(loopCall(func(float64) { <-unblock }))
 	const bound = 100 * time.Millisecond
 	start := time.Now()
 	tc.node.Stop(0, bound)
@@ -241,8 +242,8 @@
 	}
 }
 
-// A request that arrives in the last phase of a stop, behind one that is still in flight on its connection, has its answer: it has been
-// taken, and the connection ends only after it. Its bytes used to be read and dropped.
+// A request that arrives in the last phase of a stop, behind one that is still in flight on its connection, is answered before the connection
+// ends. Its bytes used to be read and dropped.
 func TestRequestBehindOneInFlightIsAnsweredAtStop(t *testing.T) {
 	release, begun := make(chan struct{}), make(chan struct{}, 10)
 	tc := newTestCluster(t, 1, serveHit, func(http.ResponseWriter, *http.Request) { begun <- struct{}{}; <-release })
@@ -274,9 +275,9 @@
 	}
 }
 
-// A request that arrives during a stop has its answer so long before the bound that the node may be held up for 0.15 s at the worst moment, and
-// still have sent it when the platform kills the process.
-func TestStopLeavesTimeForAHoldUp(t *testing.T) {
+// A request that arrives during a stop is answered long enough before the bound that the node, if it is not scheduled for 0.15 s at the worst
+// moment, still sends the response before the platform kills the process.
+func TestStopAllowsForSchedulingStall(t *testing.T) {
 	release := make(chan struct{})
 	tc := newTestCluster(t, 1, func(redcon.Conn, string, string) { <-release }, func(http.ResponseWriter, *http.Request) { <-release })
 	defer close(release)
@@ -285,12 +286,12 @@
 	go tc.node.Stop(grace, bound)
 	time.Sleep(grace / 2)
 	answer := tc.request("KV.SET", "k", "1", "c=pay,d=5000", "v")
-	if took := time.Since(start); took > bound-holdUpAllowance+50*time.Millisecond || !strings.HasPrefix(answer, "-ERR") {
+	if took := time.Since(start); took > bound-schedulingStallAllowance+50*time.Millisecond || !strings.HasPrefix(answer, "-ERR") {
 		t.Errorf("answer %q %v after the stop began", answer, took)
 	}
 }
 
-// A reload that comes as a stop ends does not wait for a loop that has ended.
+// A reload at the end of a stop does not wait for a loop that has ended.
 func TestReconfigureAfterStop(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	tc.node.Stop(0, 100*time.Millisecond)
@@ -303,8 +304,8 @@
 	}
 }
 
-// The bound of a stop is that of the longest deadline of the deployment, however short that is: the platform kills the process 0.7 s
-// after that has passed.
+// MaxRequestTimeout is the longest request timeout of the deployment, however short: the bound of a stop follows from it, since the platform
+// kills the process 0.7 s after the longest deadline.
 func TestLongestRequestTimeout(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	if ms := tc.node.MaxRequestTimeout(); ms != 600 {
--- a/internal/node/snapshotevents.go
+++ b/internal/node/snapshotevents.go
@@ -8,37 +8,38 @@
 	"mintspring/internal/state/snapshot"
 )
 
-// snapshotPolicy is a policy that gives out what it has learned, and takes in what was learned before.
+// snapshotPolicy is a policy that can export the state it has learned and restore it.
 type snapshotPolicy interface {
 	Export(now float64, into *fleet.Snapshot)
 	Restore(now float64, from *fleet.Snapshot)
 }
 
-// takeSnapshot copies what the policy has learned, by way of raw. Encoding and writing it take longer and are not done on the loop.
-func (n *Node) takeSnapshot(now float64, policy snapshotPolicy, trust snapshot.Config, raw *fleet.Snapshot) *snapshot.State {
-	policy.Export(now, raw)
-	return snapshot.New(now, trust, raw, func(id fleet.ServerID) string { return n.servers[id].entry.ID })
+// takeSnapshot copies the learned state of the policy, using exported as a buffer. Encoding and writing it take longer and are not done
+// on the loop.
+func (n *Node) takeSnapshot(now float64, policy snapshotPolicy, config snapshot.Config, exported *fleet.Snapshot) *snapshot.State {
+	policy.Export(now, exported)
+	return snapshot.New(now, config, exported, func(id fleet.ServerID) string { return n.servers[id].entry.ID })
 }
 
-// restoreSnapshot gives the policy a snapshot, if it is younger than the one before: a successor has the message of its predecessor, the
-// file of some time before that, and the one that the predecessor writes at its end. What belongs to no server, such as counts of keys,
-// is restored once only, for it would add up. What belongs to a server of which this process has heard counts the more the younger it
+// restoreSnapshot restores a snapshot into the policy if it is newer than the last restored one: a successor gets the state transfer of its
+// predecessor, an older file, and the file that the predecessor writes at its end. State that belongs to no server, such as key counts, is
+// restored only once, since it would add up. State of a server that this process has had responses from has the more weight the newer it
 // is (decide.Node.Restore).
-func (n *Node) restoreSnapshot(now float64, policy snapshotPolicy, state *snapshot.State, trust snapshot.Config) {
-	if state.TakenAt <= n.restoredAt {
+func (n *Node) restoreSnapshot(now float64, policy snapshotPolicy, state *snapshot.State, config snapshot.Config) {
+	if state.TakenAt <= n.restoredSnapshotTime {
 		return
 	}
-	restored, verdict := state.Restore(now, trust, n.currentServers(), n.serverTable.IDs)
-	if n.restoredAt > 0 {
+	restored, trust := state.Restore(now, config, n.currentServers(), n.serverTable.IDs)
+	if n.restoredSnapshotTime > 0 {
 		restored.Trust = 0
 	}
-	n.restoredAt = state.TakenAt
+	n.restoredSnapshotTime = state.TakenAt
 	policy.Restore(now, &restored)
-	log := n.log.WithField("trust", fmt.Sprintf("%.2f", verdict.Global)).
-		WithField("servers", len(verdict.TrustedServers())).
+	log := n.log.WithField("trust", fmt.Sprintf("%.2f", trust.Global)).
+		WithField("servers", len(trust.TrustedServers())).
 		WithField("age_s", int((now-state.TakenAt)/1000))
-	if len(verdict.Reasons) > 0 {
-		log = log.WithField("reasons", verdict.Reasons)
+	if len(trust.Reasons) > 0 {
+		log = log.WithField("reasons", trust.Reasons)
 	}
 	log.Info("restored a snapshot")
 }
@@ -48,7 +49,7 @@
 	for id, s := range n.servers {
 		servers = append(servers, snapshot.CurrentServer{
 			Name:      s.entry.ID,
-			StartedAt: s.started,
+			StartedAt: s.startedAt,
 			Ready:     n.serverTable.State(fleet.ServerID(id)) == fleet.Ready,
 		})
 	}
@@ -63,25 +64,25 @@
 
 func (s *snapshotStore) restorePending(now float64) {
 	if s.listReady && s.pending != nil {
-		s.node.restoreSnapshot(now, s.policy, s.pending, s.trust)
+		s.node.restoreSnapshot(now, s.policy, s.pending, s.config)
 		s.pending = nil
 	}
 }
 
-// snapshotRequest asks the loop for a snapshot.
+// snapshotRequest is an event that asks the loop for a snapshot.
 type snapshotRequest struct {
 	store *snapshotStore
-	reply chan *snapshot.State // has room for it
+	reply chan *snapshot.State // buffered
 }
 
 func (e snapshotRequest) handle(n *Node, now float64) {
 	start := time.Now()
-	state := n.takeSnapshot(now, e.store.policy, e.store.trust, &e.store.reusedBuffer)
+	state := n.takeSnapshot(now, e.store.policy, e.store.config, &e.store.reusedBuffer)
 	n.log.WithField("pause", time.Since(start)).Debug("snapshot taken")
 	e.reply <- state
 }
 
-// peerSnapshotRequest asks the loop for a snapshot for another node. The reply is nil where this one takes none.
+// peerSnapshotRequest is an event that asks the loop for a snapshot for another node. The reply is nil if this node takes no snapshots.
 type peerSnapshotRequest struct{ reply chan *snapshot.State }
 
 func (e peerSnapshotRequest) handle(n *Node, now float64) {
@@ -92,7 +93,7 @@
 	snapshotRequest{n.snapshots, e.reply}.handle(n, now)
 }
 
-// snapshotFound: a snapshot has come from the directory, once another process had released it, or from another node.
+// snapshotFound is the event that a snapshot was read from the directory, after another process had released it, or came from another node.
 type snapshotFound struct {
 	store *snapshotStore
 	state *snapshot.State
--- a/internal/node/snapshots.go
+++ b/internal/node/snapshots.go
@@ -16,26 +16,26 @@
 )
 
 const (
-	// lockRetryInterval is the time between two looks at whether another process has released the snapshot directory, or the address of
-	// the peers. A process that ends writes its snapshot first, and that is worth most while this one has learned little.
+	// lockRetryInterval is the interval at which a process tries to lock a snapshot directory or bind a peer address that another process
+	// still holds. The other process writes a final snapshot when it ends, which is most useful while this one has learned little.
 	lockRetryInterval = 100 * time.Millisecond
 
-	// fetchTimeout is how long a node without a snapshot waits for that of another one.
+	// fetchTimeout is how long a node without a snapshot waits for the snapshot of another node.
 	fetchTimeout = time.Second
 )
 
-// snapshotStore writes what the decision module has learned to a directory. The loop takes and restores snapshots; the goroutine run
-// waits for the directory and writes.
+// snapshotStore writes the learned state of the decision module to a directory. The loop takes and restores snapshots; the goroutine of
+// run waits for the directory and writes.
 type snapshotStore struct {
-	node       *Node
-	policy     snapshotPolicy
-	dir        string
-	open       func(dir string) (*snapshotfile.Store, error)
-	interval   time.Duration
-	trust      snapshot.Config
-	startEmpty bool                               // the directory held no snapshot at the start
-	store      atomic.Pointer[snapshotfile.Store] // nil: another process has the directory
-	stop       chan struct{}                      // closed when no more periodic snapshots are to be written
+	node         *Node
+	policy       snapshotPolicy
+	dir          string
+	open         func(dir string) (*snapshotfile.Store, error)
+	interval     time.Duration
+	config       snapshot.Config
+	startedEmpty bool                               // the directory held no snapshot at the start
+	store        atomic.Pointer[snapshotfile.Store] // nil: the directory is not locked by this process
+	stop         chan struct{}                      // closed to end the periodic snapshots
 
 	// Owned by the loop.
 	pending      *snapshot.State // to be restored once the endpoint list is known; nil: none
@@ -43,8 +43,8 @@
 	reusedBuffer fleet.Snapshot
 }
 
-// openSnapshots reads the snapshot directory, and takes it into use or waits for it. One that cannot be used is logged. Reading needs
-// no lock: a file is never seen half written.
+// openSnapshots reads the snapshot directory, and locks it or starts to wait for the lock. Errors are logged. Reading needs no lock, since
+// files are replaced atomically.
 func (n *Node) openSnapshots(config *Config) {
 	policy, ok := n.inflight.Policy.(snapshotPolicy)
 	if config.Operator == nil || config.Operator.Snapshot == nil || !ok {
@@ -57,12 +57,12 @@
 		dir:      os.ExpandEnv(section.DataDir),
 		open:     snapshotfile.Open,
 		interval: section.Interval.Duration(),
-		trust:    SnapshotConfig(config.Name, config.Deployment, section),
+		config:   SnapshotConfig(config.Name, config.Deployment, section),
 		stop:     make(chan struct{}),
 	}
-	if config.OpenFiles != nil {
+	if config.SnapshotFileSystem != nil {
 		s.open = func(dir string) (*snapshotfile.Store, error) {
-			return snapshotfile.OpenWith(dir, config.OpenFiles(dir))
+			return snapshotfile.OpenWith(dir, config.SnapshotFileSystem(dir))
 		}
 	}
 	n.snapshots = s
@@ -74,11 +74,11 @@
 		n.log.WithError(err).Warn("cannot use the snapshot directory; retrying")
 	}
 	s.pending = s.load()
-	s.startEmpty = s.pending == nil
+	s.startedEmpty = s.pending == nil
 	go s.run(err)
 }
 
-// SnapshotConfig says how far a stored snapshot is trusted by a node of this name and deployment.
+// SnapshotConfig returns the configuration by which a node of this name and deployment trusts a stored snapshot.
 func SnapshotConfig(name string, deployment settings.Deployment, section *operatorfile.Snapshot) snapshot.Config {
 	zone := ""
 	if z := int(deployment.Limits.Zone); z >= 0 && z < len(deployment.Zones) {
@@ -102,7 +102,7 @@
 	return err
 }
 
-// load reads the latest snapshot, nil for none.
+// load reads the latest snapshot. It returns nil if there is none.
 func (s *snapshotStore) load() *snapshot.State {
 	state, err := snapshotfile.Load(s.dir)
 	if err != nil {
@@ -111,11 +111,11 @@
 	return state
 }
 
-// run waits for the directory, where acquireErr says that it is not to be had yet, and then writes snapshots until stop is closed. It
-// does not give up: at each replacement of the process the old one holds the directory while the new one starts.
+// run acquires the directory, if acquireErr says that this has failed, and then writes snapshots until stop is closed. It retries without
+// limit: at each restart the old process holds the directory while the new one starts.
 func (s *snapshotStore) run(acquireErr error) {
 	defer func() {
-		if store := s.store.Swap(nil); store != nil { // it was acquired after writeFinal
+		if store := s.store.Swap(nil); store != nil { // acquired after writeFinal
 			store.Close()
 		}
 	}()
@@ -133,15 +133,15 @@
 	}
 }
 
-// waitForDir tries to acquire the directory until that succeeds; false: stop was closed before.
+// waitForDir tries to acquire the directory until it succeeds. It returns false if stop is closed before.
 func (s *snapshotStore) waitForDir(err error) bool {
 	for ; err != nil; err = s.acquire() {
-		retry := s.interval // what is wrong may be repaired while the node runs
+		delay := s.interval // an operator may repair the directory while the node runs
 		if errors.Is(err, snapshotfile.ErrLocked) {
-			retry = lockRetryInterval
+			delay = lockRetryInterval
 		}
 		select {
-		case <-time.After(retry):
+		case <-time.After(delay):
 		case <-s.stop:
 			return false
 		}
@@ -149,7 +149,7 @@
 	return true
 }
 
-// writeLoop writes a snapshot every interval, give or take a fifth so that nodes do not write at once.
+// writeLoop writes a snapshot every interval, with a jitter of 20% so that nodes do not write at the same time.
 func (s *snapshotStore) writeLoop(store *snapshotfile.Store) {
 	failing := false
 	for {
@@ -160,7 +160,7 @@
 			timer.Stop()
 			return
 		}
-		encoded, ok := s.encodedSnapshot(s.interval)
+		encoded, ok := s.encodeSnapshot(s.interval)
 		if !ok {
 			continue
 		}
@@ -178,8 +178,8 @@
 	}
 }
 
-// writeFinal ends the periodic snapshots, writes a last one and releases the directory, all by the deadline. A periodic write that
-// waits for its disk is not waited for. A file that could not be synced by then can be read by the next process all the same.
+// writeFinal ends the periodic snapshots, writes a final one and releases the directory, all by the deadline. It does not wait for a
+// periodic write that waits for the disk. The next process can read the final snapshot even if it was not synced by the deadline.
 func (s *snapshotStore) writeFinal(deadline time.Time) {
 	store := s.store.Swap(nil)
 	close(s.stop)
@@ -187,7 +187,7 @@
 		return
 	}
 	defer store.Close()
-	encoded, ok := s.encodedSnapshot(time.Until(deadline))
+	encoded, ok := s.encodeSnapshot(time.Until(deadline))
 	if !ok {
 		s.node.log.Warn("final snapshot not written, the event loop is too busy")
 		return
@@ -203,8 +203,8 @@
 	}
 }
 
-// encodedSnapshot takes a snapshot in the form of the file; false: the loop did not get to it in time.
-func (s *snapshotStore) encodedSnapshot(timeout time.Duration) ([]byte, bool) {
+// encodeSnapshot takes a snapshot and returns it in the file format. It returns false if the loop takes none within the timeout.
+func (s *snapshotStore) encodeSnapshot(timeout time.Duration) ([]byte, bool) {
 	reply := make(chan *snapshot.State, 1)
 	s.node.inbox.post(snapshotRequest{s, reply})
 	select {
@@ -216,8 +216,8 @@
 	return nil, false
 }
 
-// fetch gets the snapshot of another replica of the idempotency records, for a node that starts without any.
-func (s *snapshotStore) fetch(from *replica.Replica) {
+// fetchFromReplica fetches the snapshot of another replica of the idempotency records, for a node that starts without one.
+func (s *snapshotStore) fetchFromReplica(from *replica.Replica) {
 	encoded, ok := from.FetchSnapshot(fetchTimeout)
 	if !ok {
 		s.node.log.Info("no snapshot from any other replica")
@@ -231,7 +231,7 @@
 	s.node.inbox.post(snapshotFound{s, state})
 }
 
-// snapshotForPeer returns an encoded snapshot for another replica that has none, nil where there is none in time.
+// snapshotForPeer returns an encoded snapshot for another replica that has none. It returns nil if none is taken within fetchTimeout.
 func (n *Node) snapshotForPeer() []byte {
 	reply := make(chan *snapshot.State, 1)
 	n.inbox.post(peerSnapshotRequest{reply})
