--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -16,21 +16,21 @@
 	"mintspring/internal/testbed/logrecorder"
 )
 
-// snapshotNode is a second node of a test cluster, which writes snapshots.
+// snapshotNode is an additional node of a test cluster, which writes snapshots.
 type snapshotNode struct {
 	*Node
 	addr string
 	log  logrecorder.Recorder
 }
 
-func (tc *testCluster) startSnapshotNode(dir string, with ...func(*Config)) *snapshotNode {
+func (tc *testCluster) startSnapshotNode(dir string, configure ...func(*Config)) *snapshotNode {
 	tc.t.Helper()
 	n := &snapshotNode{}
 	log := logrus.New()
 	log.SetOutput(&n.log)
 	operator := &operatorfile.File{Snapshot: &operatorfile.Snapshot{DataDir: dir, Interval: 3600e9, HalfLife: 600e9, MaxAge: 3600e9}}
 	config := Config{Name: "n0", Discovery: tc.node.discovery.Addr, Deployment: tc.node.deployment, MaxDescriptors: 1024, Operator: operator}
-	for _, change := range with {
+	for _, change := range configure {
 		change(&config)
 	}
 	n.Node = New(config, log)
@@ -41,12 +41,12 @@
 	return n
 }
 
-// currentSnapshot takes a snapshot.
+// currentSnapshot takes a snapshot of the node's learned state.
 func (n *snapshotNode) currentSnapshot(t *testing.T) *snapshot.State {
 	t.Helper()
 	state, err := onLoop(n.Node, func(now float64) (*snapshot.State, error) {
 		var raw fleet.Snapshot
-		return n.takeSnapshot(now, n.snapshots.policy, n.snapshots.trust, &raw), nil
+		return n.takeSnapshot(now, n.snapshots.policy, n.snapshots.config, &raw), nil
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -54,8 +54,8 @@
 	return state
 }
 
-// waitForSnapshot returns the snapshot in a directory, once that is younger than a time: on a busy machine a node ends before its last
-// write does.
+// waitForSnapshot returns the snapshot in a directory once it was taken later than after: on a busy machine a node may end before its last
+// write is complete.
 func waitForSnapshot(t *testing.T, dir string, after float64) *snapshot.State {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -69,15 +69,15 @@
 	}
 }
 
-// expectRestored expects a node to know what was written. What was learned fades, and is trusted in part.
+// expectRestored expects a node to have restored a written snapshot. Values may be smaller than written, since trust in them decays with age.
 func expectRestored(t *testing.T, written, known *snapshot.State) {
 	t.Helper()
 	if len(known.Servers) != len(written.Servers) || len(written.Servers) == 0 {
 		t.Fatalf("%d of %d servers", len(known.Servers), len(written.Servers))
 	}
-	for i, v := range known.Servers {
-		if was := written.Servers[i]; v.Name != was.Name || v.TimePerQueued > 1.02*was.TimePerQueued || math.Abs(v.ShedArcShare-was.ShedArcShare) > 0.02 {
-			t.Errorf("server %d: %+v, was %+v", i, v, was)
+	for i, server := range known.Servers {
+		if original := written.Servers[i]; server.Name != original.Name || server.TimePerQueued > 1.02*original.TimePerQueued || math.Abs(server.ShedArcShare-original.ShedArcShare) > 0.02 {
+			t.Errorf("server %d: %+v, was %+v", i, server, original)
 		}
 	}
 	if sum := known.Global.KeySum; sum <= 0 || sum > 1.01*written.Global.KeySum {
@@ -85,24 +85,24 @@
 	}
 }
 
-// A node that starts again with its snapshot directory restores what it had learned.
+// A node that restarts with its snapshot directory restores its learned state.
 func TestSnapshotSurvivesRestart(t *testing.T) {
 	tc := newTestCluster(t, 3, serveHit, echoOrigin)
 	dir := t.TempDir()
-	k := tc.startSnapshotNode(dir)
-	tc.addr = k.addr
+	n := tc.startSnapshotNode(dir)
+	tc.addr = n.addr
 	for i := range 60 {
 		tc.request("KV.GET", fmt.Sprint("key", i%20), fmt.Sprint("id", i), "c=read,d=500")
 	}
-	k.Stop(0, time.Second)
+	n.Stop(0, time.Second)
 	before := waitForSnapshot(t, dir, 0)
-	again := tc.startSnapshotNode(dir)
-	again.log.WaitFor(t, "restored a snapshot")
-	expectRestored(t, before, again.currentSnapshot(t))
-	again.Stop(0, time.Second)
+	restarted := tc.startSnapshotNode(dir)
+	restarted.log.WaitFor(t, "restored a snapshot")
+	expectRestored(t, before, restarted.currentSnapshot(t))
+	restarted.Stop(0, time.Second)
 }
 
-// slowDisk takes long for every sync, and reports when one has begun.
+// slowDisk is a file system whose syncs take two seconds. It reports the beginning of a sync on a channel.
 type slowDisk struct {
 	snapshotfile.FileSystem
 	begun chan struct{}
@@ -117,30 +117,30 @@
 	return nil
 }
 
-// On a disk whose syncs take two seconds, while a periodic write waits for one, the last snapshot can be read when the node has ended, and
-// the node ends in time. It was once lost wherever the syncs took longer than 300 ms together.
-func TestStopOnASlowDisk(t *testing.T) {
+// On a disk whose syncs take two seconds, a node that stops during the sync of a periodic write ends in time, and its final snapshot can be
+// read. That snapshot used to be lost whenever the syncs took longer than 300 ms in total.
+func TestStopWithSlowDisk(t *testing.T) {
 	tc := newTestCluster(t, 3, serveHit, echoOrigin)
 	dir, syncBegun := t.TempDir(), make(chan struct{}, 1)
-	k := tc.startSnapshotNode(dir, func(c *Config) {
+	n := tc.startSnapshotNode(dir, func(c *Config) {
 		c.Operator.Snapshot.Interval = 1e6
-		c.OpenFiles = func(dir string) snapshotfile.FileSystem { return slowDisk{snapshotfile.DirFileSystem(dir), syncBegun} }
+		c.SnapshotFileSystem = func(dir string) snapshotfile.FileSystem { return slowDisk{snapshotfile.DirFileSystem(dir), syncBegun} }
 	})
 	<-syncBegun
-	from := k.clock.Now()
-	k.Stop(0, 200*time.Millisecond)
-	if took := k.clock.Now() - from; took > 1500 {
+	stopStart := n.clock.Now()
+	n.Stop(0, 200*time.Millisecond)
+	if took := n.clock.Now() - stopStart; took > 1500 {
 		t.Errorf("it took %.0f ms to stop", took)
 	}
-	if s, err := snapshotfile.Load(dir); err != nil || s == nil || s.TakenAt < from {
+	if s, err := snapshotfile.Load(dir); err != nil || s == nil || s.TakenAt < stopStart {
 		t.Errorf("after the stop: %+v, %v", s, err)
 	}
-	k.log.WaitFor(t, "final snapshot written but not synced, the disk is slow")
+	n.log.WaitFor(t, "final snapshot written but not synced, the disk is slow")
 }
 
-// A node that starts while another one holds the snapshot directory gets it when that one ends, with the last snapshot, and writes there
-// from then on. It once never got it.
-func TestSnapshotDirectoryIsPassedOn(t *testing.T) {
+// A node that starts while another one holds the snapshot directory acquires it when the other one ends, restores its final snapshot, and
+// writes there from then on. It used to never acquire the directory.
+func TestSnapshotDirectoryHandover(t *testing.T) {
 	tc := newTestCluster(t, 3, serveHit, echoOrigin)
 	dir := t.TempDir()
 	first := tc.startSnapshotNode(dir)
@@ -164,56 +164,56 @@
 	}
 }
 
-// A snapshot that is not younger than the one restored before is ignored, and counts of keys are restored once: added up they would make
-// every key popular.
+// A snapshot that is not younger than the last restored one is ignored, and key counts are restored only once: if they added up, every key
+// would count as popular.
 func TestOlderSnapshotIsIgnored(t *testing.T) {
 	tc := newTestCluster(t, 3, serveHit, echoOrigin)
-	k := tc.startSnapshotNode(t.TempDir())
-	now := k.clock.Now()
+	n := tc.startSnapshotNode(t.TempDir())
+	now := n.clock.Now()
 	state := func(at float64) *snapshot.State {
 		return &snapshot.State{
-			TakenAt: at, PolicyFingerprint: k.snapshots.trust.PolicyFingerprint, Node: "n0", Zone: k.snapshots.trust.Zone,
+			TakenAt: at, PolicyFingerprint: n.snapshots.config.PolicyFingerprint, Node: "n0", Zone: n.snapshots.config.Zone,
 			Servers: []snapshot.Server{{Name: "s0"}, {Name: "s1"}, {Name: "s2"}, {Name: "o"}},
 			Global:  fleet.Snapshot{KeySum: 50, Keys: []fleet.KeyCount{{Bucket: 1, Count: 50}}, OriginWindow: 4, OriginResponseTime: 20},
 		}
 	}
 	for _, c := range []struct{ at, want float64 }{{now - 100, 50}, {now - 200, 50}, {now - 50, 50}} {
-		k.inbox.post(snapshotFound{k.snapshots, state(c.at)}) // the third is the youngest
-		if got := k.currentSnapshot(t).Global.KeySum; got > 1.01*c.want || got < c.want/2 {
+		n.inbox.post(snapshotFound{n.snapshots, state(c.at)}) // the third is the youngest
+		if got := n.currentSnapshot(t).Global.KeySum; got > 1.01*c.want || got < c.want/2 {
 			t.Errorf("keys are counted %.1f times after a snapshot of %.0f ms ago, want %.1f", got, now-c.at, c.want)
 		}
 	}
-	k.Stop(0, time.Second)
+	n.Stop(0, time.Second)
 }
 
-// A successor that has sent requests to its servers restores the last snapshot of its predecessor, as far as that is younger. It once
-// restored only servers of which it knew nothing yet, which after a moment of traffic is none.
+// A successor that has already sent requests to its servers restores the final snapshot of its predecessor, as far as it is younger. It used
+// to restore only servers without any responses yet, of which there are none after a moment of traffic.
 func TestSuccessorRestoresLastSnapshot(t *testing.T) {
 	tc := newTestCluster(t, 3, serveHit, echoOrigin)
-	k := tc.startSnapshotNode(t.TempDir())
-	tc.addr = k.addr
+	n := tc.startSnapshotNode(t.TempDir())
+	tc.addr = n.addr
 	for i := range 60 {
 		tc.expectPrefix(tc.request("KV.GET", fmt.Sprint("key", i%20), fmt.Sprint("id", i), "c=read,d=500"), "hit")
 	}
-	took := func() (ms float64) {
-		for _, s := range k.currentSnapshot(t).Servers {
+	responseTime := func() (ms float64) {
+		for _, s := range n.currentSnapshot(t).Servers {
 			if s.Name == "s0" {
 				ms = s.ResponseTime
 			}
 		}
 		return ms
 	}
-	own := took()
-	now := k.clock.Now()
-	k.inbox.post(snapshotFound{k.snapshots, &snapshot.State{
-		TakenAt: now, PolicyFingerprint: k.snapshots.trust.PolicyFingerprint, Node: "n0", Zone: k.snapshots.trust.Zone,
+	measured := responseTime()
+	now := n.clock.Now()
+	n.inbox.post(snapshotFound{n.snapshots, &snapshot.State{
+		TakenAt: now, PolicyFingerprint: n.snapshots.config.PolicyFingerprint, Node: "n0", Zone: n.snapshots.config.Zone,
 		Servers: []snapshot.Server{
 			{Name: "s0", ServerSnapshot: fleet.ServerSnapshot{ResponseTime: 700, TimePerQueued: 700, QueuePeak: 1, LastResponseAt: now}},
 			{Name: "s1"}, {Name: "s2"}, {Name: "o"},
 		},
 	}})
-	if with := took(); own == 0 || with < own+100 {
-		t.Errorf("the response time of s0 is %.1f ms, and %.1f after a younger snapshot with 700", own, with)
+	if restored := responseTime(); measured == 0 || restored < measured+100 {
+		t.Errorf("the response time of s0 is %.1f ms, and %.1f after a younger snapshot with 700", measured, restored)
 	}
-	k.Stop(0, time.Second)
+	n.Stop(0, time.Second)
 }
--- a/internal/node/testcluster_test.go
+++ b/internal/node/testcluster_test.go
@@ -30,7 +30,7 @@
  {"Name":"put","Effect":"token","DedupScope":"all","MemorySpan":5000000,"SloTime":200000,"StatementTimeout":600000,"Importance":3},
  {"Name":"pay","Effect":"side_effect","SloTime":200000,"StatementTimeout":600000,"Importance":2}]}`
 
-// testCluster is a node among fake servers on loopback: cache servers s0, s1, ..., the origin o, and the discovery service.
+// testCluster is a node with fake servers on loopback: cache servers s0, s1, ..., the origin o, and the discovery service.
 type testCluster struct {
 	t           *testing.T
 	node        *Node
@@ -44,20 +44,20 @@
 }
 
 // ready reports whether the node answers a PING of its clients with success.
-func (tc *testCluster) ready() bool { return tc.node.life.ReadyForClients() }
+func (tc *testCluster) ready() bool { return tc.node.lifecycle.ReadyForClients() }
 
 // newTestCluster starts a cluster whose node is ready.
-func newTestCluster(t *testing.T, caches int, serveCache func(redcon.Conn, string, string), serveOrigin http.HandlerFunc, with ...func(*Config)) *testCluster {
+func newTestCluster(t *testing.T, cacheCount int, serveCache func(redcon.Conn, string, string), serveOrigin http.HandlerFunc, configure ...func(*Config)) *testCluster {
 	t.Helper()
-	return newTestClusterOn(t, listen(t), caches, serveCache, serveOrigin, with...)
+	return newTestClusterOn(t, listen(t), cacheCount, serveCache, serveOrigin, configure...)
 }
 
-// newTestClusterOn is newTestCluster with a node that serves on a listener.
-func newTestClusterOn(t *testing.T, ln net.Listener, caches int, serveCache func(redcon.Conn, string, string), serveOrigin http.HandlerFunc, with ...func(*Config)) *testCluster {
+// newTestClusterOn is like newTestCluster, with a node that serves on a given listener.
+func newTestClusterOn(t *testing.T, ln net.Listener, cacheCount int, serveCache func(redcon.Conn, string, string), serveOrigin http.HandlerFunc, configure ...func(*Config)) *testCluster {
 	t.Helper()
 	tc := &testCluster{t: t, serveCache: serveCache, listUpdates: make(chan string, 10)}
 	var entries []string
-	for i := range caches {
+	for i := range cacheCount {
 		addr := tc.startCache()
 		entries = append(entries, entry(fmt.Sprint("s", i), addr, "box"))
 	}
@@ -75,14 +75,14 @@
 		Name: "n0", Discovery: tc.startDiscovery(entries), Deployment: deployment, MaxDescriptors: 1024, MemoryMB: 192, AdminEnabled: true,
 		CachedList: discovery.Update{},
 	}
-	for _, change := range with {
+	for _, change := range configure {
 		change(&config)
 	}
 	tc.node = New(config, log)
 	tc.addr = ln.Addr().String()
 	serve(t, tc.node, ln)
 	t.Cleanup(func() {
-		if tc.node.life.Phase() != lifecycle.Stopping { // else it would stay in memory, and tests that measure the heap would count it
+		if tc.node.lifecycle.Phase() != lifecycle.Stopping { // a running node would stay in the heap, which some tests measure
 			tc.node.Stop(0, 100*time.Millisecond)
 		}
 	})
@@ -94,7 +94,7 @@
 	return tc
 }
 
-// startCache starts a fake cache server and returns its address. It refuses what is no request to a cache server.
+// startCache starts a fake cache server and returns its address. The server refuses commands that are not requests to a cache server.
 func (tc *testCluster) startCache() string {
 	ln := listen(tc.t)
 	addr := ln.Addr().String()
@@ -115,14 +115,14 @@
 
 // startDiscovery starts a fake discovery service that sends a list and then the lines of listUpdates. It returns its address.
 func (tc *testCluster) startDiscovery(entries []string) string {
-	d := loopbacktest.StartServer(tc.t, http.HandlerFunc(func(rw http.ResponseWriter, q *http.Request) {
+	d := loopbacktest.StartServer(tc.t, http.HandlerFunc(func(rw http.ResponseWriter, req *http.Request) {
 		writeString(rw, fmt.Sprintf(`{"revision":1,"complete":true,"members":[%s]}`+"\n", strings.Join(entries, ",")))
 		for {
 			rw.(http.Flusher).Flush()
 			select {
 			case line := <-tc.listUpdates:
 				writeString(rw, line+"\n")
-			case <-q.Context().Done():
+			case <-req.Context().Done():
 				return
 			}
 		}
@@ -172,15 +172,15 @@
 	return c
 }
 
-// closeQuietly closes what the test, or the other end, may have closed before.
+// closeQuietly closes c and ignores the error: the test or the other end may have closed it already.
 func closeQuietly(c io.Closer) { _ = c.Close() }
 
-// writeString writes to a connection whose other end may be gone.
+// writeString writes s and ignores the error: the other end of the connection may be gone.
 func writeString(w io.Writer, s string) { _, _ = io.WriteString(w, s) }
 
 func writeBytes(w io.Writer, b []byte) { _, _ = w.Write(b) }
 
-// entry is an entry of the endpoint list for a server in service.
+// entry returns an entry of the endpoint list for a server in service.
 func entry(id, addr, flavor string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":%q,"phase":"in_service","size":1}`, id, addr, flavor)
 }
@@ -194,7 +194,7 @@
 	return b
 }
 
-// request sends one request on a connection of its own and returns the response, or the error line without its end.
+// request sends one request on a new connection and returns the response, or the error line without its line ending.
 func (tc *testCluster) request(name, key, id, extra string, value ...string) string {
 	c, err := net.Dial("tcp", tc.addr)
 	if err != nil {
@@ -204,7 +204,7 @@
 	return requestOn(c, append([]string{name, key, id, extra}, value...)...)
 }
 
-// requestOn sends one command on a connection and returns the response. It returns what came until the connection ended otherwise.
+// requestOn sends one command on a connection and returns the response, or as much of it as was received before the connection ended.
 func requestOn(c net.Conn, words ...string) string {
 	_, _ = c.Write(command(words...)) // a response may have come before the node closed the connection
 	if err := c.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
@@ -229,7 +229,7 @@
 	}
 }
 
-// expectTimeLeft expects a number of ms between two texts, less than a limit and at least half of it.
+// expectTimeLeft expects a number of ms between the texts before and after, less than limitMs and at least half of it.
 func (tc *testCluster) expectTimeLeft(got, before string, limitMs int, after string) {
 	tc.t.Helper()
 	rest, first := strings.CutPrefix(got, before)
@@ -247,11 +247,11 @@
 	c.WriteRaw([]byte("*3\r\n$-1\r\n$4\r\nmiss\r\n$-1\r\n"))
 }
 
-// echoOrigin answers with the request.
-func echoOrigin(rw http.ResponseWriter, q *http.Request) {
-	body, err := io.ReadAll(q.Body)
+// echoOrigin answers with the method, path, headers and body of the request.
+func echoOrigin(rw http.ResponseWriter, req *http.Request) {
+	body, err := io.ReadAll(req.Body)
 	if err != nil {
 		return // the node has closed the connection
 	}
-	writeString(rw, fmt.Sprintf("%s %s %s %s %s", q.Method, q.URL.Path, q.Header.Get("Req-Id"), q.Header.Get("Req-Extra"), body))
+	writeString(rw, fmt.Sprintf("%s %s %s %s %s", req.Method, req.URL.Path, req.Header.Get("Req-Id"), req.Header.Get("Req-Extra"), body))
 }
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -13,20 +13,20 @@
 	"mintspring/internal/node/upstream"
 )
 
-// trafficCounters is what the log line "traffic" needs beside the counters of others. The loop owns it.
+// trafficCounters is the state of the log line "traffic" that no other part of the node counts. The loop owns it.
 type trafficCounters struct {
-	previous  upstream.Stats // at the line before
-	lastError error          // of a failed attempt since then: one is enough to see the kind
+	previous  upstream.Stats // as of the previous line
+	lastError error          // of the last failed attempt since then, as an example
 }
 
-// logTrafficAndReap logs what went through since the last call, and closes connections to servers that have been idle for long.
+// logTrafficAndReap logs the traffic since the last call, and closes connections to servers that have been idle too long.
 func (n *Node) logTrafficAndReap() {
 	for _, s := range n.servers {
 		s.endpoint.Reap()
 	}
 	log := n.log
 	if n.idempotency != nil {
-		log = log.WithFields(n.idempotency.drainCounters())
+		log = log.WithFields(n.idempotency.takeCounters())
 	}
 	if n.traffic.lastError != nil {
 		log = log.WithField("last_failure", n.traffic.lastError.Error())
@@ -83,7 +83,7 @@
 	}
 }
 
-// resultNames are the results of attempts in the log.
+// resultNames has the names of attempt results in the log.
 var resultNames = [...]string{
 	fleet.Pending: "pending", fleet.Completed: "completed", fleet.Failed: "failed", fleet.Declined: "full",
 	fleet.TimedOut: "timed out", fleet.ConnectFailed: "no connection", fleet.Reset: "reset", fleet.Cancelled: "cancelled",
@@ -92,8 +92,7 @@
 
 var responseNames = [...]string{exchange.Completed: "completed", exchange.Rejected: "rejected", exchange.Aborted: "aborted"}
 
-// logRequest logs one released request at level debug: the line "traffic" has sums only, which do not say why one request ended as it
-// did. Of the key only its hash is logged.
+// logRequest logs one released request at level debug, with its attempts: the line "traffic" has only totals. The key is logged as a hash.
 func (n *Node) logRequest(now float64, entry *inflightEntry) {
 	if !n.log.Logger.IsLevelEnabled(logrus.DebugLevel) {
 		return
--- a/internal/node/traffic_test.go
+++ b/internal/node/traffic_test.go
@@ -9,7 +9,7 @@
 	"mintspring/internal/testbed/logrecorder"
 )
 
-// At level debug the attempts of a request can be found by its id, and its key is not logged.
+// At level debug the attempts of a request are logged with its id, and its key is not logged.
 func TestRequestLog(t *testing.T) {
 	tc := newTestCluster(t, 1, serveMiss, echoOrigin)
 	var log logrecorder.Recorder
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -13,28 +13,28 @@
 	"mintspring/internal/state/snapshot"
 )
 
-// stateTransfer returns what a successor starts from.
+// stateTransfer returns the state from which a successor starts.
 func (n *Node) stateTransfer(now float64) hotrestart.State {
 	addr, revision := n.discovery.ListSource()
 	state := hotrestart.State{
 		DiscoveryAddr: addr,
 		Exclusions:    n.exclusions.Export(true),
 		Descriptors:   n.descriptors.Held(),
-		StandbySince:  n.life.StandbySince(),
+		StandbySince:  n.lifecycle.StandbySince(),
 		Clock:         now,
 		ServerStarts:  n.serverStarts.Export(),
-		Endpoints:     discovery.Update{Complete: true, Revision: revision, Members: n.listEntries()},
+		Endpoints:     discovery.Update{Complete: true, Revision: revision, Members: n.endpointListEntries()},
 	}
 	if policy, ok := n.inflight.Policy.(snapshotPolicy); ok {
-		var raw fleet.Snapshot
-		state.Snapshot = snapshot.Append(nil, n.takeSnapshot(now, policy, n.transferTrust(), &raw))
-		state.ColdWorkRate = raw.CacheLoad
+		var exported fleet.Snapshot
+		state.Snapshot = snapshot.Append(nil, n.takeSnapshot(now, policy, n.transferSnapshotConfig(), &exported))
+		state.ColdWorkRate = exported.CacheLoad
 	}
 	return state
 }
 
-// listEntries are the entries of all servers that are still listed.
-func (n *Node) listEntries() []json.RawMessage {
+// endpointListEntries returns the entries of all servers that are still listed.
+func (n *Node) endpointListEntries() []json.RawMessage {
 	var entries []json.RawMessage
 	for id, s := range n.servers {
 		if n.serverTable.State(fleet.ServerID(id)) == fleet.Gone {
@@ -50,17 +50,17 @@
 	return entries
 }
 
-// restoreTransfer takes over the state of the predecessor.
+// restoreTransfer restores the state of the predecessor.
 func (n *Node) restoreTransfer(now float64, state *hotrestart.State) {
 	n.exclusions.Import(state.Exclusions)
 	n.serverStarts.Import(state.ServerStarts)
 	if state.StandbySince > 0 {
-		n.life.EnterStandby(state.StandbySince)
+		n.lifecycle.EnterStandby(state.StandbySince)
 	}
 	if addr, _ := n.discovery.ListSource(); state.DiscoveryAddr == addr {
 		n.discovery.SetRevision(state.Endpoints.Revision)
 	}
-	// The predecessor has followed the discovery service until now, so that its list is as good as one from there.
+	// The predecessor has watched the discovery service until now, so its list is as current as one from the service.
 	listChanged{fleet.ListCached, state.Endpoints.Members, serverstart.Never()}.handle(n, now)
 	n.discovery.ConfirmList()
 	policy, ok := n.inflight.Policy.(snapshotPolicy)
@@ -73,11 +73,12 @@
 		return
 	}
 	s.Global.CacheLoad = state.ColdWorkRate
-	n.restoreSnapshot(now, policy, s, n.transferTrust())
+	n.restoreSnapshot(now, policy, s, n.transferSnapshotConfig())
 }
 
-// transferTrust says how far a snapshot of the other process is trusted. It is a moment old, so that any times do.
-func (n *Node) transferTrust() snapshot.Config {
+// transferSnapshotConfig returns the configuration for snapshots in a state transfer. They are moments old, so any half-life and maximum
+// age will do.
+func (n *Node) transferSnapshotConfig() snapshot.Config {
 	return SnapshotConfig(n.name, n.deployment, &operatorfile.Snapshot{
 		HalfLife: tomlfile.Duration(10 * time.Minute),
 		MaxAge:   tomlfile.Duration(24 * time.Hour),
