--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -23,8 +23,9 @@
 	// restarted and never will.
 	resultGraceMs = 20
 
-	// responseMarginMs is reserved after that for the next tick and for sending the response before the client's deadline. Without the
-	// margin a request that no replica answered was rejected 20 ms after its client's deadline, and 0.1 ms after with a margin of one tick.
+	// responseMarginMs is reserved between the end of the grace time and the client's deadline, for the next tick and for sending the
+	// response. A request that no replica answered was rejected 20 ms after its client's deadline without the margin, and 0.1 ms after it
+	// with a margin of one tick.
 	responseMarginMs = 3 * claimTickMs
 
 	// settleTimeoutMs is how long a replica tries to settle a claim. Until it is settled, a retry of the request cannot learn its outcome.
@@ -46,7 +47,7 @@
 	settling                    // executed; the response waits until the replicas have the receipt
 )
 
-// claim is the claim of one request on its idempotency key.
+// claim is the claim of a request on its idempotency key.
 type claim struct {
 	manager         *claimManager
 	id              uint64
@@ -87,7 +88,7 @@
 	closed     bool // the replica is being stopped: no more claims are made
 }
 
-// extraValue returns the value of a name in the list of name=value pairs of a request, or nil.
+// extraValue returns the value of a name in the extra field of a request, a list of name=value pairs. It returns nil for an unknown name.
 func extraValue(extra []byte, name string) []byte {
 	for part := range bytes.SplitSeq(extra, []byte(",")) {
 		if k, v, _ := bytes.Cut(part, []byte("=")); string(k) == name {
@@ -144,7 +145,7 @@
 	return maxUploadMs + x.Timeout // its value is still being read
 }
 
-// handleResult handles the result of a claim or of a settlement.
+// handleResult applies the result of a claim or of a settlement.
 func (m *claimManager) handleResult(now float64, result *idempotency.Result) {
 	c := m.claims[result.Number]
 	switch {
@@ -290,7 +291,7 @@
 	for i := range request.Attempts[:request.NumAttempts] {
 		switch result := request.Attempts[i].Result; {
 		case result == fleet.Completed:
-			return idempotency.OutcomeCompleted // completed too late for the client
+			return idempotency.OutcomeCompleted // the response came too late for the client
 		case !result.NotExecuted():
 			outcome = idempotency.OutcomeUnknown
 		}
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -21,9 +21,9 @@
 const (
 	// clusterTickMs is the interval between two ticks of the cluster member.
 	clusterTickMs = 20
-	// silentPeriods is the number of probe intervals after which a node that has never received a datagram logs a warning. Its number or
-	// address may differ from those that its peers have for it. The detection of isolation does not cover this case: only a node that
-	// has received datagrams, and no longer does, takes itself for isolated.
+	// silentPeriods is the number of probe intervals after which a node logs a warning if it has never received a datagram. The number or
+	// the address of such a node differs from those that its peers have for it. Isolation detection does not notice this: it covers only
+	// nodes that have received datagrams before.
 	silentPeriods = 10
 )
 
@@ -50,7 +50,7 @@
 	gossip     gossip.Config
 }
 
-// newClusterConfig returns nil without a cluster.
+// newClusterConfig returns the configuration of the cluster, or nil if the operator's file has none.
 func (n *Node) newClusterConfig(config *Config) (*clusterConfig, error) {
 	if config.Operator == nil || config.Operator.Fleet == nil {
 		return nil, nil //nolint:nilnil // a node need not have a cluster
@@ -99,7 +99,7 @@
 	return nil
 }
 
-// retryJoin joins the cluster once the predecessor has released the address. It ends with the node.
+// retryJoin joins the cluster once the predecessor has released the address. It returns when the node stops.
 func (n *Node) retryJoin(c *clusterConfig) {
 	err := n.retryWhileAddressInUse(lockRetryInterval, func() error {
 		socket, err := wire.Listen(c.listenAddr, c.peers)
@@ -275,7 +275,7 @@
 	return all
 }
 
-// Connections returns the connections to a server.
+// Connections returns the numbers of connections to a server that are open and in use.
 func (c *clusterMember) Connections(id fleet.ServerID) (open, inUse int) {
 	state := c.node.servers[id].endpoint.State()
 	return state.Open, state.InUse
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -17,7 +17,7 @@
 	commandActive  = "active"
 )
 
-// Status returns the phase of the node if it is ready to serve, and else the phase as an error. It implements admin.Handler, as the
+// Status returns the phase of the node if it is ready to serve, and the phase as an error otherwise. It implements admin.Handler, as the
 // methods below do.
 func (n *Node) Status() (string, error) {
 	phase := n.lifecycle.Phase().String()
@@ -30,12 +30,12 @@
 	return "", errors.New(phase)
 }
 
-// ExcludeServer excludes a cache server until ReadmitServer, whatever the endpoint list says of it.
+// ExcludeServer excludes a cache server until ReadmitServer, regardless of its state in the endpoint list.
 func (n *Node) ExcludeServer(id string) (string, error) {
 	return n.executeInBothProcesses(commandExclude, id)
 }
 
-// ReadmitServer ends the exclusion of a cache server, which is then treated as one that has just started.
+// ReadmitServer ends the exclusion of a cache server. The server is then treated as just started.
 func (n *Node) ReadmitServer(id string) (string, error) {
 	return n.executeInBothProcesses(commandReadmit, id)
 }
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -11,7 +11,7 @@
 	"mintspring/internal/state/snapshotfile"
 )
 
-// Policy is the decision module as the loop calls it.
+// Policy is the interface of the decision module to the loop.
 type Policy = inflight.Policy
 
 // Config is the configuration of a node.
--- a/internal/node/consensusreplica.go
+++ b/internal/node/consensusreplica.go
@@ -70,7 +70,7 @@
 	<-s.done
 }
 
-// isSystemError reports whether an error comes from the operating system and so may pass.
+// isSystemError reports whether an error comes from the operating system and may therefore be transient.
 func isSystemError(err error) bool {
 	var errno syscall.Errno
 	return errors.As(err, &errno)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -136,7 +136,7 @@
 	}
 	heapAfter2000 := heap()
 	t.Logf("heap %.2f MB after 200, %.2f MB after 2000; %d slots", heapAfter200/1e6, heapAfter2000/1e6, len(n.servers))
-	// Garbage of other tests varies by less than the limit; a server that is not freed takes over a thousand bytes.
+	// Memory held by other tests varies a little; a server that is not freed takes over a thousand bytes.
 	if heapAfter2000-heapAfter200 > 1800*150 {
 		t.Errorf("heap %.2f MB after 200 replacements and %.2f MB after 2000", heapAfter200/1e6, heapAfter2000/1e6)
 	}
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -24,7 +24,7 @@
 	takenOver                             // this is the successor; it serves, and the predecessor still has connections of clients
 )
 
-// isSuccessor reports whether the other process is the older one.
+// isSuccessor reports whether this process is the successor.
 func (p handoverPhase) isSuccessor() bool { return p == joining || p == takenOver }
 
 // successorAccepts reports whether new clients connect to the successor. Stop then needs no grace period for them.
@@ -49,14 +49,14 @@
 	return h.saveSequence
 }
 
-// begin begins a phase with the process at the other end of a channel.
+// begin sets the channel to the other process, and the phase.
 func (h *handover) begin(channel *hotrestart.Channel, phase handoverPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.channel, h.phase = channel, phase
 }
 
-// otherProcess returns the channel to the otherProcess process, nil for none, and the phase.
+// otherProcess returns the channel to the other process, or nil if there is none, and the phase.
 func (h *handover) otherProcess() (*hotrestart.Channel, handoverPhase) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -111,7 +111,7 @@
 	n.lifecycle.SetPredecessor(true)
 	n.shareLimits(n.descriptors.Limit() * (successorDivisor - 1) / successorDivisor)
 	n.restoreTransfer(n.clock.Now(), &join.State)
-	// The phase is set before the channel is read: if the predecessor is gone already, PeerLost must undo the right one.
+	// The phase is set before the channel is read: if the predecessor is gone already, PeerLost needs it to undo the handover.
 	channel := join.Channel()
 	n.handover.begin(channel, joining)
 	join.Start(n)
@@ -151,7 +151,8 @@
 	close(n.handover.takenOver)
 }
 
-// TakenOver returns a channel that is closed once this process has taken over from a predecessor. Without a predecessor it is never closed.
+// TakenOver returns a channel that is closed once this process has taken over from a predecessor. The channel of a process without a
+// predecessor is never closed.
 func (n *Node) TakenOver() <-chan struct{} { return n.handover.takenOver }
 
 // listenForSuccessor listens for a successor, and retries in the background if that fails.
@@ -225,7 +226,7 @@
 		state hotrestart.State
 		pause time.Duration // how long the export blocked the loop
 	}
-	t, err := onLoopWithin(n, hotrestart.StateTimeout, func(now float64) (export, error) {
+	exported, err := onLoopWithin(n, hotrestart.StateTimeout, func(now float64) (export, error) {
 		start := time.Now()
 		state := n.stateTransfer(now)
 		pause := time.Since(start)
@@ -236,11 +237,11 @@
 		n.log.WithError(err).Warn("cannot export the state; refusing the successor")
 		return hotrestart.State{}, err
 	}
-	t.state.Clock, t.state.Monotonic = n.clock.Now(), clock.Monotonic()
-	n.log.WithField("pause", t.pause).Info("successor connected")
+	exported.state.Clock, exported.state.Monotonic = n.clock.Now(), clock.Monotonic()
+	n.log.WithField("pause", exported.pause).Info("successor connected")
 	n.shareLimits(n.descriptors.Limit() / successorDivisor)
 	go n.reportDescriptors(channel)
-	return t.state, nil
+	return exported.state, nil
 }
 
 // SuccessorReady passes new clients to the successor, which serves now, and existing clients when they have no request in flight.
@@ -252,7 +253,7 @@
 	n.frontend.DrainConns()
 	n.upstreams.CloseUnused()
 	n.log.Info("successor ready, handing over client connections")
-	_ = n.runOnLoop(func(float64) {}) // wakes the loop, which passes on the other clients; errLoopBusy means that it is awake
+	_ = n.runOnLoop(func(float64) {}) // wakes the loop, which passes on the remaining clients; errLoopBusy means that it is awake
 }
 
 // ApplyCommand executes an admin command that was received by the other process.
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -87,9 +87,9 @@
 // The phases of a handover say whether this process is the successor, and whether a successor accepts the new clients.
 func TestHandoverPhases(t *testing.T) {
 	for _, c := range []struct {
-		begin, whenServing handoverPhase // serving: once the successor of the two serves
+		begin, whenServing handoverPhase // whenServing: after markSuccessorServing
 		isSuccessor        bool
-		successorAccepts   bool // in the phase serving
+		successorAccepts   bool // in the phase whenServing
 	}{
 		{noHandover, noHandover, false, false},
 		{successorJoined, successorServing, false, true},
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -111,7 +111,7 @@
 		}
 	}
 	if s := n.snapshots; s != nil && s.startedEmpty && n.restoredSnapshotTime == 0 {
-		go s.fetchFromReplica(e.replica) // it ends after fetchTimeout
+		go s.fetchFromReplica(e.replica) // returns within fetchTimeout
 	}
 }
 
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -42,7 +42,7 @@
 }
 
 // A retry of a request with an idempotency key is answered with the receipt of the first request, or aborted if the outcome of that is
-// unknown, or executed if no attempt of the first request was. A read, and a write without a key, are not claimed.
+// unknown, or executed if the first request was not. A read, and a write without a key, are not claimed.
 func TestRetriesWithIdempotencyKey(t *testing.T) {
 	var mu sync.Mutex
 	executions := map[string]int{}
@@ -156,7 +156,7 @@
 			t.Fatal(err)
 		}
 	}))
-	fastest := time.Second // of four, since the machine may be busy
+	fastest := time.Second // of four requests, since the machine may be busy
 	for i := range 4 {
 		began := time.Now()
 		tc.expectPrefix(tc.request("KV.SET", "k", fmt.Sprint("0", i), "c=put,d=80,k=1", "v"), "-BUSY ")
--- a/internal/node/inbox.go
+++ b/internal/node/inbox.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// drain moves all pending events to the end of into.
+// drain removes all pending events from the inbox and appends them to into.
 func (b *inbox) drain(into []event) []event {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -32,7 +32,7 @@
 	replica  *replicaSupervisor // nil: this node is no member of the group
 	client   *replica.Client
 	lease    *lease.Client
-	excluded *exclusion.Set // by the plan; operators' exclusions on the admin port are kept separately
+	excluded *exclusion.Set // set by the plan; exclusions by operators on the admin port are kept separately
 
 	plan     *rollingrestart.Plan
 	revision uint64 // of plan
@@ -45,7 +45,7 @@
 
 	memberCursor int // modulo the number of members, the member that the last command was sent to
 	lastCallID   uint64
-	pendingCalls map[uint64]chan<- lease.Result // by call id; results that the channel cannot take are dropped
+	pendingCalls map[uint64]chan<- lease.Result // by call id; a result is dropped if its channel is full
 }
 
 // joinConsensus makes the node a client, or a member, of the consensus group if the operator's file configures it.
@@ -241,7 +241,7 @@
 }
 
 // proposeStep proposes the next step of the plan under the lease token, if one is due. The step takes effect on this node, as on the others,
-// when a result of the group contains the new plan.
+// when the group returns the new plan.
 func (t *maintenanceTask) proposeStep(now float64) {
 	if !t.hasWork() {
 		return
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -182,8 +182,8 @@
 }
 
 // addEvictors sets the order in which connections are closed when descriptors run out. Idle clients that have had a response are
-// evicted before clients that have just connected: otherwise, once silent clients held all descriptors, each new client evicted the
-// previous one, whose request was still being read.
+// evicted before clients that have just connected: otherwise, once silent clients hold all descriptors, each new client evicts the
+// previous one while its request is still being read.
 func (n *Node) addEvictors() {
 	const clientConn, serverConn = fdlimit.Client, fdlimit.Server
 	n.descriptors.AddEvictor(clientConn, func() bool { return n.frontend.EvictAnswered(minIdleBeforeEviction) })
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// shutdownPhase is the progress of a stop with the requests in flight.
+// shutdownPhase is the phase of a stop.
 type shutdownPhase uint8
 
 const (
@@ -44,7 +44,8 @@
 	n.inbox.post(stopDeadline{n.clock.Now() + float64(max(0, bound-schedulingStallAllowance)/time.Millisecond)})
 	n.frontend.DrainConns()
 	if _, phase := n.handover.otherProcess(); phase.successorAccepts() {
-		// The successor gets new clients, and existing ones that have no request in flight. Clients that never pause are closed after half the bound.
+		// The successor gets new clients, and existing clients between two requests. Clients that never pause are closed after half the
+		// bound.
 		defer time.AfterFunc(bound/2, n.lifecycle.FinishStop).Stop()
 	} else {
 		time.Sleep(grace)
@@ -109,7 +110,7 @@
 	close(n.shutdown.drained)
 }
 
-// stopDeadline is the event that a stop has begun. Requests have to be answered by its time.
+// stopDeadline is the event that a stop has begun, with the time by which requests must be answered.
 type stopDeadline struct{ at float64 }
 
 func (e stopDeadline) handle(n *Node, _ float64) { n.shutdown.deadline = e.at }
--- a/internal/node/snapshotevents.go
+++ b/internal/node/snapshotevents.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/state/snapshot"
 )
 
-// snapshotPolicy is a policy that can export the state it has learned and restore it.
+// snapshotPolicy is a policy that can export and restore its learned state.
 type snapshotPolicy interface {
 	Export(now float64, into *fleet.Snapshot)
 	Restore(now float64, from *fleet.Snapshot)
@@ -23,8 +23,8 @@
 
 // restoreSnapshot restores a snapshot into the policy if it is newer than the last restored one: a successor gets the state transfer of its
 // predecessor, an older file, and the file that the predecessor writes at its end. State that belongs to no server, such as key counts, is
-// restored only once, since it would add up. State of a server that this process has had responses from has the more weight the newer it
-// is (decide.Node.Restore).
+// restored only once, since it would add up. State of a server from which this process has had responses is weighted by its age
+// (decide.Node.Restore).
 func (n *Node) restoreSnapshot(now float64, policy snapshotPolicy, state *snapshot.State, config snapshot.Config) {
 	if state.TakenAt <= n.restoredSnapshotTime {
 		return
--- a/internal/node/snapshots.go
+++ b/internal/node/snapshots.go
@@ -78,7 +78,7 @@
 	go s.run(err)
 }
 
-// SnapshotConfig returns the configuration by which a node of this name and deployment trusts a stored snapshot.
+// SnapshotConfig returns the configuration that determines how far a node of this name and deployment trusts a stored snapshot.
 func SnapshotConfig(name string, deployment settings.Deployment, section *operatorfile.Snapshot) snapshot.Config {
 	zone := ""
 	if z := int(deployment.Limits.Zone); z >= 0 && z < len(deployment.Zones) {
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -13,10 +13,10 @@
 	"mintspring/internal/node/upstream"
 )
 
-// trafficCounters is the state of the log line "traffic" that no other part of the node counts. The loop owns it.
+// trafficCounters holds the data of the log line "traffic" that the counters of other types do not have. The loop owns it.
 type trafficCounters struct {
 	previous  upstream.Stats // as of the previous line
-	lastError error          // of the last failed attempt since then, as an example
+	lastError error          // error of the last failed attempt since then
 }
 
 // logTrafficAndReap logs the traffic since the last call, and closes connections to servers that have been idle too long.
