--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -209,7 +209,9 @@
 		TakenAt: now, PolicyFingerprint: n.snapshots.config.PolicyFingerprint, Node: "n0", Zone: n.snapshots.config.Zone,
 		Servers: []snapshot.Server{
 			{Name: "s0", ServerSnapshot: fleet.ServerSnapshot{ResponseTime: 700, TimePerQueued: 700, QueuePeak: 1, LastResponseAt: now}},
-			{Name: "s1"}, {Name: "s2"}, {Name: "o"},
+			{Name: "s1"},
+			{Name: "s2"},
+			{Name: "o"},
 		},
 	}})
 	if restored := responseTime(); measured == 0 || restored < measured+100 {
