--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -66,9 +66,9 @@
 // claimCounters counts claims by outcome since they were last logged.
 type claimCounters struct {
 	granted        int
-	heldElsewhere  int // another request with the key is being executed
-	answeredBefore int // answered with the receipt of an earlier request
-	unknown        int // an earlier request may or may not have been executed
+	inProgress     int // another request with the key is being executed
+	replayed       int // answered with the receipt of an earlier request
+	outcomeUnknown int // an earlier request may or may not have been executed
 	withoutQuorum  int
 	notReplicated  int // answered before the replicas had the receipt
 }
@@ -77,15 +77,15 @@
 // the key is claimed with the replicas of the cluster before the policy gets the request, and the receipt is replicated before the client
 // gets it. The loop owns the claimManager.
 type claimManager struct {
-	node       *Node
-	settings   *operatorfile.Idempotency
-	replica    *replica.Replica // nil until its address is free
-	lastID     uint64
-	claims     map[uint64]*claim
-	byExchange map[*exchange.Exchange]*claim
-	counters   claimCounters
-	pending    int  // claims in the phase claiming
-	closed     bool // the replica is being stopped: no more claims are made
+	node          *Node
+	settings      *operatorfile.Idempotency
+	replica       *replica.Replica // nil until its address is free
+	lastID        uint64
+	claims        map[uint64]*claim
+	byExchange    map[*exchange.Exchange]*claim
+	counters      claimCounters
+	pendingClaims int  // claims in the phase claiming
+	closed        bool // the replica is being stopped: no more claims are made
 }
 
 // extraValue returns the value of a name in the extra field of a request, a list of name=value pairs. It returns nil for an unknown name.
@@ -130,7 +130,7 @@
 	}
 	m.node.classes.Acquire(x.Class) // keeps the id of the class valid while the claim waits
 	m.claims[c.id], m.byExchange[x] = c, c
-	m.pending++
+	m.pendingClaims++
 	if m.replica != nil {
 		m.replica.Claim(c.id, c.key, c.options, c.replicaDeadline)
 	}
@@ -175,15 +175,15 @@
 		m.quorumUnavailable(now, c)
 	case idempotency.DecisionWait:
 		m.removeWaiting(now, c)
-		m.counters.heldElsewhere++
+		m.counters.inProgress++
 		m.reject(x, result.WaitMs)
 	case idempotency.DecisionReplay:
 		m.removeWaiting(now, c)
-		m.counters.answeredBefore++
+		m.counters.replayed++
 		m.node.inflight.Respond(x, exchange.Response{Kind: exchange.Completed, Value: result.Receipt})
 	default:
 		m.removeWaiting(now, c)
-		m.counters.unknown++
+		m.counters.outcomeUnknown++
 		m.node.inflight.Respond(x, exchange.Response{Kind: exchange.Aborted, Reason: "it was tried before, and may or may not have been carried out"})
 	}
 }
@@ -199,7 +199,7 @@
 	}
 	m.counters.granted++
 	c.phase = executing
-	m.pending--
+	m.pendingClaims--
 	x.Client = c
 	m.admit(now, c)
 	m.node.classes.Release(now, x.Class) // Admit has acquired the class for the request in flight
@@ -236,7 +236,7 @@
 
 // removeWaiting removes a claim in the phase claiming.
 func (m *claimManager) removeWaiting(now float64, c *claim) {
-	m.pending--
+	m.pendingClaims--
 	m.remove(c)
 	m.node.classes.Release(now, c.exchange.Class)
 }
@@ -373,9 +373,9 @@
 	m.counters = claimCounters{}
 	return logrus.Fields{
 		"claims_granted":          counters.granted,
-		"claims_held_elsewhere":   counters.heldElsewhere,
-		"claims_answered_before":  counters.answeredBefore,
-		"claims_unknown":          counters.unknown,
+		"claims_held_elsewhere":   counters.inProgress,
+		"claims_answered_before":  counters.replayed,
+		"claims_unknown":          counters.outcomeUnknown,
 		"claims_without_quorum":   counters.withoutQuorum,
 		"receipts_not_replicated": counters.notReplicated,
 		"claims_waiting":          len(m.claims),
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -266,13 +266,13 @@
 }
 
 // NodeCounters returns the counters of this node; those that count events cover the time since the last call.
-func (c *clusterMember) NodeCounters() (all [counters.NodeKinds]int) {
+func (c *clusterMember) NodeCounters() (counts [counters.NodeKinds]int) {
 	opened := c.node.upstreams.Stats().Opened
-	all[counters.InFlight] = c.node.inflight.Len()
-	all[counters.ClientConnections] = c.node.frontend.OpenConns()
-	all[counters.ConnectionsOpened] = opened - c.previousOpened
+	counts[counters.InFlight] = c.node.inflight.Len()
+	counts[counters.ClientConnections] = c.node.frontend.OpenConns()
+	counts[counters.ConnectionsOpened] = opened - c.previousOpened
 	c.previousOpened = opened
-	return all
+	return counts
 }
 
 // Connections returns the numbers of connections to a server that are open and in use.
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -29,8 +29,8 @@
 func (e listChanged) handle(n *Node, now float64) {
 	endpoints := make([]fleet.Endpoint, 0, len(e.entries))
 	confirmedAt := n.earliestStart(now, e)
-	for _, text := range e.entries {
-		endpoint, err := n.applyEntry(now, text, confirmedAt)
+	for _, rawEntry := range e.entries {
+		endpoint, err := n.applyEntry(now, rawEntry, confirmedAt)
 		if err != nil {
 			n.log.WithError(err).Warn("cannot parse an endpoint list entry")
 			continue
@@ -82,15 +82,15 @@
 }
 
 // applyEntry merges an entry of the endpoint list into the known entry of its server, and updates the connections to it.
-func (n *Node) applyEntry(now float64, text json.RawMessage, confirmedAt float64) (fleet.Endpoint, error) {
-	entry, err := discovery.Merge(discovery.Entry{}, text)
+func (n *Node) applyEntry(now float64, rawEntry json.RawMessage, confirmedAt float64) (fleet.Endpoint, error) {
+	entry, err := discovery.Merge(discovery.Entry{}, rawEntry)
 	if err != nil {
 		return fleet.Endpoint{}, err
 	}
 	id, added, replacedID := n.serverTable.Assign(now, entry.ID)
 	if added {
 		n.addServer(id, &entry, replacedID)
-	} else if entry, err = discovery.Merge(n.servers[id].entry, text); err != nil {
+	} else if entry, err = discovery.Merge(n.servers[id].entry, rawEntry); err != nil {
 		return fleet.Endpoint{}, err
 	}
 	n.servers[id].entry = entry
@@ -150,9 +150,9 @@
 
 // reapplyEndpoints passes all servers to the decision module again, after all exclusions or settings were replaced.
 func (n *Node) reapplyEndpoints(now float64) {
-	var all []fleet.Endpoint
+	var endpoints []fleet.Endpoint
 	for id := range n.servers {
-		all = append(all, n.effectiveEndpoint(now, fleet.ServerID(id)))
+		endpoints = append(endpoints, n.effectiveEndpoint(now, fleet.ServerID(id)))
 	}
-	n.inflight.Policy.UpdateEndpoints(now, fleet.ListLocal, all)
+	n.inflight.Policy.UpdateEndpoints(now, fleet.ListLocal, endpoints)
 }
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -97,35 +97,35 @@
 	}
 }
 
-// StartHandover takes over from the predecessor, if join is not nil, and then listens for a successor. It is called before Serve. If dir is
-// nil, hot restart is disabled.
-func (n *Node) StartHandover(dir *hotrestart.Dir, join *hotrestart.Handover) {
+// StartHandover takes over from a predecessor, or starts alone if predecessor is nil, and then listens for a successor. It is called before
+// Serve. If dir is nil, hot restart is disabled.
+func (n *Node) StartHandover(dir *hotrestart.Dir, predecessor *hotrestart.Handover) {
 	if dir == nil {
 		return
 	}
 	n.handover.dir = dir
-	if join == nil {
+	if predecessor == nil {
 		n.startAlone(dir)
 		return
 	}
 	n.lifecycle.SetPredecessor(true)
 	n.shareLimits(n.descriptors.Limit() * (successorDivisor - 1) / successorDivisor)
-	n.restoreTransfer(n.clock.Now(), &join.State)
+	n.restoreTransfer(n.clock.Now(), &predecessor.State)
 	// The phase is set before the channel is read: if the predecessor is gone already, PeerLost needs it to undo the handover.
-	channel := join.Channel()
+	channel := predecessor.Channel()
 	n.handover.begin(channel, joining)
-	join.Start(n)
+	predecessor.Start(n)
 	go n.reportDescriptors(channel)
-	go n.becomeReady(channel, join.State.Descriptors)
+	go n.becomeReady(channel, predecessor.State.Descriptors)
 }
 
 func (n *Node) startAlone(dir *hotrestart.Dir) {
-	excluded, err := dir.LoadExclusions()
+	saved, err := dir.LoadExclusions()
 	if err != nil {
 		n.log.WithError(err).Warn("cannot load the saved exclusions; no cache server is excluded by them")
 	}
-	excluded.RebaseStored(n.clock.Now())
-	n.exclusions.Import(excluded)
+	saved.RebaseStored(n.clock.Now())
+	n.exclusions.Import(saved)
 	n.reapplyEndpoints(n.clock.Now())
 	n.listenForSuccessor()
 }
@@ -297,8 +297,8 @@
 func (h *handover) end(reclaim func()) handoverPhase {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	before := h.phase
+	lastPhase := h.phase
 	h.channel, h.phase = nil, noHandover
 	reclaim()
-	return before
+	return lastPhase
 }
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -197,7 +197,7 @@
 
 func (t *maintenanceTask) pollInterval() float64 {
 	interval := t.settings.PollInterval.Milliseconds()
-	if t.hasWork() {
+	if t.hasUnfinishedPlan() {
 		interval = min(interval, t.lease.TTLMillis/4) // to renew the lease in time
 	}
 	return interval
@@ -210,8 +210,8 @@
 	}
 }
 
-// hasWork reports whether there is an unfinished plan, for which a node has to hold the lease.
-func (t *maintenanceTask) hasWork() bool { return t.plan != nil && !t.plan.Finished() }
+// hasUnfinishedPlan reports whether there is an unfinished plan, for which a node has to hold the lease.
+func (t *maintenanceTask) hasUnfinishedPlan() bool { return t.plan != nil && !t.plan.Finished() }
 
 // send sends a command to the next member in turn, since a member that is dead or cut off does not answer. A command that cannot be sent
 // counts as lost: the caller that waits for its result sends it again.
@@ -230,7 +230,7 @@
 // poll renews or acquires the lease while there is work. Otherwise it releases the lease, or reads the plan if this node holds none.
 func (t *maintenanceTask) poll(now float64) {
 	switch {
-	case t.hasWork():
+	case t.hasUnfinishedPlan():
 		callID, command := t.lease.NextRequest(now)
 		t.send(callID, command)
 	case t.lease.MayAct(now, 0):
@@ -243,7 +243,7 @@
 // proposeStep proposes the next step of the plan under the lease token, if one is due. The step takes effect on this node, as on the others,
 // when the group returns the new plan.
 func (t *maintenanceTask) proposeStep(now float64) {
-	if !t.hasWork() {
+	if !t.hasUnfinishedPlan() {
 		return
 	}
 	next, err := rollingrestart.DecodePlan(t.plan.Encode())
--- a/internal/node/node_test.go
+++ b/internal/node/node_test.go
@@ -110,18 +110,18 @@
 			t.Error(err)
 			return
 		}
-		cut := <-resetPositions
-		writeString(conn, response[:min(cut, len(response))])
+		position := <-resetPositions
+		writeString(conn, response[:min(position, len(response))])
 		time.Sleep(2 * time.Millisecond) // until the node has read it
-		if cut <= len(response) {
+		if position <= len(response) {
 			_ = conn.(*net.TCPConn).SetLinger(0) // fails only on a connection that is broken already
 		}
 		closeQuietly(conn)
 	})
-	for cut := range len(response) + 2 {
-		resetPositions <- cut
-		got := tc.request("KV.SET", "k", fmt.Sprint(cut), "c=pay,d=500", "v")
-		if cut <= len(response) {
+	for position := range len(response) + 2 {
+		resetPositions <- position
+		got := tc.request("KV.SET", "k", fmt.Sprint(position), "c=pay,d=500", "v")
+		if position <= len(response) {
 			tc.expectPrefix(got, "-ERR")
 		} else {
 			tc.expectPrefix(got, "value")
--- a/internal/node/requests.go
+++ b/internal/node/requests.go
@@ -49,7 +49,7 @@
 	}
 	waitingClaims := 0
 	if n.idempotency != nil {
-		waitingClaims = n.idempotency.pending
+		waitingClaims = n.idempotency.pendingClaims
 	}
 	return n.inflight.Len()+waitingClaims >= limit
 }
--- a/internal/node/serverclock_test.go
+++ b/internal/node/serverclock_test.go
@@ -49,7 +49,7 @@
 
 // A server that restarts while the node runs is in slow start from then on by the node's monotonic clock, however far the clock of either
 // machine has been stepped. With clocks an hour apart the server used to count as warm at once, or as cold for an hour.
-func TestServerStartByAnotherClock(t *testing.T) {
+func TestServerStartWithSteppedClocks(t *testing.T) {
 	for _, offset := range []time.Duration{0, time.Hour, -time.Hour, 40 * time.Second, -40 * time.Second} {
 		tc := newTestCluster(t, 2, serveHit, echoOrigin)
 		time.Sleep(20 * time.Millisecond)
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -45,8 +45,8 @@
 func (n *snapshotNode) currentSnapshot(t *testing.T) *snapshot.State {
 	t.Helper()
 	state, err := onLoop(n.Node, func(now float64) (*snapshot.State, error) {
-		var raw fleet.Snapshot
-		return n.takeSnapshot(now, n.snapshots.policy, n.snapshots.config, &raw), nil
+		var exported fleet.Snapshot
+		return n.takeSnapshot(now, n.snapshots.policy, n.snapshots.config, &exported), nil
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/node/transfer_test.go
+++ b/internal/node/transfer_test.go
@@ -27,7 +27,7 @@
 
 // The state for a successor has the address of the discovery service that sent the list. After a switch to another service that had not sent
 // a list yet, the state used to have the new address with the old revision, from which the successor then watched the new service.
-func TestStateNamesSourceOfList(t *testing.T) {
+func TestStateHasSourceOfEndpointList(t *testing.T) {
 	tc := newTestCluster(t, 1, serveHit, echoOrigin)
 	if state := tc.successorState(); state.DiscoveryAddr != tc.node.discovery.Addr || state.Endpoints.Revision != 1 {
 		t.Errorf("revision %d of %q", state.Endpoints.Revision, state.DiscoveryAddr)
