--- a/internal/cluster/rollingrestart/plan.go
+++ b/internal/cluster/rollingrestart/plan.go
@@ -47,7 +47,7 @@
 	}
 	for i, s := range servers {
 		if s == "" || slices.Contains(servers[:i], s) {
-			return nil, fmt.Errorf("server %q is empty or listed twice", s)
+			return nil, fmt.Errorf("%q stands there twice, or is no server", s)
 		}
 	}
 	return &Plan{Pending: servers, MaxUnavailable: maxUnavailable}, nil
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -162,7 +162,7 @@
 		CachedList:   c.CachedList,
 		Deployment:   c.Deployment,
 		MemoryMB:     c.Limits.MemoryMB,
-		Descriptors:  c.Limits.Sockets,
+		MaxDescriptors:  c.Limits.Sockets,
 		AdminEnabled: c.Admin != "",
 		PeerListen:   c.PeerListen,
 		Peers:        c.Peers,
