--- a/internal/controlplane/config/config.go
+++ b/internal/controlplane/config/config.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/controlplane/stream"
 )
 
-// File is the content of the operator file, with defaults for what it leaves out.
+// File is the content of the operator file, with defaults for the fields that the file does not set.
 type File struct {
 	Listen         string                 `toml:"listen"`
 	Cluster        string                 `toml:"cluster"`
@@ -26,11 +26,11 @@
 	Log            *operatorfile.Log      `toml:"log"`
 	Snapshot       *operatorfile.Snapshot `toml:"snapshot"`
 
-	// Deprecated lists the old names that the file uses.
+	// Deprecated lists the deprecated names that the file uses.
 	Deprecated []tomlfile.Deprecation `toml:"-"`
 }
 
-// Streams bounds what proxies may use of the control plane.
+// Streams limits the resources of the control plane that proxies may use.
 type Streams struct {
 	Max              int               `toml:"max"`
 	MaxConnections   int               `toml:"max_connections"`
@@ -40,7 +40,7 @@
 	AckTimeout       tomlfile.Duration `toml:"ack_timeout"`
 }
 
-// LoadReports says which load reports count.
+// LoadReports sets which load reports of proxies are aggregated, and how often proxies send them.
 type LoadReports struct {
 	MinReporters int               `toml:"min_reporters"`
 	MaxAge       tomlfile.Duration `toml:"max_age"`
@@ -55,7 +55,7 @@
 	AllowedNames []string `toml:"allowed_names"`
 }
 
-// aliases returns the old names of fields, which are still read.
+// aliases returns the deprecated names of fields, which are still accepted.
 func aliases() []tomlfile.Alias {
 	return append(operatorfile.SnapshotAliases(), []tomlfile.Alias{
 		{Old: "gather", New: "batch_interval"},
@@ -76,7 +76,7 @@
 	}...)
 }
 
-// Defaults of the file.
+// Default values of the file's fields.
 const (
 	defaultListen           = "127.0.0.1:18000"
 	defaultCluster          = "mintspring"
@@ -94,18 +94,19 @@
 )
 
 const (
-	// maxLease is the longest lease. The control plane promises that a proxy which misses an update begins no new request at a
-	// draining server after 500 ms; a fifth of that is left for applying the drain and for the proxy to look at its clock late.
+	// maxLease is the longest lease. The control plane guarantees that a proxy which misses an update starts no new request at a
+	// draining server more than 500 ms after the drain. A fifth of that is reserved for applying the drain and for proxies that check
+	// the lease late.
 	maxLease = 400 * time.Millisecond
 
 	minLease       = 100 * time.Millisecond // the interval at which proxies request leases
 	minEndpointTTL = 100 * time.Millisecond
 
-	// maxNameBytes bounds each name that a proxy subscribes to.
+	// maxNameBytes limits the length of each resource name that a proxy subscribes to.
 	maxNameBytes = 256
 )
 
-// Read reads and validates a file, and fills in the defaults. An empty name stands for no file.
+// Read reads a file, fills in the defaults and validates the result. With an empty name it returns the defaults.
 func Read(name string) (*File, error) {
 	f := &File{}
 	if name == "" {
@@ -148,7 +149,7 @@
 	}
 }
 
-// ServerConfig returns the configuration of the server.
+// ServerConfig returns the configuration of the xDS server.
 func (f *File) ServerConfig() server.Config {
 	return server.Config{
 		StreamLimits: stream.Limits{
@@ -166,7 +167,7 @@
 	}
 }
 
-// LoadReportConfig returns which load reports count.
+// LoadReportConfig returns the configuration of the load report aggregation.
 func (f *File) LoadReportConfig() loadreport.Config {
 	return loadreport.Config{
 		MinReporters: f.LoadReports.MinReporters,
--- a/internal/controlplane/config/config_test.go
+++ b/internal/controlplane/config/config_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// readText reads a file with a text.
+// readText writes a text to a file and reads it as an operator file.
 func readText(t *testing.T, text string) (*File, error) {
 	t.Helper()
 	file := filepath.Join(t.TempDir(), "control.toml")
@@ -19,10 +19,11 @@
 	return Read(file)
 }
 
-// TestErrors checks that each error is one line with the file, the line and the field, also where the file uses old names.
+// TestErrors checks that each error is one line with the file, the line and the field's current name, also if the file uses deprecated
+// names.
 func TestErrors(t *testing.T) {
 	for text, want := range map[string]string{
-		"listen = \"0.0.0.0:1\"":                      ":1: listen: \"0.0.0.0:1\" is no loopback address",
+		"listen = \"0.0.0.0:1\"":                      ":1: listen: \"0.0.0.0:1\" is not a loopback address",
 		"listen = \"here\"":                           ":1: listen:",
 		"cluster = \"a/b\"":                           ":1: cluster:",
 		"lease = \"450ms\"":                           ":1: lease: 450ms is over 400ms",
@@ -54,8 +55,9 @@
 	}
 }
 
-// TestOldNames checks that a file with all old names reads as the same file with the new ones, and lists each of the old ones.
-func TestOldNames(t *testing.T) {
+// TestDeprecatedNames checks that a file with all deprecated names is read like one with the current names, and that Read lists each
+// deprecated name.
+func TestDeprecatedNames(t *testing.T) {
 	old, err := readText(t, `gather = "50ms"
 ttl = "2s"
 plain_anywhere = true
@@ -103,12 +105,12 @@
 	}
 	old.Deprecated = nil
 	if !reflect.DeepEqual(old, current) {
-		t.Errorf("old names read as %+v, new ones as %+v", old, current)
+		t.Errorf("deprecated names read as %+v, current ones as %+v", old, current)
 	}
 }
 
-// deployedFields returns the file in deploy, and the same with its comments taken as fields up to the section [tls], whose files do not
-// exist.
+// deployedFields reads the file in deploy twice: as it is, and with the fields in its comments uncommented. The second result ends before
+// the section [tls], whose certificate files do not exist.
 func deployedFields(t *testing.T) (file, fields *File) {
 	t.Helper()
 	const name = "../../../deploy/control.toml"
@@ -137,7 +139,7 @@
 	return file, fields
 }
 
-// TestDeployedFile checks that the file in deploy changes nothing, and that its comments are the defaults, by the present names.
+// TestDeployedFile checks that the file in deploy changes no default, and that its comments show the defaults under the current names.
 func TestDeployedFile(t *testing.T) {
 	defaults, err := Read("")
 	if err != nil {
@@ -149,7 +151,7 @@
 		t.Errorf("%+v, defaults %+v", fields, defaults)
 	}
 	if len(fields.Deprecated) > 0 {
-		t.Errorf("old names: %v", fields.Deprecated)
+		t.Errorf("deprecated names: %v", fields.Deprecated)
 	}
 	if defaults.Lease.Duration() != 400*time.Millisecond {
 		t.Errorf("lease %v", defaults.Lease.Duration())
--- a/internal/controlplane/config/validate.go
+++ b/internal/controlplane/config/validate.go
@@ -7,7 +7,7 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// validate returns the first error of the file.
+// validate returns the first error found in the file.
 func (f *File) validate(source *tomlfile.File) error {
 	for _, check := range []func(*tomlfile.File) error{
 		f.validateListen,
@@ -31,10 +31,10 @@
 	}
 	ip := net.ParseIP(host)
 	if loopback := ip != nil && ip.IsLoopback(); !loopback && f.TLS == nil && !f.AllowPlaintext {
-		return source.FieldErrorf("listen", "%q is no loopback address: without [tls] it wants allow_plaintext = true", f.Listen)
+		return source.FieldErrorf("listen", "%q is not a loopback address: set [tls] or allow_plaintext = true", f.Listen)
 	}
 	if strings.ContainsAny(f.Cluster, "/*") {
-		return source.FieldErrorf("cluster", "%q holds / or *", f.Cluster)
+		return source.FieldErrorf("cluster", "%q contains / or *", f.Cluster)
 	}
 	return nil
 }
@@ -43,9 +43,9 @@
 	lease, ttl := f.Lease.Duration(), f.EndpointTTL.Duration()
 	switch {
 	case lease > maxLease:
-		return source.FieldErrorf("lease", "%v is over %v, too long for the promise for drains", lease, maxLease)
+		return source.FieldErrorf("lease", "%v is over %v, too long for the drain guarantee", lease, maxLease)
 	case lease > 0 && lease < minLease:
-		return source.FieldErrorf("lease", "%v is below %v, at which proxies request leases", lease, minLease)
+		return source.FieldErrorf("lease", "%v is below %v, the interval at which proxies request leases", lease, minLease)
 	case ttl > 0 && ttl < minEndpointTTL:
 		return source.FieldErrorf("endpoint_ttl", "%v is below %v", ttl, minEndpointTTL)
 	}
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// validate returns the first error of the section; a nil section is valid.
+// validate returns the first error found in the [tls] section. A nil section is valid.
 func (t *TLS) validate(source *tomlfile.File) error {
 	if t == nil {
 		return nil
--- a/internal/controlplane/loadreport/loadreport.go
+++ b/internal/controlplane/loadreport/loadreport.go
@@ -1,6 +1,6 @@
-// Package loadreport combines what many proxies report of a server into one load report. It does no I/O.
+// Package loadreport aggregates the load reports that many proxies send about a server into one. It does no I/O.
 //
-// The decision module adjusts ring points by these reports, so a faulty proxy must adjust nothing, whatever number of responses it
+// The decision module adjusts ring points by the aggregates, so a single faulty proxy must not change them, however many responses it
 // claims.
 package loadreport
 
@@ -12,40 +12,40 @@
 	"mintspring/internal/fleet"
 )
 
-// Report is what one proxy reports of one server. Figures that it does not state are NaN.
+// Report holds the load metrics of one server as one proxy reports them. A metric that the proxy does not report is NaN.
 type Report struct {
 	Utilization float64 // 0 to 1
-	QueueLength float64 // requests that wait
-	HitRate     float64 // fraction of reads that find their value, 0 to 1
-	Responses   float64 // that the proxy got from the server since its last report
+	QueueLength float64 // waiting requests
+	HitRate     float64 // hits as a fraction of all reads, 0 to 1
+	Responses   float64 // responses from the server to this proxy since the proxy's previous report
 }
 
-// maxQueueLength is the largest queue length that a report may state.
+// maxQueueLength is the largest queue length that a valid report may contain.
 const maxQueueLength = 1e6
 
-// valid reports whether all figures stated are in range and rest on a response.
+// valid reports whether the report is based on at least one response and every reported metric is in range.
 func (r *Report) valid() bool {
 	return r.Responses > 0 && inRange(r.Utilization, 1) && inRange(r.QueueLength, maxQueueLength) && inRange(r.HitRate, 1)
 }
 
-// inRange reports whether a figure is not stated, or between 0 and a limit.
-func inRange(figure, limit float64) bool { return math.IsNaN(figure) || figure >= 0 && figure <= limit }
+// inRange reports whether a metric is unreported (NaN) or between 0 and a limit.
+func inRange(value, limit float64) bool { return math.IsNaN(value) || value >= 0 && value <= limit }
 
-// Config says which reports count.
+// Config sets which reports are aggregated.
 type Config struct {
-	MinReporters int     // proxies that have to agree; with 1 a single one is believed
-	MaxAgeMs     float64 // after which a report is dropped
-	MaxProxies   int     // whose reports of one server are kept
+	MinReporters int     // proxies that an aggregate needs; with 1 a single proxy is trusted
+	MaxAgeMs     float64 // reports older than this are dropped
+	MaxProxies   int     // limit on the proxies whose reports on one server are kept
 }
 
-// Aggregator keeps the last report of each proxy of each server. It is not safe for concurrent use. Times are milliseconds of any
-// one clock.
+// Aggregator keeps the latest report of each proxy on each server. It is not safe for concurrent use. Times are milliseconds; all of
+// them must come from the same clock.
 type Aggregator struct {
 	config  Config
-	servers map[string]proxyReports // by server
+	servers map[string]proxyReports // by server ID
 }
 
-// proxyReports are the reports of one server by proxy.
+// proxyReports holds the reports on one server, by proxy.
 type proxyReports map[string]receivedReport
 
 type receivedReport struct {
@@ -58,8 +58,8 @@
 	return &Aggregator{config: config, servers: map[string]proxyReports{}}
 }
 
-// Add keeps a report, in place of the proxy's last one of the server. It reports false for one that is out of range, or from one proxy
-// more than are kept.
+// Add stores a proxy's report on a server, replacing that proxy's previous one. It returns false if the report is invalid, or if the
+// server already has fresh reports of MaxProxies other proxies.
 func (a *Aggregator) Add(now float64, proxy, server string, report Report) bool {
 	if !report.valid() {
 		return false
@@ -79,54 +79,55 @@
 	return true
 }
 
-// Retain drops the reports of all servers but those that a function accepts.
-func (a *Aggregator) Retain(listed func(server string) bool) {
-	maps.DeleteFunc(a.servers, func(server string, _ proxyReports) bool { return !listed(server) })
+// Retain drops the reports on every server for which keep returns false.
+func (a *Aggregator) Retain(keep func(server string) bool) {
+	maps.DeleteFunc(a.servers, func(server string, _ proxyReports) bool { return !keep(server) })
 }
 
 func (a *Aggregator) evictStale(now float64, reports proxyReports) {
 	maps.DeleteFunc(reports, func(_ string, r receivedReport) bool { return now-r.receivedAtMs > a.config.MaxAgeMs })
 }
 
-// figure is one figure of a report.
-type figure struct {
-	of     func(*Report) float64
+// metric defines how one metric of the reports is read, compared and stored in the aggregate.
+type metric struct {
+	value  func(*Report) float64
 	set    func(*fleet.LoadReport, float64)
-	maxGap func(larger float64) float64 // between two proxies that agree
+	maxGap func(larger float64) float64 // largest difference at which two values agree, given the larger one
 }
 
-// maxRatioGap and maxQueueGap are how far apart the figures of two proxies that agree may be. Two alone cannot outvote each other.
+// Largest differences at which two values agree. They apply when only two proxies report a metric, since neither can outvote the other.
 const (
 	maxRatioGap = 0.2
-	maxQueueGap = 3.0 // or half of the larger one
+	maxQueueGap = 3.0 // requests; half of the larger value if that is more
 )
 
 func ratioGap(float64) float64        { return maxRatioGap }
 func queueGap(larger float64) float64 { return max(maxQueueGap, larger/2) }
 
-var figures = []figure{
+var metrics = []metric{
 	{
-		of:     func(r *Report) float64 { return r.Utilization },
+		value:  func(r *Report) float64 { return r.Utilization },
 		set:    func(r *fleet.LoadReport, value float64) { r.Util = value },
 		maxGap: ratioGap,
 	},
 	{
-		of:     func(r *Report) float64 { return r.QueueLength },
+		value:  func(r *Report) float64 { return r.QueueLength },
 		set:    func(r *fleet.LoadReport, value float64) { r.Queue = value },
 		maxGap: queueGap,
 	},
 	{
-		of:     func(r *Report) float64 { return r.HitRate },
+		value:  func(r *Report) float64 { return r.HitRate },
 		set:    func(r *fleet.LoadReport, value float64) { r.HitRatio = value },
 		maxGap: ratioGap,
 	},
 }
 
-// Aggregate returns the load report of a server that its proxies agree on, if there is one.
+// Aggregate returns the load report of a server that its proxies agree on. It returns false if they do not agree or too few report.
 //
-// Each proxy has one vote, however many responses it claims: the median of three or more cannot be moved out of the honest proxies'
-// range by fewer than half of them, and two have to agree. A figure that at least half of the proxies state and do not agree on
-// invalidates the others too: the decision module adds them up, and without one of them a server would look less or more loaded.
+// Each proxy has one vote, however many responses it claims. The median of three or more values stays within the range of the honest
+// proxies as long as fewer than half are faulty; two values have to agree. A metric that at least half of the proxies report but on
+// which they disagree invalidates the entire aggregate: the decision module adds the metrics up, so that a missing one would make the
+// server look less or more loaded than it is.
 func (a *Aggregator) Aggregate(now float64, server string) (aggregate fleet.LoadReport, ok bool) {
 	reports := a.servers[server]
 	a.evictStale(now, reports)
@@ -134,25 +135,25 @@
 	if len(reports) < max(1, a.config.MinReporters) {
 		return aggregate, false
 	}
-	for i := range figures {
-		values := reports.stated(&figures[i])
+	for i := range metrics {
+		values := reports.reportedValues(&metrics[i])
 		if 2*len(values) < len(reports) {
 			continue
 		}
-		if len(values) < a.config.MinReporters || len(values) == 2 && values[1]-values[0] > figures[i].maxGap(values[1]) {
+		if len(values) < a.config.MinReporters || len(values) == 2 && values[1]-values[0] > metrics[i].maxGap(values[1]) {
 			return fleet.NewLoadReport(), false
 		}
-		figures[i].set(&aggregate, median(values))
+		metrics[i].set(&aggregate, median(values))
 		aggregate.Present = true
 	}
 	return aggregate, aggregate.Present
 }
 
-// stated returns the values that proxies state of a figure, in ascending order.
-func (p proxyReports) stated(f *figure) []float64 {
+// reportedValues returns the reported values of a metric in ascending order.
+func (p proxyReports) reportedValues(m *metric) []float64 {
 	var values []float64
 	for _, r := range p {
-		if value := f.of(&r.Report); !math.IsNaN(value) {
+		if value := m.value(&r.Report); !math.IsNaN(value) {
 			values = append(values, value)
 		}
 	}
--- a/internal/controlplane/loadreport/loadreport_test.go
+++ b/internal/controlplane/loadreport/loadreport_test.go
@@ -6,56 +6,56 @@
 	"testing"
 )
 
-// none is a figure that is not stated.
-var none = math.NaN()
+// unreported is the value of a metric that the proxy does not report.
+var unreported = math.NaN()
 
-// TestAggregate checks the aggregate of one server from the reports of its proxies.
+// TestAggregate checks which reports on one server are aggregated, and their aggregate.
 func TestAggregate(t *testing.T) {
-	for _, c := range []struct {
+	for _, test := range []struct {
 		name        string
 		reports     []Report
 		utilization float64 // NaN: no aggregate
 	}{
-		{"no report", nil, none},
-		{"one alone", []Report{{0.9, 1, none, 5}}, none},
-		{"two that agree", []Report{{0.5, 1, none, 5}, {0.6, 2, none, 5}}, 0.55},
-		{"two that disagree", []Report{{0.1, 1, none, 5}, {0.9, 1, none, 5}}, none},
-		{"two that disagree on another figure", []Report{{0.5, 1, none, 5}, {0.5, 90, none, 5}}, none},
-		{"median of three", []Report{{0.5, 1, none, 5}, {0.6, 1, none, 5}, {1, 1, none, 1e9}}, 0.6},
-		{"median of four", []Report{{0.4, 1, none, 5}, {0.5, 1, none, 5}, {0.7, 1, none, 1}, {0, 1, none, 1}}, 0.45},
-		{"one of three states more", []Report{{0.5, 1, none, 5}, {0.6, 1, none, 5}, {0.6, 1, 0.1, 5}}, 0.6},
-		{"one of two states more", []Report{{0.5, 1, none, 5}, {0.5, 1, 0.1, 5}}, none},
-		{"no responses", []Report{{0.5, 1, none, 0}, {0.5, 1, none, 0}}, none},
-		{"no figure", []Report{{none, none, none, 5}, {none, none, none, 5}}, none},
-		{"out of bounds", []Report{{1.5, 1, none, 5}, {-1, 1, none, 5}, {0.5, math.Inf(1), none, 5}}, none},
+		{"no report", nil, unreported},
+		{"single report", []Report{{0.9, 1, unreported, 5}}, unreported},
+		{"two that agree", []Report{{0.5, 1, unreported, 5}, {0.6, 2, unreported, 5}}, 0.55},
+		{"two that disagree", []Report{{0.1, 1, unreported, 5}, {0.9, 1, unreported, 5}}, unreported},
+		{"two that disagree on another metric", []Report{{0.5, 1, unreported, 5}, {0.5, 90, unreported, 5}}, unreported},
+		{"median of three", []Report{{0.5, 1, unreported, 5}, {0.6, 1, unreported, 5}, {1, 1, unreported, 1e9}}, 0.6},
+		{"median of four", []Report{{0.4, 1, unreported, 5}, {0.5, 1, unreported, 5}, {0.7, 1, unreported, 1}, {0, 1, unreported, 1}}, 0.45},
+		{"one of three reports one more metric", []Report{{0.5, 1, unreported, 5}, {0.6, 1, unreported, 5}, {0.6, 1, 0.1, 5}}, 0.6},
+		{"one of two reports one more metric", []Report{{0.5, 1, unreported, 5}, {0.5, 1, 0.1, 5}}, unreported},
+		{"no responses", []Report{{0.5, 1, unreported, 0}, {0.5, 1, unreported, 0}}, unreported},
+		{"no metric", []Report{{unreported, unreported, unreported, 5}, {unreported, unreported, unreported, 5}}, unreported},
+		{"out of range", []Report{{1.5, 1, unreported, 5}, {-1, 1, unreported, 5}, {0.5, math.Inf(1), unreported, 5}}, unreported},
 	} {
 		a := New(Config{MinReporters: 2, MaxAgeMs: 1000, MaxProxies: 10})
-		for i, x := range c.reports {
-			a.Add(0, fmt.Sprint("p", i), "s", x)
+		for i, report := range test.reports {
+			a.Add(0, fmt.Sprint("p", i), "s", report)
 		}
 		aggregate, ok := a.Aggregate(10, "s")
-		if ok == math.IsNaN(c.utilization) || ok && math.Abs(aggregate.Util-c.utilization) > 1e-9 {
-			t.Errorf("%s: %v, %v", c.name, aggregate.Util, ok)
+		if ok == math.IsNaN(test.utilization) || ok && math.Abs(aggregate.Util-test.utilization) > 1e-9 {
+			t.Errorf("%s: %v, %v", test.name, aggregate.Util, ok)
 		}
 	}
 }
 
-// TestReportsAreDropped checks that reports which are stale, from more proxies than are kept, or of a server that is gone do not count.
+// TestReportsAreDropped checks that stale reports, reports of more than MaxProxies proxies and reports on removed servers are dropped.
 func TestReportsAreDropped(t *testing.T) {
 	a := New(Config{MinReporters: 2, MaxAgeMs: 1000, MaxProxies: 3})
 	for i := range 5 {
-		if kept := a.Add(float64(i), fmt.Sprint("p", i), "s", Report{0.5, 1, none, 1}); kept != (i < 3) {
+		if kept := a.Add(float64(i), fmt.Sprint("p", i), "s", Report{0.5, 1, unreported, 1}); kept != (i < 3) {
 			t.Errorf("proxy %d: %v", i, kept)
 		}
 	}
 	if _, ok := a.Aggregate(1001.5, "s"); ok {
-		t.Error("an aggregate of one fresh report, where two are needed")
+		t.Error("aggregate of one fresh report, want two reports to be required")
 	}
-	if !a.Add(1002, "p9", "s", Report{0.5, 1, none, 1}) {
-		t.Error("stale reports keep others out")
+	if !a.Add(1002, "p9", "s", Report{0.5, 1, unreported, 1}) {
+		t.Error("report rejected although the stored ones are stale")
 	}
 	a.Retain(func(string) bool { return false })
 	if len(a.servers) > 0 {
-		t.Error("a server that is gone is kept")
+		t.Error("reports on a removed server are kept")
 	}
 }
--- a/internal/controlplane/ringcache/golden_test.go
+++ b/internal/controlplane/ringcache/golden_test.go
@@ -13,7 +13,8 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// TestGolden reads the parts and the lease that an earlier build wrote: the same ring, digest, versions and owners follow.
+// TestGolden decodes ring parts that an earlier build encoded, and checks that the ring, digest, versions, owners and lease equal those of
+// that build.
 func TestGolden(t *testing.T) {
 	parts := map[string][]byte{}
 	for _, name := range []string{"head", "near/0000", "servers/0000", "whole/0000"} {
@@ -44,7 +45,7 @@
 	got += fmt.Sprintf("live %v %v list age %.0f\n", c.Usable(1399.9), c.Usable(1400), c.ListAgeMs())
 	want := goldentest.Read(t, "ring.txt")
 	if got != string(want) {
-		t.Errorf("the ring reads as\n%s\nwant\n%s", got, want)
+		t.Errorf("the ring is decoded as\n%s\nwant\n%s", got, want)
 	}
 	if version != (snapshot.Version{Epoch: 1_700_000_000_123, Sequence: 42}) {
 		t.Errorf("snapshot %v", version)
--- a/internal/controlplane/ringcache/lease.go
+++ b/internal/controlplane/ringcache/lease.go
@@ -5,26 +5,26 @@
 	"mintspring/internal/controlplane/wire"
 )
 
-// maxLeaseRequests is how many lease requests are remembered. With a request each quarter of a lease's duration, the answer to an
-// older one would be too late.
+// maxLeaseRequests limits the remembered lease requests. Proxies send a request every quarter of a lease's duration, so that a lease
+// granted for an older request has already ended.
 const maxLeaseRequests = 8
 
-// leaseRequest is a request that was sent.
+// leaseRequest is a lease request that the proxy has sent.
 type leaseRequest struct {
 	name     string
 	sentAtMs float64
 }
 
-// lease is the right to use snapshots for new requests for a time. Times are milliseconds of the proxy's own clock.
+// lease is a time-limited right to use snapshots for new requests. Times are milliseconds of the proxy's own clock.
 type lease struct {
-	requests    []leaseRequest // sent, the oldest first
+	requests    []leaseRequest // the last ones sent, oldest first
 	endMs       float64
 	epoch       uint64
 	minSequence uint64 // the oldest usable sequence of the epoch
 	listAgeMs   float64
 }
 
-// RecordLeaseRequest notes a lease request that is sent now, by the proxy's own clock in milliseconds.
+// RecordLeaseRequest records that a lease request is sent now. The time is in milliseconds of the proxy's own clock.
 func (c *Cache) RecordLeaseRequest(now float64, name string) {
 	l := &c.lease
 	l.requests = append(l.requests, leaseRequest{name: name, sentAtMs: now})
@@ -33,8 +33,8 @@
 	}
 }
 
-// ApplyLease applies a lease from the control plane. It counts from when its request was sent: however long the answer was on its way,
-// the control plane granted it after that. A lease that was not requested is ignored.
+// ApplyLease applies a lease from the control plane. The lease's duration starts when the proxy sent the request, which is before the
+// control plane granted the lease, however long the response took. A lease that matches no remembered request is ignored.
 func (c *Cache) ApplyLease(granted *wire.Lease) {
 	l := &c.lease
 	for _, request := range l.requests {
@@ -49,10 +49,11 @@
 	}
 }
 
-// ListAgeMs returns how long ago discovery was last heard when the last lease was granted, in milliseconds.
+// ListAgeMs returns the age of the control plane's endpoint list when it granted the current lease: the milliseconds since it last
+// received data from the discovery service.
 func (c *Cache) ListAgeMs() float64 { return c.lease.listAgeMs }
 
-// covers reports whether a snapshot may be used now.
+// covers reports whether the lease allows the use of a snapshot now.
 func (l *lease) covers(now float64, version snapshot.Version) bool {
 	return now < l.endMs && version.Epoch == l.epoch && version.Sequence >= l.minSequence
 }
--- a/internal/controlplane/snapshot/builder.go
+++ b/internal/controlplane/snapshot/builder.go
@@ -9,17 +9,17 @@
 	"google.golang.org/protobuf/types/known/anypb"
 )
 
-// marshalOptions makes equal messages equal bytes.
+// marshalOptions encodes equal messages as equal bytes.
 var marshalOptions = proto.MarshalOptions{Deterministic: true}
 
-// Builder builds the snapshots of one zone, one after the other. The zero value is ready for the first one.
+// Builder builds the successive snapshots of one zone. The zero value is ready for use.
 type Builder struct {
 	previous map[TypeURL]*ResourceSet
 }
 
-// Build returns the next snapshot. On an error, when a resource cannot be encoded, the Builder is as before.
+// Build returns the next snapshot. It returns an error if a resource cannot be encoded; the Builder is then unchanged.
 func (b *Builder) Build(version Version, minSequence uint64, input *Input) (*Snapshot, error) {
-	ring, err := newRing(version, minSequence, input)
+	parts, err := newRingParts(version, minSequence, input)
 	if err != nil {
 		return nil, err
 	}
@@ -34,14 +34,14 @@
 	resources := map[TypeURL]*ResourceSet{
 		ClusterType:  b.newResourceSet(ClusterType, version, []Resource{cluster}),
 		EndpointType: b.newResourceSet(EndpointType, version, []Resource{endpoints}),
-		RingPartType: b.newResourceSet(RingPartType, version, ring.parts),
+		RingPartType: b.newResourceSet(RingPartType, version, parts.resources),
 	}
 	b.previous = resources
-	return &Snapshot{Version: version, MinSequence: minSequence, Digest: ring.digest, resources: resources}, nil
+	return &Snapshot{Version: version, MinSequence: minSequence, Digest: parts.digest, resources: resources}, nil
 }
 
-// newResourceSet returns a set of resources, which it sorts. Those equal to the previous set's are taken from there, and the set
-// keeps its version if all of them are.
+// newResourceSet sorts resources and returns them as a set. It replaces each resource that is equal to one of the previous set by that one.
+// If all resources are equal, the set keeps the previous version.
 func (b *Builder) newResourceSet(typeURL TypeURL, version Version, items []Resource) *ResourceSet {
 	sort.Slice(items, func(i, j int) bool { return items[i].Name < items[j].Name })
 	set := &ResourceSet{Version: version.String(), Items: items}
@@ -62,7 +62,7 @@
 	return set
 }
 
-// newResource encodes a resource. Its version follows from its content.
+// newResource encodes a resource. Its version is a hash of its content.
 func newResource(typeURL TypeURL, name string, message proto.Message) (Resource, error) {
 	body, err := marshalOptions.Marshal(message)
 	if err != nil {
--- a/internal/controlplane/snapshot/cluster.go
+++ b/internal/controlplane/snapshot/cluster.go
@@ -9,10 +9,12 @@
 	"google.golang.org/protobuf/types/known/durationpb"
 )
 
-// panicThresholdOff keeps proxies from sending to draining endpoints when few are healthy. Envoy's default threshold is 50%.
+// panicThresholdOff disables Envoy's panic mode, in which a proxy also sends to draining endpoints because too few are healthy. Envoy's
+// default threshold is 50%.
 var panicThresholdOff = &xtype.Percent{Value: 0}
 
-// newCluster returns the cluster for proxies that know weights only: endpoints over ADS, and Envoy's own ring hash by weights.
+// newCluster returns the cluster for proxies that use endpoint weights instead of the ring. They receive endpoints over ADS and apply
+// Envoy's own ring hash by weights.
 func newCluster(input *Input) *cluster.Cluster {
 	return &cluster.Cluster{
 		Name:                 input.Cluster,
@@ -26,7 +28,7 @@
 		},
 		ConnectTimeout: durationpb.New(time.Duration(input.ConnectTimeoutMs * float64(time.Millisecond))),
 		LbPolicy:       cluster.Cluster_RING_HASH,
-		// Locality weights stay off: a locality would be chosen before the key's place on the ring is looked at.
+		// Locality weights stay off: with them Envoy selects a locality before it looks up the key on the ring.
 		CommonLbConfig: &cluster.Cluster_CommonLbConfig{HealthyPanicThreshold: panicThresholdOff},
 	}
 }
--- a/internal/controlplane/snapshot/endpoints.go
+++ b/internal/controlplane/snapshot/endpoints.go
@@ -12,17 +12,17 @@
 	"mintspring/internal/fleet"
 )
 
-// totalWeight is the weight of the entire ring, spread over its servers by their arcs.
+// totalWeight is the weight of the entire ring. Each server gets a share of it in proportion to its arc.
 const totalWeight = 1 << 20
 
 // Priorities of localities.
 const (
 	ownZonePriority    = 0
-	otherZonesPriority = 1 // where the own zone has a ring
+	otherZonesPriority = 1 // used if the proxies' own zone has a ring
 )
 
-// newLoadAssignment returns the endpoints of all zones with weights close to their arcs. If the proxies' own zone has a ring, its
-// endpoints are weighed by that and all others have a lower priority, which is as far as weights can describe a zone's ring.
+// newLoadAssignment returns the endpoints of all zones, weighted by their arcs. If the proxies' own zone has a ring, the endpoints in that
+// zone are weighted by their arcs on it and all others have a lower priority. Weights cannot describe a zone's ring more closely.
 func newLoadAssignment(input *Input) *endpoint.ClusterLoadAssignment {
 	ringWeights := endpointWeights(input.Ring)
 	zoneWeights := endpointWeights(input.ZoneRing)
@@ -49,7 +49,7 @@
 	return assignment
 }
 
-// localityEndpoints returns the endpoints of one zone. Those of zones that are not configured belong to the empty one.
+// localityEndpoints returns the endpoints of one zone. Servers in zones that are not configured count as in the empty zone.
 func localityEndpoints(input *Input, zone string, weights map[fleet.ServerID]uint32) []*endpoint.LbEndpoint {
 	var endpoints []*endpoint.LbEndpoint
 	for i := range input.Servers {
@@ -68,7 +68,7 @@
 	return endpoints
 }
 
-// endpointWeights returns the arcs, of a server in slow start the part that it takes, as positive integers.
+// endpointWeights returns the weight of each server: its arc, or in slow start the part of its arc that it serves, as a positive integer.
 func endpointWeights(points []fleet.RingPoint) map[fleet.ServerID]uint32 {
 	weights := map[fleet.ServerID]uint32{}
 	limits := slowStartLimits(points)
@@ -82,7 +82,7 @@
 	return weights
 }
 
-// newLbEndpoint returns one endpoint, nil if proxies would have to resolve its address.
+// newLbEndpoint returns one endpoint, or nil if the server's address is not an IP address and a port.
 func newLbEndpoint(server *Server, weight uint32) *endpoint.LbEndpoint {
 	host, portText, err := net.SplitHostPort(server.Addr)
 	if err != nil || net.ParseIP(host) == nil {
--- a/internal/controlplane/snapshot/golden_test.go
+++ b/internal/controlplane/snapshot/golden_test.go
@@ -15,10 +15,11 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// goldenInput is a ring of 66 servers in two zones and none, so that servers and points need a second part: one server drains, one is in
-// slow start, one has an address that needs a lookup, and the first point lies before 0.
+// goldenInput returns a ring of 66 servers, so that servers and points fill more than one part. A third of the servers is in each of two
+// zones, the rest in none. One server is draining, one is in slow start, one has a host name as its address, and the first point has a
+// negative position.
 func goldenInput() *Input {
-	f := &Input{Cluster: "boxes", Zone: "b", Zones: []string{"a", "b"}, ZoneShare: 0.375, ConnectTimeoutMs: 250}
+	input := &Input{Cluster: "boxes", Zone: "b", Zones: []string{"a", "b"}, ZoneShare: 0.375, ConnectTimeoutMs: 250}
 	for i := range 66 {
 		s := Server{
 			Slot: fleet.ServerID(i), ID: fmt.Sprintf("s%d", i), Addr: fmt.Sprintf("127.0.0.1:%d", 1000+i),
@@ -33,33 +34,33 @@
 		case 8:
 			s.Addr = "cache.example:1"
 		}
-		f.Servers = append(f.Servers, s)
+		input.Servers = append(input.Servers, s)
 		if s.State != fleet.Ready {
 			continue
 		}
-		if f.Ring = append(f.Ring, p); s.Zone == "b" {
-			f.ZoneRing = append(f.ZoneRing, p)
+		if input.Ring = append(input.Ring, p); s.Zone == "b" {
+			input.ZoneRing = append(input.ZoneRing, p)
 		}
 	}
-	return f
+	return input
 }
 
-// TestGolden compares every resource of a snapshot with bytes written by an earlier build, and the versions by which proxies know them.
+// TestGolden compares every resource of a snapshot, and the versions that proxies are sent, with golden files of an earlier build.
 func TestGolden(t *testing.T) {
-	f := goldenInput()
-	var b Builder
-	v, err := b.Build(Version{Epoch: 1_700_000_000_123, Sequence: 42}, 40, f)
+	input := goldenInput()
+	var builder Builder
+	built, err := builder.Build(Version{Epoch: 1_700_000_000_123, Sequence: 42}, 40, input)
 	if err != nil {
 		t.Fatal(err)
 	}
-	index := fmt.Sprintf("view %v out %d digest %016x\n", v.Version, v.MinSequence, v.Digest)
-	for _, kind := range []TypeURL{ClusterType, EndpointType, RingPartType} {
-		set := v.Resources(kind)
-		index += fmt.Sprintf("set %s %s\n", kind, set.Version)
+	index := fmt.Sprintf("view %v out %d digest %016x\n", built.Version, built.MinSequence, built.Digest)
+	for _, typeURL := range []TypeURL{ClusterType, EndpointType, RingPartType} {
+		set := built.Resources(typeURL)
+		index += fmt.Sprintf("set %s %s\n", typeURL, set.Version)
 		for i := range set.Items {
 			r := &set.Items[i]
 			index += fmt.Sprintf("resource %s %s %016x %s\n", r.Name, r.Version, r.Digest, r.Body.TypeUrl)
-			want := goldentest.Read(t, goldenName(kind, r.Name))
+			want := goldentest.Read(t, goldenName(typeURL, r.Name))
 			if !bytes.Equal(r.Body.Value, want) {
 				t.Errorf("%s: encoded as %x, the file has %x", r.Name, r.Body.Value, want)
 			}
@@ -70,14 +71,14 @@
 	}
 }
 
-func goldenName(kind TypeURL, name string) string {
-	message := string(kind[strings.LastIndex(string(kind), ".")+1:])
+func goldenName(typeURL TypeURL, name string) string {
+	message := string(typeURL[strings.LastIndex(string(typeURL), ".")+1:])
 	return message + "-" + strings.ReplaceAll(name, "/", "-") + ".pb"
 }
 
-// TestGoldenDecodes reads the files of an earlier build back to the values that they were made of.
+// TestGoldenDecodes checks that the golden files are decoded to the values that they were encoded from.
 func TestGoldenDecodes(t *testing.T) {
-	f := goldenInput()
+	input := goldenInput()
 	var c cluster.Cluster
 	var a endpoint.ClusterLoadAssignment
 	for name, m := range map[string]proto.Message{"Cluster-boxes.pb": &c, "ClusterLoadAssignment-boxes.pb": &a} {
@@ -85,20 +86,20 @@
 			t.Fatalf("%s: %v", name, err)
 		}
 	}
-	if !proto.Equal(&c, newCluster(f)) || !proto.Equal(&a, newLoadAssignment(f)) {
+	if !proto.Equal(&c, newCluster(input)) || !proto.Equal(&a, newLoadAssignment(input)) {
 		t.Errorf("cluster %v, assignment %v", &c, &a)
 	}
-	h := goldenPart(t, "head").GetHead()
-	if h.Epoch != 1_700_000_000_123 || h.Number != 42 || h.Out != 40 || h.NearShare != f.ZoneShare || h.Zone != "b" || len(h.Parts) != 5 {
-		t.Errorf("head %v", h)
+	head := goldenPart(t, "head").GetHead()
+	if head.Epoch != 1_700_000_000_123 || head.Number != 42 || head.Out != 40 || head.NearShare != input.ZoneShare || head.Zone != "b" || len(head.Parts) != 5 {
+		t.Errorf("head %v", head)
 	}
-	checkGoldenServers(t, f.Servers)
-	for circle, points := range [][]fleet.RingPoint{ascendingPoints(f.Ring), ascendingPoints(f.ZoneRing)} {
+	checkGoldenServers(t, input.Servers)
+	for circle, points := range [][]fleet.RingPoint{ascendingPoints(input.Ring), ascendingPoints(input.ZoneRing)} {
 		checkGoldenPoints(t, wire.Circle(circle), points)
 	}
 }
 
-// goldenPart decodes the golden file of one part of the fleet.
+// goldenPart decodes the golden file of one ring part.
 func goldenPart(t *testing.T, name string) *wire.Part {
 	t.Helper()
 	var p wire.Part
@@ -108,18 +109,18 @@
 	return &p
 }
 
-// checkGoldenServers compares the servers of the golden parts with those of the fleet.
-func checkGoldenServers(t *testing.T, wanted []Server) {
+// checkGoldenServers compares the servers in the golden files with the given ones.
+func checkGoldenServers(t *testing.T, wantServers []Server) {
 	t.Helper()
 	var servers []*wire.Server
 	for i := range 2 {
 		servers = append(servers, goldenPart(t, fmt.Sprintf("servers-%04d", i)).GetServers().Servers...)
 	}
-	if len(servers) != len(wanted) {
+	if len(servers) != len(wantServers) {
 		t.Fatalf("%d servers", len(servers))
 	}
 	for i, s := range servers {
-		want := &wanted[i]
+		want := &wantServers[i]
 		if s.Place != uint32(want.Slot) || s.Id != want.ID || s.Address != want.Addr || s.Zone != want.Zone ||
 			s.State != wire.State(want.State) || s.Started != uint64(want.StartedAtMs) {
 			t.Errorf("server %v, want %v", s, want)
@@ -127,7 +128,7 @@
 	}
 }
 
-// checkGoldenPoints compares the points of the golden parts of a circle with those of the fleet.
+// checkGoldenPoints compares the points of one ring in the golden files with the given ones.
 func checkGoldenPoints(t *testing.T, circle wire.Circle, points []fleet.RingPoint) {
 	t.Helper()
 	var decoded []*wire.Point
@@ -141,9 +142,9 @@
 	if len(decoded) != len(points) {
 		t.Fatalf("%d points, want %d", len(decoded), len(points))
 	}
-	for i, x := range decoded {
-		if x.Place != uint32(points[i].ID) || x.At != points[i].Position || (x.Part > 0) != (points[i].ID == 7) {
-			t.Errorf("point %v, want %v", x, points[i])
+	for i, point := range decoded {
+		if point.Place != uint32(points[i].ID) || point.At != points[i].Position || (point.Part > 0) != (points[i].ID == 7) {
+			t.Errorf("point %v, want %v", point, points[i])
 		}
 	}
 }
--- a/internal/controlplane/snapshot/ring.go
+++ b/internal/controlplane/snapshot/ring.go
@@ -12,18 +12,19 @@
 )
 
 const (
-	// entriesPerPart is how many servers or points go into one part. An adjustment changes one point: an incremental proxy fetches one
-	// part of this size, and a head that names one part for each so many entries.
+	// entriesPerPart is the number of servers or points in one part. After an adjustment of one point, an incremental proxy fetches one
+	// part of this size and the head. Smaller parts make the head longer, since it lists all of them.
 	entriesPerPart = 64
 
-	// slowStartSteps is in how many steps the share of a server in slow start grows: each is a new snapshot for every proxy.
+	// slowStartSteps is the number of steps in which the ring share of a server in slow start grows. Each step is a new snapshot for every
+	// proxy.
 	slowStartSteps = 32
 )
 
-// ServersPart is the kind, in part names, of parts with servers.
+// ServersPart is the kind of the parts that hold servers, as it appears in part names.
 const ServersPart = "servers"
 
-// PointsPart returns the kind, in part names, of parts with the points of a ring.
+// PointsPart returns the kind of the parts that hold the points of a ring, as it appears in part names.
 func PointsPart(circle wire.Circle) string { return strings.ToLower(circle.String()) }
 
 // PartName returns the name of a part.
@@ -31,21 +32,21 @@
 	return fmt.Sprintf("%s/%s/%04d", cluster, kind, index)
 }
 
-// HeadName returns the name of the head: the part that lists all others of a snapshot, with their digests.
+// HeadName returns the name of the head, the part that lists all other parts of a snapshot with their digests.
 func HeadName(cluster string) string { return cluster + "/head" }
 
-// ring holds the ring parts of a snapshot while they are built.
-type ring struct {
-	cluster string
-	parts   []Resource
-	head    *wire.Head
-	hash    *xxhash.Digest
-	digest  uint64
+// ringParts collects the ring parts of a snapshot while it is built.
+type ringParts struct {
+	cluster   string
+	resources []Resource
+	head      *wire.Head
+	hash      *xxhash.Digest
+	digest    uint64
 }
 
-// newRing builds the ring parts of a snapshot, the head last.
-func newRing(version Version, minSequence uint64, input *Input) (*ring, error) {
-	r := &ring{
+// newRingParts builds the ring parts of a snapshot, the head last.
+func newRingParts(version Version, minSequence uint64, input *Input) (*ringParts, error) {
+	p := &ringParts{
 		cluster: input.Cluster,
 		hash:    xxhash.New(),
 		head: &wire.Head{
@@ -56,39 +57,39 @@
 			Zone:      input.Zone,
 		},
 	}
-	if err := r.addServers(input.Servers); err != nil {
+	if err := p.addServers(input.Servers); err != nil {
 		return nil, err
 	}
-	if err := r.addPoints(wire.Circle_WHOLE, input.Ring); err != nil {
+	if err := p.addPoints(wire.Circle_WHOLE, input.Ring); err != nil {
 		return nil, err
 	}
-	if err := r.addPoints(wire.Circle_NEAR, input.ZoneRing); err != nil {
+	if err := p.addPoints(wire.Circle_NEAR, input.ZoneRing); err != nil {
 		return nil, err
 	}
-	fmt.Fprintf(r.hash, "%x\n", input.ZoneShare) //nolint:errcheck // a hash never fails to write
-	r.digest = r.hash.Sum64()
-	head, err := newResource(RingPartType, HeadName(input.Cluster), &wire.Part{Kind: &wire.Part_Head{Head: r.head}})
+	fmt.Fprintf(p.hash, "%x\n", input.ZoneShare) //nolint:errcheck // a hash never fails to write
+	p.digest = p.hash.Sum64()
+	head, err := newResource(RingPartType, HeadName(input.Cluster), &wire.Part{Kind: &wire.Part_Head{Head: p.head}})
 	if err != nil {
 		return nil, err
 	}
 	head.Version = version.String()
-	r.parts = append(r.parts, head)
-	return r, nil
+	p.resources = append(p.resources, head)
+	return p, nil
 }
 
-// add encodes a part and lists it in the head.
-func (r *ring) add(kind string, index int, part *wire.Part) error {
-	resource, err := newResource(RingPartType, PartName(r.cluster, kind, index), part)
+// addPart encodes a part and lists it in the head.
+func (p *ringParts) addPart(kind string, index int, part *wire.Part) error {
+	resource, err := newResource(RingPartType, PartName(p.cluster, kind, index), part)
 	if err != nil {
 		return err
 	}
-	r.parts = append(r.parts, resource)
-	r.head.Parts = append(r.head.Parts, &wire.Digest{Name: resource.Name, Digest: resource.Digest})
-	fmt.Fprintf(r.hash, "%s %016x\n", resource.Name, resource.Digest) //nolint:errcheck // a hash never fails to write
+	p.resources = append(p.resources, resource)
+	p.head.Parts = append(p.head.Parts, &wire.Digest{Name: resource.Name, Digest: resource.Digest})
+	fmt.Fprintf(p.hash, "%s %016x\n", resource.Name, resource.Digest) //nolint:errcheck // a hash never fails to write
 	return nil
 }
 
-func (r *ring) addServers(servers []Server) error {
+func (p *ringParts) addServers(servers []Server) error {
 	index := 0
 	for chunk := range slices.Chunk(servers, entriesPerPart) {
 		part := &wire.Servers{}
@@ -103,7 +104,7 @@
 				Started: uint64(server.StartedAtMs),
 			})
 		}
-		if err := r.add(ServersPart, index, &wire.Part{Kind: &wire.Part_Servers{Servers: part}}); err != nil {
+		if err := p.addPart(ServersPart, index, &wire.Part{Kind: &wire.Part_Servers{Servers: part}}); err != nil {
 			return err
 		}
 		index++
@@ -111,7 +112,7 @@
 	return nil
 }
 
-func (r *ring) addPoints(circle wire.Circle, points []fleet.RingPoint) error {
+func (p *ringParts) addPoints(circle wire.Circle, points []fleet.RingPoint) error {
 	points = ascendingPoints(points)
 	limits := slowStartLimits(points)
 	for start := 0; start < len(points); start += entriesPerPart {
@@ -119,42 +120,44 @@
 		for i := start; i < min(start+entriesPerPart, len(points)); i++ {
 			part.Points = append(part.Points, &wire.Point{Place: uint32(points[i].ID), At: points[i].Position, Part: limits[i]})
 		}
-		if err := r.add(PointsPart(circle), start/entriesPerPart, &wire.Part{Kind: &wire.Part_Points{Points: part}}); err != nil {
+		if err := p.addPart(PointsPart(circle), start/entriesPerPart, &wire.Part{Kind: &wire.Part_Points{Points: part}}); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// slowStartStep returns the capacity that proxies are sent: rounded down to a step, since it grows all the time.
-func slowStartStep(capacity float64) float64 {
+// roundCapacityDown rounds the capacity of a server in slow start down to a step, but to no less than one step. Without it each snapshot
+// would differ from the previous one, since the capacity grows continuously.
+func roundCapacityDown(capacity float64) float64 {
 	if capacity >= 1 {
 		return 1
 	}
 	return max(1, float64(int(capacity*slowStartSteps))) / slowStartSteps
 }
 
-// slowStartLimits returns, for each point, how far behind its predecessor the server takes keys while it is in slow start; 0 for a
-// server that takes its entire arc.
+// slowStartLimits returns, for each point, the length of the part of its arc that the server serves while it is in slow start. The part
+// begins at the preceding point. The limit is 0 for a server that serves its entire arc.
 func slowStartLimits(points []fleet.RingPoint) []float64 {
-	sum, anyCold := 0.0, false
+	sum, anySlowStart := 0.0, false
 	for _, p := range points {
-		sum += slowStartStep(p.CapacityShare)
-		anyCold = anyCold || p.CapacityShare < 1
+		sum += roundCapacityDown(p.CapacityShare)
+		anySlowStart = anySlowStart || p.CapacityShare < 1
 	}
 	limits := make([]float64, len(points))
-	if !anyCold || len(points) < 2 {
+	if !anySlowStart || len(points) < 2 {
 		return limits
 	}
 	for i, p := range points {
 		if p.CapacityShare < 1 {
-			limits[i] = min(arcLength(points, i), slowStartStep(p.CapacityShare)/sum)
+			limits[i] = min(arcLength(points, i), roundCapacityDown(p.CapacityShare)/sum)
 		}
 	}
 	return limits
 }
 
-// ascendingPoints returns points in ascending order from 0 on. A first point that was adjusted back past 0 becomes the last one.
+// ascendingPoints returns points in ascending order of positions in [0, 1). A first point with a negative position, caused by an adjustment
+// past 0, becomes the last point.
 func ascendingPoints(points []fleet.RingPoint) []fleet.RingPoint {
 	if len(points) == 0 || points[0].Position >= 0 {
 		return points
--- a/internal/controlplane/snapshot/snapshot.go
+++ b/internal/controlplane/snapshot/snapshot.go
@@ -1,7 +1,7 @@
-// Package snapshot turns the rings of the decision module into the resources that proxies get over xDS. It does no I/O.
+// Package snapshot encodes the rings of the decision module as the resources that proxies receive over xDS. It does no I/O.
 //
-// A Snapshot is complete and immutable. What has not changed since the previous one is the same resource, byte for byte, so
-// that a proxy which holds it need not fetch it again.
+// A Snapshot is complete and immutable. A resource whose content has not changed since the previous snapshot is reused byte for byte, so
+// that a proxy which holds it does not fetch it again.
 package snapshot
 
 import (
@@ -14,10 +14,10 @@
 	"mintspring/internal/fleet"
 )
 
-// TypeURL identifies a type of resources.
+// TypeURL is the xDS type URL of a resource.
 type TypeURL string
 
-// Types of resources. Those of Envoy are as its API names them.
+// Resource types. The first two are Envoy's own.
 const (
 	ClusterType  TypeURL = "type.googleapis.com/envoy.config.cluster.v3.Cluster"
 	EndpointType TypeURL = "type.googleapis.com/envoy.config.endpoint.v3.ClusterLoadAssignment"
@@ -30,20 +30,20 @@
 
 // Server is one server of the endpoint list.
 type Server struct {
-	Slot        fleet.ServerID // index in the server table, by which points name the server
+	Slot        fleet.ServerID // index in the server table; points refer to the server by it
 	ID          string
 	Addr        string // host:port, the host an IP address
 	Zone        string
 	State       fleet.State
-	StartedAtMs float64 // Unix ms of its process's start; 0: long past
+	StartedAtMs float64 // start of the server's process, Unix ms; 0: long ago
 }
 
-// Input is what a snapshot is built from.
+// Input is the data that a snapshot is built from.
 type Input struct {
-	Cluster   string // names the resources
-	Zone      string // of the proxies that the snapshot is for; empty: of no known zone
-	Zones     []string
-	Servers   []Server          // in the order of their slots
+	Cluster   string            // name of the cluster resource, and prefix of the names of ring parts
+	Zone      string            // zone of the proxies that the snapshot is for; empty: proxies of unknown zones
+	Zones     []string          // configured zones
+	Servers   []Server          // in slot order
 	Ring      []fleet.RingPoint // of all servers
 	ZoneRing  []fleet.RingPoint // of the servers in Zone
 	ZoneShare float64           // fraction of the keys that are routed by ZoneRing
@@ -53,8 +53,8 @@
 
 // Version identifies a snapshot. Versions of one zone are ordered.
 type Version struct {
-	Epoch    uint64 // of the control-plane process
-	Sequence uint64 // of the snapshot within the epoch
+	Epoch    uint64 // of the control-plane process; higher than the epochs of earlier processes
+	Sequence uint64 // number of the snapshot within the epoch
 }
 
 // String formats a version as the version of the head resource.
@@ -82,18 +82,18 @@
 // Resource is one xDS resource.
 type Resource struct {
 	Name    string
-	Version string // a hash of the content, the same from each process; that of the head is the snapshot's version
+	Version string // hash of the content, the same in every process; the head has the snapshot's version instead
 	Body    *anypb.Any
 	Digest  uint64 // XXH64 of the body's value
 }
 
 // ResourceSet holds all resources of one type, ordered by name.
 type ResourceSet struct {
-	Version string // of the snapshot in which the set last changed
+	Version string // version of the snapshot in which the set last changed
 	Items   []Resource
 }
 
-// Find returns the resource with a name.
+// Find returns the resource with the given name.
 func (s *ResourceSet) Find(name string) (resource *Resource, ok bool) {
 	i := sort.Search(len(s.Items), func(i int) bool { return s.Items[i].Name >= name })
 	if i < len(s.Items) && s.Items[i].Name == name {
@@ -102,16 +102,16 @@
 	return nil, false
 }
 
-// Snapshot holds all resources that the proxies of one zone get.
+// Snapshot holds all resources for the proxies of one zone.
 type Snapshot struct {
 	Version Version
-	// MinSequence is the oldest sequence of the epoch that proxies may still use: that of the snapshot in which a server was last taken
-	// out of service.
+	// MinSequence is the oldest sequence of the epoch that proxies may still use: the sequence of the last snapshot in which a server was
+	// taken out of service.
 	MinSequence uint64
-	Digest      uint64 // over the digests of all ring parts but the head, and the zone share
+	Digest      uint64 // hash of the digests of all ring parts except the head, and of the zone share
 
 	resources map[TypeURL]*ResourceSet
 }
 
-// Resources returns the resources of a type, nil for types that snapshots do not hold.
+// Resources returns the resources of a type, or nil for LeaseType and unknown types.
 func (s *Snapshot) Resources(typeURL TypeURL) *ResourceSet { return s.resources[typeURL] }
--- a/internal/controlplane/snapshot/snapshot_test.go
+++ b/internal/controlplane/snapshot/snapshot_test.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/fleet"
 )
 
-// testInput returns a ring of servers in two zones, at even distances.
+// testInput returns a ring of servers in two zones, with points at even distances.
 func testInput(servers int) *Input {
 	input := &Input{Cluster: "boxes", Zone: "b", Zones: []string{"a", "b"}, ZoneShare: 0.5, ConnectTimeoutMs: 250}
 	for i := range servers {
@@ -32,42 +32,42 @@
 	return input
 }
 
-func mustBuild(t *testing.T, b *Builder, sequence uint64, input *Input) *Snapshot {
+func mustBuild(t *testing.T, builder *Builder, sequence uint64, input *Input) *Snapshot {
 	t.Helper()
-	built, err := b.Build(Version{1, sequence}, 0, input)
+	built, err := builder.Build(Version{1, sequence}, 0, input)
 	if err != nil {
 		t.Fatal(err)
 	}
 	return built
 }
 
-// loadAssignment decodes and validates the endpoints of a snapshot.
+// loadAssignment decodes the endpoints of a snapshot and checks them against the rules of Envoy's API.
 func loadAssignment(t *testing.T, built *Snapshot) *endpoint.ClusterLoadAssignment {
 	t.Helper()
-	a := &endpoint.ClusterLoadAssignment{}
-	if err := built.Resources(EndpointType).Items[0].Body.UnmarshalTo(a); err != nil {
+	assignment := &endpoint.ClusterLoadAssignment{}
+	if err := built.Resources(EndpointType).Items[0].Body.UnmarshalTo(assignment); err != nil {
 		t.Fatal(err)
 	}
-	if err := a.Validate(); err != nil {
+	if err := assignment.Validate(); err != nil {
 		t.Error(err)
 	}
-	return a
+	return assignment
 }
 
-// TestUnchangedResourcesAreReused checks that what has not changed is the same resource, with the same version from each process, and
-// that an adjusted point changes its part and the head.
+// TestUnchangedResourcesAreReused checks that unchanged resources are reused, that every process gives them the same version, and that an
+// adjusted point changes only its part and the head.
 func TestUnchangedResourcesAreReused(t *testing.T) {
-	var b, other Builder
+	var builder, otherBuilder Builder
 	input := testInput(200)
-	first := mustBuild(t, &b, 1, input)
+	first := mustBuild(t, &builder, 1, input)
 	input.Ring[70].Position -= 0.001
-	second := mustBuild(t, &b, 2, input)
+	second := mustBuild(t, &builder, 2, input)
 	changed := map[string]bool{}
-	for _, x := range second.Resources(RingPartType).Items {
-		if was, _ := first.Resources(RingPartType).Find(x.Name); was == nil || was.Version != x.Version {
-			changed[x.Name] = true
-		} else if was.Body != x.Body {
-			t.Errorf("%s is encoded again", x.Name)
+	for _, resource := range second.Resources(RingPartType).Items {
+		if previous, _ := first.Resources(RingPartType).Find(resource.Name); previous == nil || previous.Version != resource.Version {
+			changed[resource.Name] = true
+		} else if previous.Body != resource.Body {
+			t.Errorf("unchanged resource %s is encoded again", resource.Name)
 		}
 	}
 	if fmt.Sprint(changed) != "map[boxes/head:true boxes/whole/0001:true]" || first.Digest == second.Digest {
@@ -76,19 +76,19 @@
 	if second.Resources(ClusterType).Version != first.Resources(ClusterType).Version || second.Resources(RingPartType).Version != "1.2" {
 		t.Errorf("versions %s, %s", second.Resources(ClusterType).Version, second.Resources(RingPartType).Version)
 	}
-	again := mustBuild(t, &other, 9, input)
-	for _, x := range again.Resources(RingPartType).Items {
-		if was, _ := second.Resources(RingPartType).Find(x.Name); x.Name != "boxes/head" && was.Version != x.Version {
-			t.Errorf("%s has another version from another process", x.Name)
+	rebuilt := mustBuild(t, &otherBuilder, 9, input)
+	for _, resource := range rebuilt.Resources(RingPartType).Items {
+		if previous, _ := second.Resources(RingPartType).Find(resource.Name); resource.Name != "boxes/head" && previous.Version != resource.Version {
+			t.Errorf("%s has another version from another process", resource.Name)
 		}
 	}
 }
 
 // TestClusterIsValid checks the cluster against the rules of Envoy's API.
 func TestClusterIsValid(t *testing.T) {
-	var b Builder
+	var builder Builder
 	c := &cluster.Cluster{}
-	if err := mustBuild(t, &b, 1, testInput(3)).Resources(ClusterType).Items[0].Body.UnmarshalTo(c); err != nil {
+	if err := mustBuild(t, &builder, 1, testInput(3)).Resources(ClusterType).Items[0].Body.UnmarshalTo(c); err != nil {
 		t.Fatal(err)
 	}
 	if err := c.ValidateAll(); err != nil || c.GetEdsClusterConfig().GetEdsConfig().GetAds() == nil {
@@ -96,37 +96,38 @@
 	}
 }
 
-// TestEndpoints checks priorities by zone, weights by arcs, draining endpoints, and that addresses which need a lookup are left out.
+// TestEndpoints checks the priorities of zones, the weights, and the status of draining endpoints, and that servers whose address is a host
+// name are omitted.
 func TestEndpoints(t *testing.T) {
-	var b Builder
+	var builder Builder
 	input := testInput(8)
-	input.Ring[2].Position += 0.05 // its arc grows, and its successor's shrinks
+	input.Ring[2].Position += 0.05 // its arc grows and its successor's arc shrinks
 	input.Servers[0].State = fleet.Draining
 	input.Servers[4].Addr = "cache.example:1"
 	input.Servers[6].State = fleet.Gone
-	a := loadAssignment(t, mustBuild(t, &b, 1, input))
-	weight := map[string]uint32{}
-	for _, l := range a.Endpoints {
-		if want := map[string]uint32{"a": 1, "b": 0}[l.Locality.Zone]; l.Priority != want {
-			t.Errorf("zone %s has priority %d", l.Locality.Zone, l.Priority)
+	assignment := loadAssignment(t, mustBuild(t, &builder, 1, input))
+	weights := map[string]uint32{}
+	for _, locality := range assignment.Endpoints {
+		if want := map[string]uint32{"a": 1, "b": 0}[locality.Locality.Zone]; locality.Priority != want {
+			t.Errorf("zone %s has priority %d", locality.Locality.Zone, locality.Priority)
 		}
-		for _, e := range l.LbEndpoints {
+		for _, e := range locality.LbEndpoints {
 			id := e.GetEndpoint().Hostname
-			weight[id] = e.LoadBalancingWeight.Value
+			weights[id] = e.LoadBalancingWeight.Value
 			if (e.HealthStatus == core.HealthStatus_DRAINING) != (id == "s0") {
 				t.Errorf("%s is %v", id, e.HealthStatus)
 			}
 		}
 	}
-	if len(weight) != 6 || weight["s4"] != 0 || weight["s6"] != 0 {
-		t.Errorf("weights %v", weight)
+	if len(weights) != 6 || weights["s4"] != 0 || weights["s6"] != 0 {
+		t.Errorf("weights %v", weights)
 	}
-	if r := float64(weight["s2"]) / totalWeight; math.Abs(r-(0.125+0.05)) > 1e-4 {
-		t.Errorf("s2 has %v of the ring", r)
+	if share := float64(weights["s2"]) / totalWeight; math.Abs(share-(0.125+0.05)) > 1e-4 {
+		t.Errorf("s2 has %v of the ring", share)
 	}
 }
 
-// TestSlowStart checks that a server in slow start gets a part of its arc that grows in steps, as a limit and as a weight.
+// TestSlowStart checks that a server in slow start gets a reduced limit and weight, and that the limit grows in steps.
 func TestSlowStart(t *testing.T) {
 	points := []fleet.RingPoint{
 		{ID: 0, Position: 0.25, CapacityShare: 1},
@@ -139,16 +140,16 @@
 	if limits[0] != 0 || math.Abs(limits[1]-want/(3+want)) > 1e-9 {
 		t.Errorf("limits %v", limits)
 	}
-	if w := endpointWeights(points); w[1] >= w[0]/2 || w[1] == 0 {
-		t.Errorf("weights %v", w)
+	if weights := endpointWeights(points); weights[1] >= weights[0]/2 || weights[1] == 0 {
+		t.Errorf("weights %v", weights)
 	}
 	points[1].CapacityShare += 1e-4
-	if again := slowStartLimits(points); again[1] != limits[1] {
-		t.Error("each moment has a snapshot of its own while a server warms up")
+	if next := slowStartLimits(points); next[1] != limits[1] {
+		t.Error("the limit changes with every change of the capacity, not in steps")
 	}
 }
 
-// TestAscendingPoints checks that a point before 0 becomes the last one.
+// TestAscendingPoints checks that a point with a negative position becomes the last one.
 func TestAscendingPoints(t *testing.T) {
 	got := ascendingPoints([]fleet.RingPoint{{ID: 3, Position: -0.1}, {ID: 1, Position: 0.2}, {ID: 2, Position: 0.6}})
 	if len(got) != 3 || got[0].ID != 1 || got[2].ID != 3 || math.Abs(got[2].Position-0.9) > 1e-9 {
@@ -156,7 +157,7 @@
 	}
 }
 
-// TestVersion checks that versions are parsed as they are formatted, and their order.
+// TestVersion checks that formatted versions are parsed back, that malformed ones are rejected, and the order of versions.
 func TestVersion(t *testing.T) {
 	for text, want := range map[string]bool{"1.2": true, "18446744073709551615.0": true, "": false, "1": false, "1.x": false, "-1.2": false} {
 		version, ok := ParseVersion(text)
@@ -165,6 +166,6 @@
 		}
 	}
 	if !(Version{1, 9}).Before(Version{2, 1}) || (Version{2, 1}).Before(Version{2, 1}) {
-		t.Error("order")
+		t.Error("Before returns the wrong order")
 	}
 }
