--- a/internal/controlplane/controller/build.go
+++ b/internal/controlplane/controller/build.go
@@ -8,21 +8,22 @@
 	"mintspring/internal/node/discovery"
 )
 
-// defaultConnectTimeoutMs is sent to proxies if the deployment states none.
+// defaultConnectTimeoutMs is the connect timeout for proxies if the deployment settings have none.
 const defaultConnectTimeoutMs = 1000
 
 const (
-	// minEpochRaiseIntervalMs is the least time between two raises of the epoch. Each raise is a new snapshot for every proxy. One is
-	// enough after a start, and a faulty proxy must not make the others fetch snapshots all the time.
+	// minEpochRaiseIntervalMs is the minimum time between two raises of the epoch. Each raise makes every proxy fetch a new snapshot. One
+	// raise is enough after a start, and the limit stops a faulty proxy from making the others fetch snapshots continuously.
 	minEpochRaiseIntervalMs = 10_000
 
-	// maxEpochLeadMs is how far ahead of the clock an observed epoch may be. A clock that was set back explains some lead; without a
-	// bound one faulty proxy could use up the range of epochs.
+	// maxEpochLeadMs limits how far an observed epoch may be ahead of the clock. An epoch is ahead if the clock was set back. Without the
+	// limit a faulty proxy could use up the range of epochs.
 	maxEpochLeadMs = 86_400_000
 )
 
-// ObserveVersion notes the version of the snapshot that a proxy holds. A version above the newest one of this process was built by an
-// earlier process. Proxies reject older snapshots, so the epoch is raised above it; the result reports whether that was done.
+// ObserveVersion handles the version of the snapshot that a proxy holds. A version above the newest one of this process comes from an
+// earlier process. Since proxies reject older snapshots, the epoch is then raised above that version. ObserveVersion reports whether it
+// raised the epoch.
 func (c *core) ObserveVersion(now float64, held snapshot.Version) bool {
 	newest := snapshot.Version{Epoch: c.epoch, Sequence: c.sequence}
 	if !newest.Before(held) || float64(held.Epoch) > now+maxEpochLeadMs {
@@ -33,11 +34,11 @@
 	}
 	c.epochRaisedAtMs = now
 	c.epoch, c.sequence, c.minSequence = held.Epoch+1, 0, 0
-	c.notePending(membershipChanged)
+	c.markPending(membershipChanged)
 	return true
 }
 
-// warmingUp reports whether a server is in slow start: its share of the ring grows all the time.
+// warmingUp reports whether any server is in slow start, so that its share of the ring grows continuously.
 func (c *core) warmingUp(now float64) bool {
 	window := c.config.Deployment.Limits.WarmUpTime + c.config.BatchIntervalMs
 	for i := range c.slots {
@@ -49,8 +50,8 @@
 	return false
 }
 
-// buildSnapshots builds the snapshots of all zones, with one version. It reports false, and keeps the previous ones, if none of them
-// has changed or one cannot be built.
+// buildSnapshots builds the snapshots of all zones with the same version. If none has changed or one cannot be built, it keeps the previous
+// snapshots and returns false.
 func (c *core) buildSnapshots(now float64) bool {
 	version := snapshot.Version{Epoch: c.epoch, Sequence: c.sequence + 1}
 	minSequence := c.minSequence
@@ -60,13 +61,13 @@
 	changed := c.pending >= membershipChanged
 	c.builtAtMs = now
 	snapshots := make([]*snapshot.Snapshot, len(c.zones))
-	builders := make([]snapshot.Builder, len(c.zones)) // copies, so that a failure leaves the previous state
+	builders := make([]snapshot.Builder, len(c.zones)) // copies, so that a failed build does not change the originals
 	for i := range c.zones {
 		builders[i] = c.zones[i].builder
 		built, err := builders[i].Build(version, minSequence, c.snapshotInput(now, &c.zones[i]))
 		if err != nil {
 			c.errs = append(c.errs, fmt.Errorf("building snapshot %v for zone %q: %w", version, c.zones[i].zone, err))
-			if c.pending == pointsMoved {
+			if c.pending == pointsAdjusted {
 				c.pending = noChange
 			}
 			return false
@@ -85,7 +86,7 @@
 	return true
 }
 
-// snapshotInput returns what the snapshot of a zone is built from.
+// snapshotInput returns the input from which the snapshot of a zone is built.
 func (c *core) snapshotInput(now float64, module *zoneModule) *snapshot.Input {
 	input := &snapshot.Input{
 		Cluster:          c.config.Cluster,
--- a/internal/controlplane/controller/controller.go
+++ b/internal/controlplane/controller/controller.go
@@ -14,13 +14,13 @@
 	"mintspring/internal/state/snapshotfile"
 )
 
-// eventQueueSize is how many events may wait for the goroutine that owns the core; whoever posts more waits.
+// eventQueueSize is the number of events that the queue to the goroutine that owns the core can hold. While it is full, post blocks.
 const eventQueueSize = 256
 
-// event is a function that the goroutine which owns the core calls, with the time in Unix milliseconds.
+// event is a call that the goroutine which owns the core executes. now is in Unix milliseconds.
 type event func(now float64)
 
-// Controller owns a core and the goroutine that runs it, Run. All other methods may be called from any goroutine.
+// Controller owns a core and runs it on the goroutine that calls Run. All other methods may be called from any goroutine.
 type Controller struct {
 	log       *logrus.Logger
 	clock     *clock.Clock
@@ -29,21 +29,21 @@
 	stopping  chan struct{} // closed by Stop
 	done      chan struct{} // closed when Run has returned
 
-	watchCalls sync.WaitGroup // calls of discovery.Watch that have not returned; added to by Run's goroutine only
+	watchCalls sync.WaitGroup // unfinished calls of discovery.Watch; only Run's goroutine adds to it
 
 	// Owned by Run's goroutine.
 	core  *core
-	state *stateStore // nil: no state is kept
+	state *stateStore // nil: no state is saved
 
-	snapshots          atomic.Pointer[[]*snapshot.Snapshot] // by zone index
-	discoveryHeardAtMs atomic.Int64                         // Unix ms
+	snapshots               atomic.Pointer[[]*snapshot.Snapshot] // newest snapshots by zone index
+	lastDiscoveryActivityMs atomic.Int64                         // last data from discovery, Unix ms
 
 	mu       sync.Mutex // guards watchers
 	watchers map[chan struct{}]bool
 }
 
-// New returns a Controller that follows the endpoint list of discovery, at an address, once Run is called. With a persistence of nil
-// no state is kept across restarts.
+// New returns a Controller for the endpoint list of the discovery service at an address. It follows the list once Run is called. If
+// persistence is nil, no state is kept across restarts.
 func New(log *logrus.Logger, config Config, discoveryAddr string, persistence *Persistence) *Controller {
 	c := &Controller{
 		log:      log,
@@ -57,11 +57,11 @@
 	c.core = newCore(now, config)
 	c.discovery = &discovery.Client{
 		Addr:       discoveryAddr,
-		OnActivity: c.discoveryHeard,
-		OnUpdate:   c.discoveryUpdated,
-		OnError:    c.discoveryFailed,
+		OnActivity: c.recordDiscoveryActivity,
+		OnUpdate:   c.handleDiscoveryUpdate,
+		OnError:    c.handleDiscoveryError,
 	}
-	c.discoveryHeardAtMs.Store(int64(now))
+	c.lastDiscoveryActivityMs.Store(int64(now))
 	c.publish()
 	if persistence != nil {
 		c.state = &stateStore{config: *persistence}
@@ -70,7 +70,7 @@
 	return c
 }
 
-// loadState reads the saved state and takes the data directory into use.
+// loadState reads the saved state, then opens and locks the data directory.
 func (c *Controller) loadState() {
 	var err error
 	if c.state.saved, err = snapshotfile.Load(c.state.config.Dir); err != nil {
@@ -81,21 +81,21 @@
 	}
 }
 
-func (c *Controller) discoveryHeard() { c.discoveryHeardAtMs.Store(int64(c.clock.Now())) }
+func (c *Controller) recordDiscoveryActivity() { c.lastDiscoveryActivityMs.Store(int64(c.clock.Now())) }
 
-func (c *Controller) discoveryUpdated(update discovery.Update) {
-	c.discoveryHeard()
+func (c *Controller) handleDiscoveryUpdate(update discovery.Update) {
+	c.recordDiscoveryActivity()
 	c.post(func(now float64) { c.updateEndpoints(now, update) })
 }
 
-func (c *Controller) discoveryFailed(err error) {
+func (c *Controller) handleDiscoveryError(err error) {
 	c.post(func(now float64) {
 		c.log.WithError(err).WithField("list_age_s", int(c.ListAgeMs()/1000)).Warn("discovery unavailable, keeping the last endpoint list")
 		c.core.DiscoveryFailed(now)
 	})
 }
 
-// post hands an event to the goroutine that owns the core. It waits while the queue is full, but not after Stop.
+// post queues an event for the goroutine that owns the core. It blocks while the queue is full. After Stop it may drop the event.
 func (c *Controller) post(e event) {
 	select {
 	case c.events <- e:
@@ -103,7 +103,7 @@
 	}
 }
 
-// Run follows the endpoint list until Stop.
+// Run follows the endpoint list, builds snapshots and saves the state at an interval, until Stop is called.
 func (c *Controller) Run() {
 	defer close(c.done)
 	timer := time.NewTimer(0)
@@ -122,7 +122,7 @@
 			return
 		case e := <-c.events:
 			e(c.clock.Now())
-			c.handleQueued()
+			c.handleQueuedEvents()
 		case <-timer.C:
 		case <-saveDue:
 			c.saveState()
@@ -130,12 +130,13 @@
 	}
 }
 
-// step steps the core and acts on the result. It returns the time until the next step, in milliseconds.
+// step runs a step of the core, starts a watch of discovery if it is due, and publishes new snapshots. It returns the milliseconds until
+// the next step.
 func (c *Controller) step() (waitMs float64) {
 	result := c.core.Step(c.clock.Now())
 	if result.WatchDiscovery {
-		// Not on this goroutine: the discovery client holds its lock while it waits for room in the event queue, which only this
-		// goroutine makes. The call ends once it has the lock.
+		// Watch must not run on this goroutine. It takes the lock of the discovery client, which holds that lock while it posts an event,
+		// and only this goroutine empties the event queue. Watch returns as soon as it has got the lock.
 		c.watchCalls.Go(c.discovery.Watch)
 	}
 	if result.SnapshotsBuilt {
@@ -147,8 +148,8 @@
 	return result.WaitMs
 }
 
-// handleQueued handles all events that are queued by now, so that the next snapshots are built from all of them.
-func (c *Controller) handleQueued() {
+// handleQueuedEvents executes all queued events, so that the next snapshots include all of them.
+func (c *Controller) handleQueuedEvents() {
 	for {
 		select {
 		case e := <-c.events:
@@ -181,8 +182,8 @@
 	}
 }
 
-// Stop ends Run, which saves the state once more, ends the watch of discovery, and releases the data directory. It must be called
-// once, after Run was started, and SetDiscovery not after it.
+// Stop ends Run, which first saves the state once more. It then ends the watch of discovery and releases the data directory. It must be
+// called exactly once, after Run was started. SetDiscovery must not be called after it.
 func (c *Controller) Stop() {
 	close(c.stopping)
 	<-c.done
@@ -193,10 +194,10 @@
 	}
 }
 
-// SetDiscovery switches to discovery at another address.
+// SetDiscovery switches to the discovery service at another address.
 func (c *Controller) SetDiscovery(addr string) { c.discovery.SwitchTo(addr) }
 
-// publish makes the newest snapshots visible to streams and wakes them.
+// publish makes the newest snapshots available to Snapshot and notifies the watchers.
 func (c *Controller) publish() {
 	snapshots := c.core.Snapshots()
 	c.snapshots.Store(&snapshots)
@@ -205,7 +206,7 @@
 	for watcher := range c.watchers {
 		select {
 		case watcher <- struct{}{}:
-		default: // it has not looked since the last time, and will see the newest
+		default: // a notification is already pending; the watcher will read the newest snapshots
 		}
 	}
 }
@@ -213,16 +214,16 @@
 // ZoneIndex returns the index of the snapshots for proxies of a zone.
 func (c *Controller) ZoneIndex(zone string) int { return c.core.ZoneIndex(zone) }
 
-// Snapshot returns the newest snapshot of a zone index, nil before there is one.
+// Snapshot returns the newest snapshot of a zone index, or nil if none has been built.
 func (c *Controller) Snapshot(zone int) *snapshot.Snapshot { return (*c.snapshots.Load())[zone] }
 
-// ListAgeMs returns how long ago discovery was last heard, in milliseconds.
+// ListAgeMs returns the milliseconds since the discovery service last sent data, or since New if it has sent none.
 func (c *Controller) ListAgeMs() float64 {
-	return max(0, c.clock.Now()-float64(c.discoveryHeardAtMs.Load()))
+	return max(0, c.clock.Now()-float64(c.lastDiscoveryActivityMs.Load()))
 }
 
-// Watch returns a channel that receives a value when there are newer snapshots, and a function that ends this.
-func (c *Controller) Watch() (newer <-chan struct{}, cancel func()) {
+// Watch returns a channel that receives a value after new snapshots were published, and a function that cancels the notifications.
+func (c *Controller) Watch() (updates <-chan struct{}, cancel func()) {
 	watcher := make(chan struct{}, 1)
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -234,8 +235,8 @@
 	}
 }
 
-// ObserveVersion notes the version of the snapshot that a proxy holds. It returns once the published snapshots are above it, or the
-// version was rejected.
+// ObserveVersion handles the version of the snapshot that a proxy holds. If it is newer than the published snapshots, ObserveVersion raises
+// the epoch and returns once still newer snapshots are published, unless the core rejects the version.
 func (c *Controller) ObserveVersion(held snapshot.Version) {
 	handled := make(chan struct{})
 	c.post(func(now float64) {
@@ -244,7 +245,7 @@
 			return
 		}
 		c.log.WithField("snapshot", held.String()).Warn("proxy holds a newer snapshot than this process has built, raising the epoch")
-		c.step() // the wait that it returns is not lost: Run steps again after this event
+		c.step() // its result is not needed, since Run steps again after this event
 	})
 	select {
 	case <-handled:
@@ -252,7 +253,7 @@
 	}
 }
 
-// AddLoadReports applies what a proxy reports of servers, by their addresses.
+// AddLoadReports applies the load reports of a proxy, by server address.
 func (c *Controller) AddLoadReports(proxy string, reports map[string]loadreport.Report) {
 	c.post(func(now float64) { c.core.AddLoadReports(now, proxy, reports) })
 }
--- a/internal/controlplane/controller/core.go
+++ b/internal/controlplane/controller/core.go
@@ -1,8 +1,8 @@
-// Package controller decides what the control plane sends to proxies.
+// Package controller builds the snapshots that the control plane sends to proxies.
 //
-// The core is the part without I/O and without a clock: it applies endpoint-list updates and load reports, runs a decision module
-// for each zone of proxies, and builds the snapshots that proxies of each zone get. Controller is the goroutine that owns a
-// core; discovery is on its one side, the streams of proxies are on the other.
+// The core does no I/O and reads no clock: it applies endpoint list updates and load reports, runs a decision module for each zone of
+// proxies, and builds the snapshots for each zone. A Controller runs a core on one goroutine. It follows the endpoint list of the discovery
+// service and publishes the snapshots to the streams of proxies.
 package controller
 
 import (
@@ -17,47 +17,47 @@
 )
 
 const (
-	// maxStepWaitMs and minStepWaitMs bound the wait between two steps.
+	// maxStepWaitMs and minStepWaitMs limit the time between two steps.
 	maxStepWaitMs = 1000
 	minStepWaitMs = 1
 
-	// minSlotRetentionMs is the least time for which the slot of a server that is gone is not reused, beyond the drain limit.
+	// minSlotRetentionMs is the minimum time, in addition to the limit StopSendingWithin, before the slot of a removed server is reused.
 	minSlotRetentionMs = 1000
 
-	// unzonedProxies is the zone that the decision module for proxies of no known zone runs in. It must differ from -1, the zone of
-	// servers whose zone is not configured, so that no server is near such proxies.
-	unzonedProxies fleet.ZoneID = -2
+	// unknownZone is the zone of the decision module for proxies whose zone is not configured. It must differ from -1, the zone of servers
+	// whose zone is not configured, so that no server counts as local to these proxies.
+	unknownZone fleet.ZoneID = -2
 )
 
 // Config configures a core.
 type Config struct {
-	Cluster         string // name of the resources
+	Cluster         string // name of the cluster resource
 	Deployment      settings.Deployment
-	BatchIntervalMs float64 // least time between snapshots that differ only in ring point adjustments; drains are not delayed
+	BatchIntervalMs float64 // minimum time between snapshots that differ only in ring points; drains are not delayed
 	LoadReports     loadreport.Config
 }
 
-// pendingChange says what the next snapshots have to carry. Values are ordered: a higher one includes the lower ones.
+// pendingChange classifies the changes that no snapshot contains yet. A higher value includes the lower ones.
 type pendingChange uint8
 
 const (
 	noChange          pendingChange = iota
-	pointsMoved                     // ring points may have been adjusted; built once the batch interval has passed
+	pointsAdjusted                  // ring points may have been adjusted; built once the batch interval has passed
 	membershipChanged               // a server was added, changed or removed; built at once
 	serverRemoved                   // a server that proxies may be sending to was removed; earlier snapshots must not be used
 )
 
-// core is the state of the control plane. It is not safe for concurrent use. All times are Unix milliseconds.
+// core holds the state from which snapshots are built. It is not safe for concurrent use. All times are Unix milliseconds.
 type core struct {
 	config      Config
-	zones       []zoneModule // one for each configured zone, and a last one for proxies of no known zone
+	zones       []zoneModule // one for each configured zone; the last one is for proxies whose zone is not configured
 	loadReports *loadreport.Aggregator
 
 	slots           []serverSlot
 	slotByID        map[string]fleet.ServerID
 	starts          serverstart.Tracker
-	slotRetentionMs float64 // how long the slot of a server that is gone is not reused
-	hasEndpoints    bool    // the endpoint list has arrived
+	slotRetentionMs float64 // minimum time before the slot of a removed server is reused
+	hasEndpoints    bool    // an endpoint list has arrived
 
 	epoch           uint64 // of this process's snapshots
 	epochRaisedAtMs float64
@@ -67,20 +67,20 @@
 	builtAtMs       float64
 	pending         pendingChange
 
-	errs          []error        // for the log, since the last TakeErrors
+	errs          []error        // collected since the last TakeErrors
 	learnedBuffer fleet.Snapshot // reused by LearnedState
 }
 
-// zoneModule is the decision module of the proxies of one zone.
+// zoneModule is the decision module and the snapshot builder for the proxies of one zone.
 type zoneModule struct {
 	*decide.Node
 	slab    *fleet.Slab
-	zone    string // empty: proxies of no known zone
+	zone    string // empty: proxies whose zone is not configured
 	builder snapshot.Builder
 }
 
-// newCore returns a core without servers. Its epoch is the time, and so above that of every earlier process whose clock was
-// right; ObserveVersion makes up for the others.
+// newCore returns a core without servers. Its epoch is the current time, which is above the epoch of every earlier process unless the clock
+// has been set back. ObserveVersion raises the epoch in that case.
 func newCore(now float64, config Config) *core {
 	c := &core{
 		config:      config,
@@ -89,18 +89,18 @@
 		epoch:       uint64(max(1, now)),
 	}
 	limits := config.Deployment.Limits
-	limits.Subscribe = true // discovery is followed by a watch
+	limits.Subscribe = true // the endpoint list is watched, not polled
 	longestTimeout := float64(minSlotRetentionMs)
 	for _, class := range limits.Classes {
 		longestTimeout = max(longestTimeout, class.ClientTimeout)
 	}
 	c.slotRetentionMs = longestTimeout + limits.StopSendingWithin
-	// All modules have the same seed and get the same input, so that the ring of all servers is the same in each of them.
+	// All modules have the same seed and the same input, so that each of them computes the same ring of all servers.
 	for i, zone := range config.Deployment.Zones {
 		limits.Zone = fleet.ZoneID(i)
 		c.addZone(now, zone, limits)
 	}
-	limits.Zone = unzonedProxies
+	limits.Zone = unknownZone
 	c.addZone(now, "", limits)
 	c.snapshots = make([]*snapshot.Snapshot, len(c.zones))
 	return c
@@ -112,7 +112,7 @@
 	c.zones = append(c.zones, module)
 }
 
-// ZoneIndex returns the index of the snapshot for proxies of a zone. Proxies of an unknown zone share the last one.
+// ZoneIndex returns the index of the snapshot for proxies of a zone. Proxies whose zone is not configured share the last one.
 func (c *core) ZoneIndex(zone string) int {
 	if i := slices.Index(c.config.Deployment.Zones, zone); i >= 0 {
 		return i
@@ -120,30 +120,30 @@
 	return len(c.zones) - 1
 }
 
-// Snapshots returns the newest snapshots by zone index; they are nil until the endpoint list has arrived.
+// Snapshots returns the newest snapshots by zone index. They are nil until the first ones are built, once an endpoint list has arrived.
 func (c *core) Snapshots() []*snapshot.Snapshot { return slices.Clone(c.snapshots) }
 
-// TakeErrors returns the errors since the last call.
+// TakeErrors returns the errors collected since the last call.
 func (c *core) TakeErrors() []error {
 	errs := c.errs
 	c.errs = nil
 	return errs
 }
 
-// StepResult is what a step requires of its caller.
+// StepResult tells the caller of Step what to do next.
 type StepResult struct {
-	WaitMs         float64 // time until the next step is due, unless something happens earlier
-	WatchDiscovery bool    // the watch of the endpoint list has to be started or replaced
-	SnapshotsBuilt bool    // Snapshots returns newer ones
+	WaitMs         float64 // time until the next step is due, unless an event comes first
+	WatchDiscovery bool    // the watch of the endpoint list must be started or replaced
+	SnapshotsBuilt bool    // Snapshots returns new snapshots
 }
 
-// Step does what is due now: the modules adjust ring points, and new snapshots are built.
+// Step runs the due actions of the decision modules, such as ring point adjustments, and builds new snapshots if they are due.
 func (c *core) Step(now float64) StepResult {
 	result := StepResult{WaitMs: maxStepWaitMs}
 	for i := range c.zones {
 		waitMs, watch := c.runModule(&c.zones[i], now)
 		result.WaitMs = min(result.WaitMs, waitMs)
-		// All modules follow one list, so that one of them speaks for all.
+		// All modules use the same endpoint list, so that one watch, requested by the first module, serves all of them.
 		result.WatchDiscovery = result.WatchDiscovery || watch && i == 0
 	}
 	if !c.hasEndpoints {
@@ -160,8 +160,8 @@
 	return result
 }
 
-// runModule executes the actions that a module has due. It returns the time until the next one, and whether one of them was to
-// watch or poll the endpoint list.
+// runModule executes the due actions of a module. It returns the time until the next one, and whether the module requested a watch or a
+// poll of the endpoint list.
 func (c *core) runModule(module *zoneModule, now float64) (waitMs float64, watch bool) {
 	for {
 		if _, waitMs = module.NextDue(now); waitMs > 0 {
@@ -171,15 +171,15 @@
 		case fleet.Subscribe, fleet.PollList:
 			watch = true
 		default:
-			c.notePending(pointsMoved)
+			c.markPending(pointsAdjusted)
 		}
 	}
 }
 
-// notePending records that the next snapshots have to carry a change.
-func (c *core) notePending(change pendingChange) { c.pending = max(c.pending, change) }
+// markPending records a change that the next snapshots have to include.
+func (c *core) markPending(change pendingChange) { c.pending = max(c.pending, change) }
 
-// AddLoadReports applies what a proxy reports of the servers at some addresses. It returns how many of the reports count.
+// AddLoadReports applies the load reports of a proxy, by server address. It returns how many of them were accepted.
 func (c *core) AddLoadReports(now float64, proxy string, reports map[string]loadreport.Report) (accepted int) {
 	for i := range c.slots {
 		slot := &c.slots[i]
--- a/internal/controlplane/controller/core_test.go
+++ b/internal/controlplane/controller/core_test.go
@@ -15,9 +15,9 @@
 	"mintspring/internal/testbed/fakeproxy"
 )
 
-// TestOwnersEqualTheModules checks that the owners of 100,000 keys at a proxy are those of the decision module, in every zone, after
-// more than 50 ring point adjustments, with one server draining.
-func TestOwnersEqualTheModules(t *testing.T) {
+// TestOwnersMatchDecisionModule checks that the ring cache of a proxy finds the same owner as the decision module for 100,000 keys in every
+// zone, after at least 50 ring point adjustments and with one server draining.
+func TestOwnersMatchDecisionModule(t *testing.T) {
 	now := 1e6
 	const servers = 30
 	c := newStartedCore(t, now, 7, servers)
@@ -39,28 +39,28 @@
 		t.Fatalf("only %d ring point adjustments", adjustments)
 	}
 	for z := range c.zones {
-		h := cacheOf(t, c.Snapshots()[z])
-		elsewhere, unowned := 0, 0
+		cache := cacheOf(t, c.Snapshots()[z])
+		differing, unowned := 0, 0
 		for k := range 100_000 {
 			key := fleet.Key(fleet.Mix(uint64(k) + 1))
-			want, got := moduleOwner(&c.zones[z], now, key), h.Owner(key)
+			want, got := moduleOwner(&c.zones[z], now, key), cache.Owner(key)
 			switch {
 			case want == fleet.NoServer || got == nil:
 				unowned++
 			case got.Slot != want:
-				elsewhere++
+				differing++
 			case got.ID == "s4":
 				t.Fatal("a key is owned by a draining server")
 			}
 		}
-		if elsewhere > 0 || unowned > 0 {
-			t.Errorf("zone %d: %d of 100000 keys have another owner, %d none", z, elsewhere, unowned)
+		if differing > 0 || unowned > 0 {
+			t.Errorf("zone %d: %d of 100000 keys have another owner, %d none", z, differing, unowned)
 		}
 	}
 }
 
-// TestOneRingInAllZones checks that the ring of all servers is the same in each zone, since all modules get the same input.
-func TestOneRingInAllZones(t *testing.T) {
+// TestSameRingInAllZones checks that the ring of all servers is the same in each zone, since all modules get the same input.
+func TestSameRingInAllZones(t *testing.T) {
 	now := 1e6
 	c := newStartedCore(t, now, 3, 20)
 	addReports(c, &now, 20, 8)
@@ -74,8 +74,8 @@
 	}
 }
 
-// arcsWithFaultyReports returns the arcs of nine servers after some honest and some faulty proxies have reported their loads. The
-// faulty ones report another utilization of one server, from any number of responses.
+// arcsWithFaultyReports returns the arcs of nine servers after load reports of honest and faulty proxies. The faulty ones report the given
+// utilization for one server and claim a huge number of responses.
 func arcsWithFaultyReports(t *testing.T, utilization float64, honest, faulty int) map[fleet.ServerID]float64 {
 	t.Helper()
 	now := 1e6
@@ -100,9 +100,9 @@
 	return cacheOf(t, c.Snapshots()[0]).Arcs()
 }
 
-// TestFaultyReportsMoveNoPoints checks that one proxy among up to four which reports a server as overloaded or idle adjusts no ring
-// point, and neither does a single proxy, while proxies that agree do.
-func TestFaultyReportsMoveNoPoints(t *testing.T) {
+// TestFaultyReportsAdjustNoPoints checks that a faulty proxy which reports a server as overloaded or idle causes no ring point adjustment,
+// be it the only proxy or one beside up to three honest ones. It also checks that three proxies that agree do cause an adjustment.
+func TestFaultyReportsAdjustNoPoints(t *testing.T) {
 	want := arcsWithFaultyReports(t, 0.5, 3, 0)
 	for _, utilization := range []float64{0, 1, math.NaN(), -1, 1e9} {
 		for _, honest := range []int{3, 2, 1, 0} {
@@ -113,77 +113,77 @@
 			}
 		}
 	}
-	moved := false
+	adjusted := false
 	for id, arc := range arcsWithFaultyReports(t, 1, 0, 3) {
-		moved = moved || arc != want[id]
+		adjusted = adjusted || arc != want[id]
 	}
-	if !moved {
-		t.Error("three proxies that agree move no point: the test could not fail")
+	if !adjusted {
+		t.Error("three proxies that agree adjust no point: the test could not fail")
 	}
 }
 
-// TestReturnUnderTheSameID checks that a server which drains, leaves and returns under its ID within a second is another server each
-// time: proxies that hold an earlier snapshot may not use it.
+// TestReturnUnderTheSameID checks that a server that drains, leaves and returns under its ID within a second counts as a new server: the
+// minimum sequence rises, so that proxies stop using earlier snapshots.
 func TestReturnUnderTheSameID(t *testing.T) {
 	now := 1e6
 	c := newStartedCore(t, now, 1, 6)
 	minSequence := c.Snapshots()[0].MinSequence
-	for _, s := range []struct {
-		phase   string
-		since   float64
-		state   fleet.State
-		removed bool // a proxy could be sending to the server removed
+	for _, step := range []struct {
+		phase     string
+		startedAt float64
+		state     fleet.State
+		removed   bool // a server that proxies may be sending to is removed
 	}{
 		{"terminating", 0, fleet.Draining, true},
 		{discovery.PhaseTerminated, 0, fleet.Gone, false},
 		{discovery.PhaseInService, now + 200, fleet.Ready, true}, // a new process
-		{discovery.PhaseInService, now + 300, fleet.Ready, true}, // replaced again, without a terminated phase between
+		{discovery.PhaseInService, now + 300, fleet.Ready, true}, // replaced by another process, without a terminated phase in between
 	} {
 		now += 100
-		c.UpdateEndpoints(now, discovery.Update{Members: []json.RawMessage{serverEntry(2, s.phase, s.since)}})
+		c.UpdateEndpoints(now, discovery.Update{Members: []json.RawMessage{serverEntry(2, step.phase, step.startedAt)}})
 		if !c.Step(now).SnapshotsBuilt {
-			t.Fatalf("%s: no snapshot at once", s.phase)
+			t.Fatalf("%s: no snapshot is built at once", step.phase)
 		}
-		v := c.Snapshots()[0]
-		if removed := v.MinSequence > minSequence; removed != s.removed {
-			t.Errorf("%s: minimum sequence %d, was %d", s.phase, v.MinSequence, minSequence)
+		built := c.Snapshots()[0]
+		if removed := built.MinSequence > minSequence; removed != step.removed {
+			t.Errorf("%s: minimum sequence %d, was %d", step.phase, built.MinSequence, minSequence)
 		}
-		minSequence = v.MinSequence
-		h := cacheOf(t, v)
+		minSequence = built.MinSequence
+		cache := cacheOf(t, built)
 		got, arc := fleet.Gone, 0.0
-		for _, x := range h.Servers() {
-			if x.ID == "s2" {
-				got, arc = x.State, h.Arcs()[x.Slot]
+		for _, server := range cache.Servers() {
+			if server.ID == "s2" {
+				got, arc = server.State, cache.Arcs()[server.Slot]
 			}
 		}
-		if got != s.state || (arc > 0) != (s.state == fleet.Ready) {
-			t.Errorf("%s: state %d, arc %v", s.phase, got, arc)
+		if got != step.state || (arc > 0) != (step.state == fleet.Ready) {
+			t.Errorf("%s: state %d, arc %v", step.phase, got, arc)
 		}
 	}
-	// It is in slow start: it takes a small part of its arc, and its successor takes the other keys.
-	h := cacheOf(t, c.Snapshots()[0])
-	n := 0
+	// The new process is in slow start. It owns a small part of its arc, and its successor owns the rest.
+	cache := cacheOf(t, c.Snapshots()[0])
+	owned := 0
 	for k := range 20_000 {
-		if s := h.Owner(fleet.Key(fleet.Mix(uint64(k) + 1))); s != nil && s.ID == "s2" {
-			n++
+		if owner := cache.Owner(fleet.Key(fleet.Mix(uint64(k) + 1))); owner != nil && owner.ID == "s2" {
+			owned++
 		}
 	}
-	if n == 0 || n > 20_000/6/2 {
-		t.Errorf("a server that has just started owns %d of 20000 keys among six", n)
+	if owned == 0 || owned > 20_000/6/2 {
+		t.Errorf("a server that has just started owns %d of 20000 keys among six", owned)
 	}
 }
 
-// TestBatchInterval checks that snapshots with ring point adjustments are at least the batch interval apart, and that one with a drain
-// is built at once.
+// TestBatchInterval checks that snapshots with ring point adjustments are at least the batch interval apart, and that a snapshot with a
+// drain is built at once.
 func TestBatchInterval(t *testing.T) {
 	now := 1e6
 	c := newStartedCore(t, now, 1, 12)
 	last := now
 	for i := range 2000 {
 		now += 5
-		u := 0.5 + 0.4*math.Sin(float64(i)/3)
-		for _, p := range []string{"p1", "p2"} {
-			c.AddLoadReports(now, p, map[string]loadreport.Report{fmt.Sprintf("127.0.0.1:%d", 1000+i%12): {Utilization: u, QueueLength: 9 * u, HitRate: 0.5, Responses: 1}})
+		utilization := 0.5 + 0.4*math.Sin(float64(i)/3)
+		for _, proxy := range []string{"p1", "p2"} {
+			c.AddLoadReports(now, proxy, map[string]loadreport.Report{fmt.Sprintf("127.0.0.1:%d", 1000+i%12): {Utilization: utilization, QueueLength: 9 * utilization, HitRate: 0.5, Responses: 1}})
 		}
 		if c.Step(now).SnapshotsBuilt {
 			if now-last < 100 {
@@ -195,48 +195,48 @@
 	now = last + 1
 	c.UpdateEndpoints(now, discovery.Update{Members: []json.RawMessage{serverEntry(0, "terminating", 0)}})
 	if !c.Step(now).SnapshotsBuilt {
-		t.Error("a drain waits for the batch interval")
+		t.Error("the snapshot with the drain waits for the batch interval")
 	}
 }
 
-// TestEpochIsRaised checks that a restarted process goes above the versions that proxies hold, also if its clock was set back, but not
-// above versions that no clock explains.
+// TestEpochIsRaised checks that a process whose clock was set back raises its epoch above the versions that proxies hold, but not too often
+// and not above versions too far ahead of its clock.
 func TestEpochIsRaised(t *testing.T) {
 	now := 1e12
 	c := newStartedCore(t, now, 1, 3)
-	before := c.Snapshots()[0].Version
-	if c.ObserveVersion(now, before) {
-		t.Error("its own version is taken for another process's")
+	ownVersion := c.Snapshots()[0].Version
+	if c.ObserveVersion(now, ownVersion) {
+		t.Error("the epoch is raised above the process's own version")
 	}
-	for _, n := range []snapshot.Version{{Epoch: uint64(now) + 5, Sequence: 7}, {Epoch: uint64(now) + 50_000, Sequence: 1}} {
-		if !c.ObserveVersion(now, n) {
-			t.Fatalf("the epoch is not raised above %v", n)
+	for _, held := range []snapshot.Version{{Epoch: uint64(now) + 5, Sequence: 7}, {Epoch: uint64(now) + 50_000, Sequence: 1}} {
+		if !c.ObserveVersion(now, held) {
+			t.Fatalf("the epoch is not raised above %v", held)
 		}
-		if c.Step(now); c.ObserveVersion(now+100, snapshot.Version{Epoch: n.Epoch + 50, Sequence: 1}) {
+		if c.Step(now); c.ObserveVersion(now+100, snapshot.Version{Epoch: held.Epoch + 50, Sequence: 1}) {
 			t.Error("the epoch is raised again too early")
 		}
 		now += minEpochRaiseIntervalMs
-		if v := c.Snapshots()[0].Version; !n.Before(v) {
-			t.Errorf("snapshot %v after a proxy holds %v", v, n)
+		if newest := c.Snapshots()[0].Version; !held.Before(newest) {
+			t.Errorf("snapshot %v is not newer than the version %v that a proxy holds", newest, held)
 		}
 	}
 	if c.ObserveVersion(now, snapshot.Version{Epoch: math.MaxUint64, Sequence: 1}) || c.ObserveVersion(now, snapshot.Version{Epoch: uint64(now + 2*maxEpochLeadMs), Sequence: 1}) {
-		t.Error("the epoch is raised above a version out of bounds")
+		t.Error("the epoch is raised above a version too far ahead of the clock")
 	}
 }
 
-// TestDiscoveryFails checks that the last snapshot stays while discovery fails, and that unreadable entries do not affect others.
+// TestDiscoveryFails checks that the last snapshot stays in use while discovery fails, and that invalid entries do not affect the others.
 func TestDiscoveryFails(t *testing.T) {
 	now := 1e6
 	c := newStartedCore(t, now, 1, 5)
-	v := c.Snapshots()[0]
+	previous := c.Snapshots()[0]
 	for range 100 {
 		now += 50
 		c.DiscoveryFailed(now)
 		c.Step(now)
 	}
-	if got := c.Snapshots()[0]; got.Digest != v.Digest {
-		t.Error("the snapshot has changed without an endpoint list")
+	if got := c.Snapshots()[0]; got.Digest != previous.Digest {
+		t.Error("the snapshot has changed while discovery fails")
 	}
 	c.UpdateEndpoints(now, discovery.Update{Members: []json.RawMessage{json.RawMessage(`{"id":""}`), json.RawMessage(`[1]`), serverEntry(1, "terminating", 0)}})
 	c.Step(now)
@@ -245,8 +245,8 @@
 	}
 }
 
-// TestAdjustmentsOutliveARestart checks that ring points are where they had been adjusted to after a restart of the control plane.
-func TestAdjustmentsOutliveARestart(t *testing.T) {
+// TestAdjustmentsSurviveRestart checks that a restarted control plane restores the adjusted ring points from the saved state.
+func TestAdjustmentsSurviveRestart(t *testing.T) {
 	now := 1e12
 	c := newStartedCore(t, now, 9, 12)
 	addReports(c, &now, 12, 10)
@@ -254,11 +254,11 @@
 	state := c.LearnedState(now, policy)
 	want := cacheOf(t, c.Snapshots()[0]).Arcs()
 	restarted := newCore(now, testConfig(9))
-	u := discovery.Update{Complete: true, Members: []json.RawMessage{json.RawMessage(originEntry)}}
+	update := discovery.Update{Complete: true, Members: []json.RawMessage{json.RawMessage(originEntry)}}
 	for i := range 12 {
-		u.Members = append(u.Members, serverEntry(i, discovery.PhaseInService, 0))
+		update.Members = append(update.Members, serverEntry(i, discovery.PhaseInService, 0))
 	}
-	restarted.UpdateEndpoints(now, u)
+	restarted.UpdateEndpoints(now, update)
 	if trust := restarted.RestoreState(now, state, policy); trust.Global < 0.99 {
 		t.Fatalf("trust %v: %v", trust.Global, trust.Reasons)
 	}
@@ -270,23 +270,23 @@
 	}
 }
 
-// BenchmarkMove measures a ring point adjustment: snapshots of three zones and of none.
-func BenchmarkMove(b *testing.B) {
+// BenchmarkRingPointAdjustment measures a ring point adjustment, including the snapshots for three zones and for unknown zones.
+func BenchmarkRingPointAdjustment(b *testing.B) {
 	for _, n := range []int{100, 1000} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
 			now := 1e6
 			c := newCore(now, testConfig(1))
-			u := discovery.Update{Complete: true}
+			update := discovery.Update{Complete: true}
 			for i := range n {
-				u.Members = append(u.Members, serverEntry(i, discovery.PhaseInService, 0))
+				update.Members = append(update.Members, serverEntry(i, discovery.PhaseInService, 0))
 			}
-			c.UpdateEndpoints(now, u)
+			c.UpdateEndpoints(now, update)
 			c.Step(now)
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
 				c.zones[0].RingPoints(now, false, nil)
-				c.pending = membershipChanged // as if a point had been adjusted
+				c.pending = membershipChanged // forces a build as if a server had changed
 				c.zones[0].ProbeDone(now, fleet.ServerID(i%n), fleet.Completed, 0, fleet.LoadReport{Present: true, Util: float64(i%10) / 10, Queue: 1, HitRatio: 0.5})
 				now += 100
 				c.Step(now)
@@ -295,42 +295,43 @@
 	}
 }
 
-// TestWeightsApproximateShares measures how far the ring of a proxy that knows weights only is from the module's: each server has about
-// its share of keys, but not the same keys. The figures are logged for docs/operators/control.md.
+// TestWeightsApproximateShares compares a proxy that uses endpoint weights with one that uses the ring: each server gets about the same
+// share of keys, but not the same keys. The deviations that the test logs are stated in docs/operators/control.md.
 func TestWeightsApproximateShares(t *testing.T) {
 	now := 1e6
 	const servers, keys = 30, 100_000
 	c := newStartedCore(t, now, 7, servers)
 	addReports(c, &now, servers, 12)
-	unzoned := len(c.zones) - 1 // the ring of all servers
-	a := &endpoint.ClusterLoadAssignment{}
-	if err := c.Snapshots()[unzoned].Resources(snapshot.EndpointType).Items[0].Body.UnmarshalTo(a); err != nil {
+	unknownZoneIndex := len(c.zones) - 1 // its proxies use the ring of all servers only
+	assignment := &endpoint.ClusterLoadAssignment{}
+	if err := c.Snapshots()[unknownZoneIndex].Resources(snapshot.EndpointType).Items[0].Body.UnmarshalTo(assignment); err != nil {
 		t.Fatal(err)
 	}
-	h, w := cacheOf(t, c.Snapshots()[unzoned]), fakeproxy.NewWeightedRing(a)
-	arcs := h.Arcs()
-	got := map[string]float64{}
-	elsewhere := 0.0
+	cache, weighted := cacheOf(t, c.Snapshots()[unknownZoneIndex]), fakeproxy.NewWeightedRing(assignment)
+	arcs := cache.Arcs()
+	share := map[string]float64{}
+	differing := 0.0
 	for k := range keys {
 		key := fleet.Key(fleet.Mix(uint64(k) + 1))
-		id := w.Owner(key)
-		got[id] += 1.0 / keys
-		if h.Owner(key).ID != id {
-			elsewhere += 1.0 / keys
+		id := weighted.Owner(key)
+		share[id] += 1.0 / keys
+		if cache.Owner(key).ID != id {
+			differing += 1.0 / keys
 		}
 	}
-	worst := 0.0
-	for _, s := range h.Servers() {
-		worst = max(worst, math.Abs(got[s.ID]-arcs[s.Slot])/arcs[s.Slot])
+	maxDeviation := 0.0
+	for _, server := range cache.Servers() {
+		maxDeviation = max(maxDeviation, math.Abs(share[server.ID]-arcs[server.Slot])/arcs[server.Slot])
 	}
-	t.Logf("%d servers: %.1f%% of keys elsewhere; a server's share of keys is off by up to %.0f%% of its arc", servers, 100*elsewhere, 100*worst)
-	if worst > 0.5 || elsewhere < 0.5 {
-		t.Errorf("shares off by %.2f, %.2f of keys elsewhere", worst, elsewhere)
+	t.Logf("%d servers: %.1f%% of keys have another owner; a server's share of keys is off by up to %.0f%% of its arc", servers, 100*differing, 100*maxDeviation)
+	if maxDeviation > 0.5 || differing < 0.5 {
+		t.Errorf("shares off by %.2f, %.2f of keys have another owner", maxDeviation, differing)
 	}
 }
 
-// A server that restarts is in slow start from then on by the controller's clock, however far the clock of its machine is apart.
-func TestCoreStartByAnotherClock(t *testing.T) {
+// TestSlowStartDespiteClockOffset checks that the slow start of a restarted server is timed by the controller's clock, however far the clock
+// of the server's machine is off.
+func TestSlowStartDespiteClockOffset(t *testing.T) {
 	const hour = 3.6e6
 	for _, offset := range []float64{0, hour, -hour, 40_000, -40_000} {
 		now := 1e12
--- a/internal/controlplane/controller/drain_test.go
+++ b/internal/controlplane/controller/drain_test.go
@@ -9,12 +9,12 @@
 	"mintspring/internal/node/discovery"
 )
 
-// maxDrainLagMs is the promise of the control plane: a proxy begins no new request at a draining server later than this after the
-// control plane has learned of the drain.
+// maxDrainLagMs is the guarantee of the control plane: a proxy starts no new request at a draining server later than this after the control
+// plane has received the endpoint list update with the drain.
 const maxDrainLagMs = 500
 
-// playDrain lets one server drain, and return, while faults hit the links of proxies.
-func (s *simulation) playDrain(servers int) {
+// simulateDrain simulates a server that drains and returns while faults affect the links of some proxies.
+func (s *simulation) simulateDrain(servers int) {
 	server := s.rnd.IntN(servers)
 	for _, p := range s.proxies {
 		if s.rnd.IntN(3) > 0 {
@@ -22,7 +22,7 @@
 		}
 	}
 	s.after(s.rnd.Float64()*300, func() { s.setPhase(server, "terminating", 0) })
-	if s.rnd.IntN(2) == 0 { // it ends and returns within a second
+	if s.rnd.IntN(2) == 0 { // its process ends, and another one starts within a second of the drain
 		s.after(400+s.rnd.Float64()*400, func() { s.setPhase(server, discovery.PhaseTerminated, 0) })
 		s.after(900+s.rnd.Float64()*100, func() { s.setPhase(server, discovery.PhaseInService, s.now) })
 	} else {
@@ -31,52 +31,53 @@
 	s.run(s.now + 1500)
 }
 
-// checkConverged checks that all proxies hold a usable snapshot that is the newest, or the one before.
+// checkConverged checks that every proxy holds a usable snapshot: the newest one or the previous one.
 func (s *simulation) checkConverged() {
 	s.t.Helper()
 	for _, p := range s.proxies {
 		held, _ := p.cache.Version()
 		newest := s.core.Snapshots()[p.zone].Version
 		if !p.cache.Usable(s.now+p.clockOffset) || p.cache.Digest() != s.digests[fmt.Sprint(held, p.zone)] || newest.Sequence-held.Sequence > 1 {
-			s.t.Fatalf("seed %d: a proxy is left with snapshot %v, where %v is the newest", s.seed, held, newest)
+			s.t.Fatalf("seed %d: a proxy holds snapshot %v, the newest one is %v", s.seed, held, newest)
 		}
 	}
 }
 
-// TestDrainsAreKeptThoughMessagesAreLost plays 200 rounds in each variant, with links that stall, lose a message and break, and servers
-// that drain and return under their IDs. No proxy begins a request at a draining server later than promised, every snapshot that a
-// proxy applies was built, byte for byte, and all proxies hold the newest one when the faults have ended.
-func TestDrainsAreKeptThoughMessagesAreLost(t *testing.T) {
-	const servers, rounds, drains = 12, 200, 4
-	for variant, name := range map[stream.Variant]string{stream.StateOfTheWorld: "whole", stream.Incremental: "changes"} {
+// TestDrainGuaranteeUnderFaults runs 200 simulations for each variant, in which links stall, lose messages and break, and servers drain and
+// return under their IDs. It checks that no proxy starts a request at a draining server later than guaranteed, that the digest of every
+// applied snapshot is that of a built one, and that all proxies hold the newest or the previous snapshot after the faults have ended.
+func TestDrainGuaranteeUnderFaults(t *testing.T) {
+	const servers, simulations, drains = 12, 200, 4
+	for variant, name := range map[stream.Variant]string{stream.StateOfTheWorld: "state of the world", stream.Incremental: "incremental"} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			longest, requests, unusable, applied := 0.0, 0, 0, 0
-			for seed := range uint64(rounds) {
+			longestLagMs, requests, unusable, applied := 0.0, 0, 0, 0
+			for seed := range uint64(simulations) {
 				s := newSimulation(t, seed, servers, 2, variant)
-				s.addLoads(servers)
+				s.addLoadReports(servers)
 				s.run(s.now + 500)
 				for range drains {
-					s.playDrain(servers)
+					s.simulateDrain(servers)
 				}
 				s.run(s.now + 4000)
 				s.checkConverged()
-				if s.longest > maxDrainLagMs {
-					t.Fatalf("%s, seed %d: a new request at a draining server after %.0f ms", name, seed, s.longest)
+				if s.longestDrainLagMs > maxDrainLagMs {
+					t.Fatalf("%s, seed %d: a new request at a draining server after %.0f ms", name, seed, s.longestDrainLagMs)
 				}
-				longest, requests, unusable, applied = max(longest, s.longest), requests+s.requests, unusable+s.unusable, applied+s.applied
+				longestLagMs, requests, unusable, applied = max(longestLagMs, s.longestDrainLagMs), requests+s.requests, unusable+s.unusable, applied+s.applied
 			}
-			t.Logf("%s: the last new request %.0f ms after the drain, in %d rounds; %d snapshots applied; %.1f%% of %d requests found no usable snapshot",
-				name, longest, rounds, applied, 100*float64(unusable)/float64(requests), requests)
-			if longest < 100 || unusable == 0 {
-				t.Errorf("%s: no fault had an effect, so nothing was tested", name)
+			t.Logf("%s: the last new request %.0f ms after the drain, in %d simulations; %d snapshots applied; %.1f%% of %d requests found no usable snapshot",
+				name, longestLagMs, simulations, applied, 100*float64(unusable)/float64(requests), requests)
+			if longestLagMs < 100 || unusable == 0 {
+				t.Errorf("%s: the faults had no effect, so that the test could not fail", name)
 			}
 		})
 	}
 }
 
-// TestStreamsAloneKeepNoPromise shows what leases are for: without one a proxy would go on using a stalled stream's snapshot.
-func TestStreamsAloneKeepNoPromise(t *testing.T) {
+// TestLeaseEndsDuringStall checks that the lease ends while the stream is stalled. The cached snapshot then still has a drained server as an
+// owner, so that without leases the proxy would keep sending requests to it.
+func TestLeaseEndsDuringStall(t *testing.T) {
 	s := newSimulation(t, 1, 6, 1, stream.Incremental)
 	s.run(s.now + 1000)
 	p := s.proxies[0]
@@ -84,7 +85,7 @@
 	s.setPhase(2, "terminating", 0)
 	s.run(s.now + 900)
 	if p.cache.Usable(s.now + p.clockOffset) {
-		t.Error("the lease outlives the stall")
+		t.Error("the lease has not ended during the stall")
 	}
 	owned := 0
 	for k := range 1000 {
@@ -93,20 +94,20 @@
 		}
 	}
 	if owned == 0 {
-		t.Error("the cached snapshot has the drain, which was never delivered")
+		t.Error("the cached snapshot includes the drain, which was never delivered")
 	}
 }
 
-// TestControlPlaneRestarts checks that proxies follow a restarted control plane whose clock was set back, that none returns to an
-// earlier snapshot, and that none stays on the old one.
+// TestControlPlaneRestarts checks that all proxies switch to the snapshots of a restarted control plane although its clock was set back, so
+// that its first versions are older than those that the proxies hold.
 func TestControlPlaneRestarts(t *testing.T) {
 	for _, variant := range []stream.Variant{stream.StateOfTheWorld, stream.Incremental} {
 		for seed := range uint64(20) {
 			s := newSimulation(t, seed, 8, 3, variant)
-			s.addLoads(8)
+			s.addLoadReports(8)
 			s.run(s.now + 2000)
 			previous := s.core.Snapshots()[0].Version
-			// The new process's clock is an hour behind; the endpoint list has lost a server meanwhile.
+			// The clock of the new process is an hour behind, and a server has been removed from the endpoint list.
 			s.core = newStartedCore(t, s.now-3.6e6+float64(seed), seed, 7)
 			s.recordDigests()
 			for _, p := range s.proxies {
--- a/internal/controlplane/controller/endpoints.go
+++ b/internal/controlplane/controller/endpoints.go
@@ -13,17 +13,18 @@
 // serverSlot is one entry of the server table.
 type serverSlot struct {
 	entry       discovery.Entry
-	startedMs   float64 // of its process, by the controller's clock; 0: long ago
+	startedMs   float64 // start of the server's process, by the controller's clock; 0: long ago
 	state       fleet.State
 	goneSinceMs float64 // meaningful while state is fleet.Gone
 }
 
-// ready reports whether the slot holds a cache server in service.
+// ready reports whether the slot holds a cache server that is in service.
 func (s *serverSlot) ready() bool {
 	return s.state == fleet.Ready && s.entry.Flavor != discovery.OriginFlavor
 }
 
-// UpdateEndpoints applies an update of the endpoint list. Entries that cannot be read are left out and reported by TakeErrors.
+// UpdateEndpoints applies an update of the endpoint list. It skips entries that cannot be parsed and adds an error for each to those that
+// TakeErrors returns.
 func (c *core) UpdateEndpoints(now float64, update discovery.Update) {
 	mode := fleet.ListDelta
 	if update.Complete {
@@ -38,7 +39,7 @@
 	for _, text := range update.Members {
 		endpoint, err := c.updateEndpoint(now, text, confirmedAt)
 		if err != nil {
-			c.errs = append(c.errs, fmt.Errorf("reading an endpoint: %w", err))
+			c.errs = append(c.errs, fmt.Errorf("parsing an endpoint list entry: %w", err))
 			continue
 		}
 		endpoints = append(endpoints, endpoint)
@@ -61,7 +62,7 @@
 	})
 }
 
-// updateEndpoint merges an entry of the list into what is known of its server.
+// updateEndpoint merges an entry of the endpoint list into the slot of its server. A new server gets a slot first.
 func (c *core) updateEndpoint(now float64, text json.RawMessage, confirmedAt float64) (fleet.Endpoint, error) {
 	entry, err := discovery.Merge(discovery.Entry{}, text)
 	if err != nil {
@@ -81,15 +82,16 @@
 	endpoint := entry.Endpoint(id, &c.config.Deployment)
 	endpoint.StartedAt = c.starts.Observe(now, entry.ID, entry.UpSince, confirmedAt)
 	c.slots[id].startedMs = endpoint.StartedAt
-	// The same ID at another address, or of a process that has started since, is another server to whoever holds connections.
+	// If the address, the start time or the zone has changed, the same ID now stands for another server, and proxies must stop sending to
+	// the previous one.
 	if known && (previous.HostPort != entry.HostPort || previous.UpSince != entry.UpSince || previous.Locality != entry.Locality) {
-		c.notePending(serverRemoved)
+		c.markPending(serverRemoved)
 	}
 	c.setState(now, id, endpoint.State)
 	return endpoint, nil
 }
 
-// setState records the state that the endpoint list gives for a server.
+// setState sets the state of a server and marks the change as pending.
 func (c *core) setState(now float64, id fleet.ServerID, state fleet.State) {
 	slot := &c.slots[id]
 	if slot.state == state {
@@ -99,14 +101,15 @@
 		slot.goneSinceMs = now
 	}
 	if slot.state == fleet.Ready {
-		c.notePending(serverRemoved)
+		c.markPending(serverRemoved)
 	} else {
-		c.notePending(membershipChanged)
+		c.markPending(membershipChanged)
 	}
 	slot.state = state
 }
 
-// allocateSlot returns a slot for a new server: that of a server gone for longer than the retention time, or an added one.
+// allocateSlot returns a slot for a new server: the slot of a server that was removed longer ago than the retention time, or else an
+// additional one.
 func (c *core) allocateSlot(now float64) fleet.ServerID {
 	for i := range c.slots {
 		slot := &c.slots[i]
@@ -128,7 +131,7 @@
 	}
 }
 
-// HasEndpoints reports whether the endpoint list has arrived.
+// HasEndpoints reports whether an endpoint list has arrived.
 func (c *core) HasEndpoints() bool { return c.hasEndpoints }
 
 // ReadyServers returns the number of cache servers in service.
--- a/internal/controlplane/controller/golden_test.go
+++ b/internal/controlplane/controller/golden_test.go
@@ -17,8 +17,7 @@
 	"mintspring/internal/state/snapshotfile"
 )
 
-// TestGolden compares the file of the learned state with one written by an earlier build: its name, its bytes, and
-// the values that are read back.
+// TestGolden compares the file of the learned state with the golden file of an earlier build: its name, its bytes, and the decoded values.
 func TestGolden(t *testing.T) {
 	now := 1_700_000_000_000.0
 	c := newStartedCore(t, now, 9, 6)
@@ -32,7 +31,7 @@
 	if got := snapshot.Append(nil, state); !bytes.Equal(got, want) {
 		t.Errorf("encoded as %x, the file has %x", got, want)
 	}
-	state.Global.Trust = 0 // neither trust nor slots are stored
+	state.Global.Trust = 0 // trust and slots are not stored
 	for i := range state.Servers {
 		state.Servers[i].ID, state.Servers[i].Trust = 0, 0
 	}
@@ -40,13 +39,13 @@
 	if err != nil || !reflect.DeepEqual(read, state) {
 		t.Fatalf("read as %+v (%v), want %+v", read, err, state)
 	}
-	d := newStartedCore(t, now, 9, 6)
-	if trust := d.RestoreState(now, read, testTrustPolicy()); trust.Global != 1 || len(trust.Servers) != 7 {
+	restarted := newStartedCore(t, now, 9, 6)
+	if trust := restarted.RestoreState(now, read, testTrustPolicy()); trust.Global != 1 || len(trust.Servers) != 7 {
 		t.Errorf("trust %+v", trust)
 	}
 }
 
-// TestGoldenFileNames pins the names in the data directory: a process of another build finds the file and the lock there.
+// TestGoldenFileNames checks the names of the files in the data directory, by which a process of another build finds the state and the lock.
 func TestGoldenFileNames(t *testing.T) {
 	dir := t.TempDir()
 	log := logrus.New()
--- a/internal/controlplane/controller/helpers_test.go
+++ b/internal/controlplane/controller/helpers_test.go
@@ -14,7 +14,7 @@
 	statesnapshot "mintspring/internal/state/snapshot"
 )
 
-// testZones are the configured zones.
+// testZones are the zones configured by testConfig.
 var testZones = []string{"a", "b", "c"}
 
 // testConfig returns the configuration of a core.
@@ -32,75 +32,77 @@
 	}
 }
 
-// serverEntry is a server of the endpoint list.
-func serverEntry(i int, phase string, since float64) json.RawMessage {
+// serverEntry returns the entry of a server in the endpoint list.
+func serverEntry(i int, phase string, startedAt float64) json.RawMessage {
 	return json.RawMessage(fmt.Sprintf(`{"id":"s%d","host_port":"127.0.0.1:%d","locality":%q,"flavor":"box","phase":%q,"up_since_ms":%f}`,
-		i, 1000+i, testZones[i%len(testZones)], phase, since))
+		i, 1000+i, testZones[i%len(testZones)], phase, startedAt))
 }
 
-// originEntry is the origin in the endpoint list.
+// originEntry is the entry of the origin in the endpoint list.
 const originEntry = `{"id":"o","host_port":"127.0.0.1:9","flavor":"origin","phase":"in_service"}`
 
-// newStartedCore returns a core with n servers and the origin in its endpoint list.
-func newStartedCore(t *testing.T, now float64, seed uint64, n int) *core {
+// newStartedCore returns a core that has received an endpoint list with servers and the origin, and has built snapshots. It also checks
+// that the core builds none before.
+func newStartedCore(t *testing.T, now float64, seed uint64, servers int) *core {
 	t.Helper()
 	c := newCore(now, testConfig(seed))
-	u := discovery.Update{Revision: 1, Complete: true, Members: []json.RawMessage{json.RawMessage(originEntry)}}
-	for i := range n {
-		u.Members = append(u.Members, serverEntry(i, discovery.PhaseInService, 0))
+	update := discovery.Update{Revision: 1, Complete: true, Members: []json.RawMessage{json.RawMessage(originEntry)}}
+	for i := range servers {
+		update.Members = append(update.Members, serverEntry(i, discovery.PhaseInService, 0))
 	}
 	if c.Step(now).SnapshotsBuilt {
-		t.Error("snapshots built before the endpoint list has arrived: proxies would take every server for gone")
+		t.Error("snapshots built before the endpoint list has arrived: proxies would consider every server removed")
 	}
-	c.UpdateEndpoints(now, u)
+	c.UpdateEndpoints(now, update)
 	if !c.Step(now).SnapshotsBuilt {
-		t.Fatal("no snapshots of the endpoint list")
+		t.Fatal("no snapshots built after the endpoint list has arrived")
 	}
 	return c
 }
 
-// cacheOf returns the ring cache of a proxy that has applied a snapshot.
-func cacheOf(t *testing.T, v *snapshot.Snapshot) *ringcache.Cache {
+// cacheOf returns the ring cache of a proxy that has applied the given snapshot.
+func cacheOf(t *testing.T, built *snapshot.Snapshot) *ringcache.Cache {
 	t.Helper()
-	h := ringcache.New("boxes")
+	cache := ringcache.New("boxes")
 	parts := map[string][]byte{}
-	for _, x := range v.Resources(snapshot.RingPartType).Items {
-		parts[x.Name] = x.Body.Value
+	for _, resource := range built.Resources(snapshot.RingPartType).Items {
+		parts[resource.Name] = resource.Body.Value
 	}
-	if applied, err := h.Apply(ringcache.Update{Complete: true, Parts: parts}); !applied || err != nil {
+	if applied, err := cache.Apply(ringcache.Update{Complete: true, Parts: parts}); !applied || err != nil {
 		t.Fatalf("a complete snapshot is not applied: %v", err)
 	}
-	if h.Digest() != v.Digest {
-		t.Fatalf("cached digest %x, built %x", h.Digest(), v.Digest)
+	if cache.Digest() != built.Digest {
+		t.Fatalf("cached digest %x, built %x", cache.Digest(), built.Digest)
 	}
-	return h
+	return cache
 }
 
-// moduleOwner returns where the decision module itself, as in a node, sends a request of a key. The attempt is never made.
-func moduleOwner(m *zoneModule, now float64, key fleet.Key) fleet.ServerID {
-	q := m.slab.Alloc()
-	q.Key, q.HasKey, q.ArrivedAt, q.Deadline = key, true, now, now+1000
-	q.Stage = 5 // a rerouted request, which is not counted when hot keys are detected
-	mv := m.Route(now, q)
+// moduleOwner returns the server to which the decision module routes a request for a key, as it does in a node. The attempt is reported as
+// not sent.
+func moduleOwner(module *zoneModule, now float64, key fleet.Key) fleet.ServerID {
+	request := module.slab.Alloc()
+	request.Key, request.HasKey, request.ArrivedAt, request.Deadline = key, true, now, now+1000
+	request.Stage = 5 // a rerouted request, which the detection of hot keys does not count
+	decision := module.Route(now, request)
 	id := fleet.NoServer
-	if mv.Action == fleet.Send {
-		id = mv.Server
-		m.AttemptDone(now, q, fleet.Outcome{Attempt: mv.Attempt, Result: fleet.NotSent, Closed: true, Report: fleet.NewLoadReport()})
+	if decision.Action == fleet.Send {
+		id = decision.Server
+		module.AttemptDone(now, request, fleet.Outcome{Attempt: decision.Attempt, Result: fleet.NotSent, Closed: true, Report: fleet.NewLoadReport()})
 	}
-	m.slab.Free(q)
+	module.slab.Free(request)
 	return id
 }
 
-// addReports lets proxies report loads that differ, so that ring points are adjusted.
+// addReports adds load reports of three proxies in each round. The loads of the servers differ, so that ring points are adjusted.
 func addReports(c *core, now *float64, servers, rounds int) {
 	for range rounds {
-		for _, p := range []string{"p1", "p2", "p3"} {
+		for _, proxy := range []string{"p1", "p2", "p3"} {
 			reports := map[string]loadreport.Report{}
 			for i := range servers {
-				u := 0.1 + 0.8*fleet.UnitInterval(uint64(i)*1000+uint64(*now)) // none stays the busiest
-				reports[fmt.Sprintf("127.0.0.1:%d", 1000+i)] = loadreport.Report{Utilization: u, QueueLength: u, HitRate: 0.8, Responses: 100}
+				utilization := 0.1 + 0.8*fleet.UnitInterval(uint64(i)*1000+uint64(*now)) // changes in each round, so that no server always has the highest load
+				reports[fmt.Sprintf("127.0.0.1:%d", 1000+i)] = loadreport.Report{Utilization: utilization, QueueLength: utilization, HitRate: 0.8, Responses: 100}
 			}
-			c.AddLoadReports(*now, p, reports)
+			c.AddLoadReports(*now, proxy, reports)
 		}
 		for range 10 {
 			*now += 100
@@ -109,7 +111,7 @@
 	}
 }
 
-// testTrustPolicy trusts recent state of the same process name.
+// testTrustPolicy returns a policy that trusts recent state saved under the same node name.
 func testTrustPolicy() statesnapshot.Config {
 	return statesnapshot.Config{HalfLife: 600_000, MaxAge: 86_400_000, PolicyFingerprint: 1, Node: "control"}
 }
--- a/internal/controlplane/controller/simulation_test.go
+++ b/internal/controlplane/controller/simulation_test.go
@@ -19,8 +19,8 @@
 	"mintspring/internal/node/discovery"
 )
 
-// simulation is a control plane and its proxies on a virtual clock: the real core, streams and ring caches, and links between them
-// that delay messages, stall without closing, lose a message, or break. It is deterministic for a seed.
+// simulation runs a control plane and its proxies on a virtual clock: the real core, streams and ring caches, connected by simulated links.
+// A link delays messages, and faults make it stall without closing, lose a message or break. The result depends only on the seed.
 type simulation struct {
 	t      *testing.T
 	seed   uint64
@@ -30,23 +30,23 @@
 	seq    int
 	core   *core
 
-	proxies       []*simulatedProxy
-	digests       map[string]uint64  // of all snapshots built, by version and zone index
-	drainingSince map[string]float64 // by server ID
-	longest       float64            // ms from a drain being known to the control plane to the last new request at the server
-	requests      int
-	unusable      int // requests that found no usable snapshot
-	applied       int // snapshots applied by proxies
+	proxies           []*simulatedProxy
+	digests           map[string]uint64  // digests of all snapshots built, by version and zone index
+	drainingSince     map[string]float64 // start of the drain, ms, by server ID
+	longestDrainLagMs float64            // largest time from a drain's arrival at the control plane to a new request at the server
+	requests          int
+	unusable          int // requests that found no usable snapshot
+	applied           int // snapshots applied by proxies
 }
 
-// simulatedEvent is a call at a time; those at one time keep their order.
+// simulatedEvent is a scheduled call. Calls at the same time run in the order in which they were scheduled.
 type simulatedEvent struct {
-	at  float64
-	seq int
-	do  func()
+	at   float64
+	seq  int
+	call func()
 }
 
-// eventQueue implements heap.Interface.
+// eventQueue implements heap.Interface, ordered by time.
 type eventQueue []simulatedEvent
 
 func (e eventQueue) Len() int { return len(e) }
@@ -57,18 +57,18 @@
 func (e *eventQueue) Push(x any)   { *e = append(*e, x.(simulatedEvent)) }
 func (e *eventQueue) Pop() any     { x := (*e)[len(*e)-1]; *e = (*e)[:len(*e)-1]; return x }
 
-// after calls a function so many milliseconds from now.
-func (s *simulation) after(ms float64, do func()) {
+// after schedules a call in the given number of milliseconds.
+func (s *simulation) after(ms float64, call func()) {
 	s.seq++
-	heap.Push(&s.events, simulatedEvent{s.now + ms, s.seq, do})
+	heap.Push(&s.events, simulatedEvent{s.now + ms, s.seq, call})
 }
 
-// run handles the events until a time.
+// run executes all events up to a time.
 func (s *simulation) run(until float64) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		e := heap.Pop(&s.events).(simulatedEvent)
 		s.now = e.at
-		e.do()
+		e.call()
 	}
 	s.now = until
 }
@@ -76,19 +76,19 @@
 // ListAgeMs implements stream.Source.
 func (s *simulation) ListAgeMs() float64 { return 0 }
 
-// simulatedProxy is one proxy and its link to the control plane.
+// simulatedProxy is a proxy with its link to the control plane.
 type simulatedProxy struct {
 	sim            *simulation
 	variant        stream.Variant
 	zone           int
-	clockOffset    float64 // ms that its clock is ahead
+	clockOffset    float64 // ms by which the proxy's clock is ahead
 	cache          *ringcache.Cache
 	stream         *stream.Stream // the control plane's end; nil: disconnected
-	link           int            // number of the current link
-	stalled        bool           // nothing is delivered until it ends
-	loseNext       bool           // the next message to the proxy is lost, and the link stalls
-	queue          []func()       // deliveries that wait for the end of a stall
-	lastArrival    [2]float64     // by direction, ms; messages keep their order
+	link           int            // number of the current link; deliveries on earlier links are dropped
+	stalled        bool           // messages are queued, not delivered
+	loseNext       bool           // the next message to the proxy is lost and the link stalls
+	queue          []func()       // deliveries delayed by a stall
+	lastArrival    [2]float64     // ms, by direction; keeps messages in order
 	leaseGrantedAt float64
 	leaseRequests  int
 	previousLease  string
@@ -102,31 +102,31 @@
 	fromProxy
 )
 
-// deliver carries a message over the current link.
-func (p *simulatedProxy) deliver(way direction, do func()) {
+// deliver schedules the delivery of a message over the current link.
+func (p *simulatedProxy) deliver(dir direction, call func()) {
 	link := p.link
-	once := func() {
+	deliverIfConnected := func() {
 		if p.link == link {
-			do()
+			call()
 		}
 	}
-	p.lastArrival[way] = max(p.lastArrival[way], p.sim.now+1+p.sim.rnd.Float64()*2)
-	p.sim.after(p.lastArrival[way]-p.sim.now, func() {
+	p.lastArrival[dir] = max(p.lastArrival[dir], p.sim.now+1+p.sim.rnd.Float64()*2)
+	p.sim.after(p.lastArrival[dir]-p.sim.now, func() {
 		if p.stalled {
-			p.queue = append(p.queue, once)
+			p.queue = append(p.queue, deliverIfConnected)
 			return
 		}
-		once()
+		deliverIfConnected()
 	})
 }
 
-// connect opens a new link and subscribes to the ring.
-func (p *simulatedProxy) connect(forget bool) {
+// connect opens a new link and subscribes to the ring parts. With forgetVersion it does not state the version that the proxy holds.
+func (p *simulatedProxy) connect(forgetVersion bool) {
 	p.link++
 	p.stalled, p.loseNext, p.queue, p.leaseGrantedAt, p.previousLease = false, false, nil, p.sim.now, ""
 	p.stream = stream.New(p.variant, stream.Limits{MaxNames: 100, MaxNameBytes: 100, LeaseMs: 400}, p.sim, p.sim.core.Snapshots()[p.zone])
 	r := &stream.Request{TypeURL: snapshot.RingPartType, InitialVersions: map[string]string{}}
-	if forget {
+	if forgetVersion {
 		p.cache.ForgetVersion()
 	}
 	held := p.cache.Versions()
@@ -138,22 +138,22 @@
 	p.send(r)
 }
 
-// send sends a request.
+// send delivers a request to the control plane, which first raises its epoch if the proxy holds a newer version.
 func (p *simulatedProxy) send(r *stream.Request) {
 	current := p.stream
 	p.deliver(fromProxy, func() {
-		if n, ok := r.HeldVersion(); ok && p.sim.core.Snapshots()[p.zone].Version.Before(n) && p.sim.core.ObserveVersion(p.sim.now, n) {
+		if held, ok := r.HeldVersion(); ok && p.sim.core.Snapshots()[p.zone].Version.Before(held) && p.sim.core.ObserveVersion(p.sim.now, held) {
 			p.sim.step()
 		}
 		if err := current.HandleRequest(r); err != nil {
 			p.sim.t.Fatal(err)
 		}
-		p.pump()
+		p.sendDueResponses()
 	})
 }
 
-// pump sends the responses that the stream has due.
-func (p *simulatedProxy) pump() {
+// sendDueResponses sends the responses that are due on the stream.
+func (p *simulatedProxy) sendDueResponses() {
 	if p.stream == nil {
 		return
 	}
@@ -163,7 +163,7 @@
 		if !due {
 			return
 		}
-		if p.loseNext { // the connection hangs from here on
+		if p.loseNext { // this message is lost, and the link stalls
 			p.stalled = true
 			return
 		}
@@ -174,19 +174,19 @@
 // receive applies a response and acknowledges it.
 func (p *simulatedProxy) receive(r stream.Response) {
 	if r.TypeURL == snapshot.LeaseType {
-		for _, x := range r.Resources {
-			var l wire.Lease
-			if err := proto.Unmarshal(x.Body.Value, &l); err != nil {
+		for _, resource := range r.Resources {
+			var lease wire.Lease
+			if err := proto.Unmarshal(resource.Body.Value, &lease); err != nil {
 				p.sim.t.Fatal(err)
 			}
-			p.cache.ApplyLease(&l)
+			p.cache.ApplyLease(&lease)
 			p.leaseGrantedAt = p.sim.now
 		}
 		return
 	}
 	parts := map[string][]byte{}
-	for _, x := range r.Resources {
-		parts[x.Name] = x.Body.Value
+	for _, resource := range r.Resources {
+		parts[resource.Name] = resource.Body.Value
 	}
 	applied, err := p.cache.Apply(ringcache.Update{Complete: p.variant == stream.StateOfTheWorld, Parts: parts, Removed: r.Removed})
 	ack := &stream.Request{TypeURL: r.TypeURL, Version: r.Version, ResponseNonce: r.Nonce}
@@ -194,16 +194,16 @@
 		ack.ErrorDetail = err.Error()
 	}
 	if applied {
-		n, _ := p.cache.Version()
+		version, _ := p.cache.Version()
 		p.sim.applied++
-		if want, built := p.sim.digests[fmt.Sprint(n, p.zone)]; !built || p.cache.Digest() != want {
-			p.sim.t.Fatalf("applied snapshot %v of zone %d was never built", n, p.zone)
+		if want, built := p.sim.digests[fmt.Sprint(version, p.zone)]; !built || p.cache.Digest() != want {
+			p.sim.t.Fatalf("applied snapshot %v of zone %d was never built", version, p.zone)
 		}
 	}
 	p.send(ack)
 }
 
-// requestLeases requests a lease at an interval, and disconnects if none are granted.
+// requestLeases requests a lease every 100 ms. It disconnects if none has been granted for a second.
 func (p *simulatedProxy) requestLeases() {
 	p.sim.after(100, p.requestLeases)
 	if p.stream == nil {
@@ -220,19 +220,20 @@
 	p.send(r)
 }
 
-// disconnect breaks the link. The proxy reconnects, at times without stating the version that it holds.
+// disconnect breaks the link and schedules a reconnect. In a third of the cases the proxy then does not state the version that it holds.
 func (p *simulatedProxy) disconnect() {
 	p.link++
 	p.stream = nil
-	link, forget := p.link, p.sim.rnd.IntN(3) == 0
+	link, forgetVersion := p.link, p.sim.rnd.IntN(3) == 0
 	p.sim.after(20+p.sim.rnd.Float64()*300, func() {
 		if p.link == link {
-			p.connect(forget)
+			p.connect(forgetVersion)
 		}
 	})
 }
 
-// routeRequest routes one new request by the ring cache, if that is usable.
+// routeRequest looks up the server for a new request every 10 ms. It counts the requests without a usable snapshot and records how long
+// after a drain a draining server was still selected.
 func (p *simulatedProxy) routeRequest() {
 	p.sim.after(10, p.routeRequest)
 	p.sim.requests++
@@ -244,12 +245,12 @@
 	if owner == nil {
 		return
 	}
-	if at, is := p.sim.drainingSince[owner.ID]; is {
-		p.sim.longest = max(p.sim.longest, p.sim.now-at)
+	if since, draining := p.sim.drainingSince[owner.ID]; draining {
+		p.sim.longestDrainLagMs = max(p.sim.longestDrainLagMs, p.sim.now-since)
 	}
 }
 
-// injectFault disconnects or stalls the link, or loses a message.
+// injectFault breaks or stalls the link, or loses a message. A stall ends with the delivery of the delayed messages or with a disconnect.
 func (p *simulatedProxy) injectFault() {
 	switch p.sim.rnd.IntN(4) {
 	case 0:
@@ -262,11 +263,11 @@
 		p.sim.after(50+p.sim.rnd.Float64()*1500, func() {
 			switch {
 			case p.link != link:
-			case resumes: // what was on its way arrives now, late
-				late := p.queue
+			case resumes: // the delayed messages arrive now
+				delayed := p.queue
 				p.stalled, p.queue = false, nil
-				for _, do := range late {
-					do()
+				for _, call := range delayed {
+					call()
 				}
 			default:
 				p.disconnect()
@@ -275,24 +276,24 @@
 	}
 }
 
-// step steps the core and sends new snapshots to the proxies.
+// step runs a step of the core and sends new snapshots to the proxies.
 func (s *simulation) step() {
 	if s.core.Step(s.now).SnapshotsBuilt {
 		s.recordDigests()
 		for _, p := range s.proxies {
-			p.pump()
+			p.sendDueResponses()
 		}
 	}
 }
 
-// recordDigests notes the digests of the newest snapshots.
+// recordDigests records the digests of the newest snapshots.
 func (s *simulation) recordDigests() {
 	for zone, built := range s.core.Snapshots() {
 		s.digests[fmt.Sprint(built.Version, zone)] = built.Digest
 	}
 }
 
-// newSimulation returns a simulation with servers, and proxies that are connecting.
+// newSimulation returns a simulation with servers in service and proxies that are connecting.
 func newSimulation(t *testing.T, seed uint64, servers, proxies int, variant stream.Variant) *simulation {
 	s := &simulation{t: t, seed: seed, rnd: rand.New(rand.NewPCG(seed, 1)), now: 1e6, digests: map[string]uint64{}, drainingSince: map[string]float64{}}
 	s.core = newStartedCore(t, s.now, seed, servers)
@@ -304,30 +305,30 @@
 		s.after(s.rnd.Float64()*100, p.requestLeases)
 		s.after(s.rnd.Float64()*4, p.routeRequest)
 	}
-	var ticks func()
-	ticks = func() { s.after(20, ticks); s.step() }
-	s.after(10, ticks)
+	var tick func()
+	tick = func() { s.after(20, tick); s.step() }
+	s.after(10, tick)
 	return s
 }
 
-// addLoads reports loads that differ, at an interval, so that ring points are adjusted.
-func (s *simulation) addLoads(servers int) {
-	s.after(250, func() { s.addLoads(servers) })
+// addLoadReports adds load reports of two proxies every 250 ms. The loads of the servers differ, so that ring points are adjusted.
+func (s *simulation) addLoadReports(servers int) {
+	s.after(250, func() { s.addLoadReports(servers) })
 	for _, proxy := range []string{"p1", "p2"} {
 		reports := map[string]loadreport.Report{}
 		for i := range servers {
-			u := 0.5 + 0.4*float64((i*7+int(s.now/1000))%10-5)/10
-			reports[fmt.Sprintf("127.0.0.1:%d", 1000+i)] = loadreport.Report{Utilization: u, QueueLength: u, HitRate: 0.5, Responses: 9}
+			utilization := 0.5 + 0.4*float64((i*7+int(s.now/1000))%10-5)/10
+			reports[fmt.Sprintf("127.0.0.1:%d", 1000+i)] = loadreport.Report{Utilization: utilization, QueueLength: utilization, HitRate: 0.5, Responses: 9}
 		}
 		s.core.AddLoadReports(s.now, proxy, reports)
 	}
 }
 
-// setPhase lets discovery list a server with a phase.
-func (s *simulation) setPhase(i int, phase string, since float64) {
-	if s.core.UpdateEndpoints(s.now, discovery.Update{Members: []json.RawMessage{serverEntry(i, phase, since)}}); phase == discovery.PhaseInService {
+// setPhase updates the phase of a server in the endpoint list, and records when a drain starts or ends.
+func (s *simulation) setPhase(i int, phase string, startedAt float64) {
+	if s.core.UpdateEndpoints(s.now, discovery.Update{Members: []json.RawMessage{serverEntry(i, phase, startedAt)}}); phase == discovery.PhaseInService {
 		delete(s.drainingSince, fmt.Sprint("s", i))
-	} else if _, is := s.drainingSince[fmt.Sprint("s", i)]; !is {
+	} else if _, draining := s.drainingSince[fmt.Sprint("s", i)]; !draining {
 		s.drainingSince[fmt.Sprint("s", i)] = s.now
 	}
 	s.step()
