--- a/cmd/mintspring/peers.go
+++ b/cmd/mintspring/peers.go
@@ -73,14 +73,14 @@
 	p.Printf("  node %-4d %-8s started at %s, %s\n", m.Node, m.State, startedAt, heard)
 }
 
-func printQuota(p *cli.Printer, a *quota.Account) {
+func printQuota(p *cli.Printer, a *quota.BudgetStatus) {
 	scale, unit := 100.0, "%"
 	if a.FromTraffic {
 		scale, unit = 1000, " a second"
 	}
 	amount := func(units uint32) string { return fmt.Sprintf("%.1f%s", scale*float64(units)/quota.TotalUnits, unit) }
 	p.Printf("  %s: %s own, %s borrowed, %s lent, %s needed\n", displayName(a.Name, "quota", a.Budget),
-		amount(a.Own), amount(a.Borrowed), amount(a.Lent), amount(a.Demand))
+		amount(a.OwnUnits), amount(a.BorrowedUnits), amount(a.LentUnits), amount(a.DemandUnits))
 }
 
 // verdictNames are what other nodes say of a server.
--- a/internal/cluster/gossip/exchange.go
+++ b/internal/cluster/gossip/exchange.go
@@ -41,7 +41,7 @@
 // pushEvidence updates the evidence. If some of it is new, it adds messages to random nodes, which fill completes with the evidence.
 func (n *Node) pushEvidence(now float64, out []*wire.Message) []*wire.Message {
 	n.outlierChanges = append(n.outlierChanges, n.outliers.Tick(now, n.membership.MemberCount())...)
-	if now < n.nextPushAt || !n.outliers.TakeUnsent() {
+	if now < n.nextPushAt || !n.outliers.TakeNewEvidenceFlag() {
 		return out
 	}
 	n.nextPushAt = now + n.config.ProbeIntervalMs/pushesPerPeriod
@@ -71,9 +71,9 @@
 
 // detectExpiredLeases marks the budgets for which this node may spend a different number of its own units because leases have expired.
 func (n *Node) detectExpiredLeases(now float64) {
-	for _, account := range n.quotas.Accounts(now) {
-		if account.Own != n.ownUnits[account.Budget] {
-			n.markChanged(account.Budget)
+	for _, status := range n.quotas.Status(now) {
+		if status.OwnUnits != n.ownUnits[status.Budget] {
+			n.markChanged(status.Budget)
 		}
 	}
 }
--- a/internal/cluster/gossip/node.go
+++ b/internal/cluster/gossip/node.go
@@ -32,7 +32,7 @@
 
 // QuotaConfig returns the part of the configuration that concerns quotas.
 func (c Config) QuotaConfig() quota.Config {
-	return quota.Config{Self: c.Self, Founders: c.QuotaOwners, MaxNodes: c.MaxNodes, LeaseMs: c.LeaseMs}
+	return quota.Config{Self: c.Self, QuotaOwners: c.QuotaOwners, MaxNodes: c.MaxNodes, LeaseMs: c.LeaseMs}
 }
 
 // ReceiveStats counts received datagrams.
@@ -172,7 +172,7 @@
 func (n *Node) DrainAllowances(now float64, apply func(budget uint32, a quota.Allowance)) {
 	for _, budget := range n.changedBudgets {
 		allowance := n.quotas.Allowance(now, budget)
-		n.ownUnits[budget] = allowance.Own
+		n.ownUnits[budget] = allowance.OwnUnits
 		apply(budget, allowance)
 	}
 	n.changedBudgets = n.changedBudgets[:0]
--- a/internal/cluster/gossip/simulated.go
+++ b/internal/cluster/gossip/simulated.go
@@ -47,5 +47,5 @@
 		allowance = s.Allowance(now, budget)
 		s.Allowances[budget] = allowance // in effect until it changes, as in a connection pool
 	}
-	return allowance.At(now)
+	return allowance.ShareAt(now)
 }
--- a/internal/cluster/gossip/status.go
+++ b/internal/cluster/gossip/status.go
@@ -29,7 +29,7 @@
 	IDConflicts int                     `json:"others_under_this_number"`
 	Received    ReceiveStats            `json:"heard"`
 	Members     []MemberStatus          `json:"members"`
-	Budgets     []quota.Account         `json:"budgets"`
+	Budgets     []quota.BudgetStatus    `json:"budgets"`
 	Servers     []outlier.ServerStatus  `json:"servers"`
 	Counters    map[string]counters.Sum `json:"counts"`
 
@@ -51,7 +51,7 @@
 		IDConflicts: n.membership.IDConflicts(),
 		Received:    n.received,
 		Members:     n.memberStatuses(now),
-		Budgets:     n.quotas.Accounts(now),
+		Budgets:     n.quotas.Status(now),
 		Servers:     n.outliers.Status(now),
 
 		Counters:        map[string]counters.Sum{},
--- a/internal/cluster/outlier/gossip.go
+++ b/internal/cluster/outlier/gossip.go
@@ -36,8 +36,8 @@
 	}
 }
 
-// TakeUnsent reports whether there is new evidence since the last call.
-func (d *Detector) TakeUnsent() bool {
+// TakeNewEvidenceFlag reports whether there is new evidence since the last call.
+func (d *Detector) TakeNewEvidenceFlag() bool {
 	unsent := d.unsent
 	d.unsent = false
 	return unsent
--- a/internal/cluster/participant/participant.go
+++ b/internal/cluster/participant/participant.go
@@ -221,7 +221,7 @@
 
 // slowStartLeases converts the leases of an allowance to those of package slowstart.
 func slowStartLeases(allowance quota.Allowance) slowstart.Leases {
-	leases := slowstart.Leases{Lent: float64(allowance.Lent) / quota.TotalUnits}
+	leases := slowstart.Leases{Lent: float64(allowance.LentUnits) / quota.TotalUnits}
 	for _, lease := range allowance.Leases[:allowance.LeaseCount] {
 		leases.Borrowed[leases.Count] = slowstart.Lease{Rate: float64(lease.Units) / quota.TotalUnits, Until: lease.ExpiresAt}
 		leases.Count++
--- a/internal/cluster/participant/participant_test.go
+++ b/internal/cluster/participant/participant_test.go
@@ -61,7 +61,7 @@
 func (h *testHost) Demand(float64, fleet.ServerID) float64 { return h.demand }
 
 func (h *testHost) SetAllowance(now float64, server fleet.ServerID, allowance quota.Allowance) {
-	h.allowed[server] = allowance.At(now)
+	h.allowed[server] = allowance.ShareAt(now)
 }
 
 func (h *testHost) SlowStartQuota(_ float64, server fleet.ServerID) (own, demand float64) {
--- a/internal/cluster/quota/allowance.go
+++ b/internal/cluster/quota/allowance.go
@@ -3,8 +3,8 @@
 // Allowance is what a node may spend of a budget. It stays valid without updates: leases in it expire by themselves.
 type Allowance struct {
 	MaxNodes   int    // nodes that the fleet may have
-	Own        uint32 // units, until some of them are leased out, which yields a new Allowance
-	Lent       uint32 // units missing of a quota that follows from this node's traffic, which the node knows better by then
+	OwnUnits   uint32 // units, until some of them are leased out, which yields a new Allowance
+	LentUnits  uint32 // units missing of a quota that follows from this node's traffic, which the node knows better by then
 	Leases     [maxAllowanceLeases]Lease
 	LeaseCount int // of Leases that are in use
 }
@@ -15,9 +15,9 @@
 	ExpiresAt float64 // ms
 }
 
-// At returns what may be spent at a time, as a share of the whole budget. A process that was suspended gets only what has not expired.
-func (a *Allowance) At(now float64) float64 {
-	return float64(a.Own)/TotalUnits + a.borrowed(now)
+// ShareAt returns what may be spent at a time, as a share of the whole budget. A process that was suspended gets only what has not expired.
+func (a *Allowance) ShareAt(now float64) float64 {
+	return float64(a.OwnUnits)/TotalUnits + a.borrowed(now)
 }
 
 // borrowed returns the borrowed part of what may be spent at a time, as a share of the whole budget.
--- a/internal/cluster/quota/borrow.go
+++ b/internal/cluster/quota/borrow.go
@@ -7,15 +7,15 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// Request is a request for a lease and the node that it is sent to.
-type Request struct {
+// LeaseRequest is a request for a lease and the node that it is sent to.
+type LeaseRequest struct {
 	To           cluster.NodeID
 	FromTraffic  bool // for units of a quota that follows from the lender's traffic
 	QuotaRequest wire.QuotaRequest
 }
 
 // Tick drops what has expired and returns the requests for the units that are missing. Only members are asked.
-func (l *Ledger) Tick(now float64, isMember func(cluster.NodeID) bool) (out []Request) {
+func (l *Ledger) Tick(now float64, isMember func(cluster.NodeID) bool) (out []LeaseRequest) {
 	l.budgetOrder = slices.DeleteFunc(l.budgetOrder, func(id uint32) bool {
 		b := l.budgets[id]
 		b.dropExpired(now, l.config.LeaseMs)
@@ -43,7 +43,7 @@
 }
 
 // requestLeases returns the requests for what is missing of a budget, and the renewals of leases that expire soon.
-func (l *Ledger) requestLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool) []Request {
+func (l *Ledger) requestLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool) []LeaseRequest {
 	target, available := l.targetUnits(now, b), l.availableUnits(now, b)
 	needed := target - min(target, available)
 	held := uint32(0)
@@ -57,7 +57,7 @@
 }
 
 // renewLeases returns the requests that renew the leases that expire soon, as far as they are needed, each with an extra number of units.
-func (l *Ledger) renewLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool, needed, extra uint32) (out []Request) {
+func (l *Ledger) renewLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool, needed, extra uint32) (out []LeaseRequest) {
 	for _, lease := range b.held {
 		if needed == 0 {
 			break
@@ -73,7 +73,7 @@
 }
 
 // requestNewLeases returns requests for the missing units to the next few lenders in turn.
-func (l *Ledger) requestNewLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool, missing, perLender uint32) (out []Request) {
+func (l *Ledger) requestNewLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool, missing, perLender uint32) (out []LeaseRequest) {
 	lenders := l.lenderCount(b)
 	for range lenders {
 		if len(out) >= lendersPerRound || missing == 0 {
@@ -95,7 +95,7 @@
 	if b.fromTraffic {
 		return l.config.MaxNodes
 	}
-	return l.config.Founders
+	return l.config.QuotaOwners
 }
 
 // mayAsk reports whether a lender may be asked for a new lease.
@@ -114,10 +114,10 @@
 }
 
 // request records and returns a request.
-func (l *Ledger) request(now float64, b *budgetState, lender cluster.NodeID, units uint32) Request {
+func (l *Ledger) request(now float64, b *budgetState, lender cluster.NodeID, units uint32) LeaseRequest {
 	l.seq++
 	b.pending = append(b.pending, pendingRequest{lender: lender, seq: l.seq, sentAt: now})
-	return Request{
+	return LeaseRequest{
 		To:           lender,
 		FromTraffic:  b.fromTraffic,
 		QuotaRequest: wire.QuotaRequest{Budget: b.id, Seq: l.seq, Units: units},
--- a/internal/cluster/quota/bucket.go
+++ b/internal/cluster/quota/bucket.go
@@ -19,7 +19,7 @@
 // Take spends one unit of work of a budget of perSecond, if the allowance permits that now. If not, it returns the time of the next attempt;
 // +Inf stands for the next change of the allowance.
 func (b *Bucket) Take(now, perSecond float64, allowance *Allowance) (ok bool, retryAt float64) {
-	rate := perSecond / 1000 * allowance.At(now)
+	rate := perSecond / 1000 * allowance.ShareAt(now)
 	if rate <= 0 {
 		return false, math.Inf(1)
 	}
--- a/internal/cluster/quota/bucket_test.go
+++ b/internal/cluster/quota/bucket_test.go
@@ -12,8 +12,8 @@
 	rapid.Check(t, func(t *rapid.T) {
 		var bucket Bucket
 		perSecond := rapid.Float64Range(0.5, 500).Draw(t, "per second")
-		allowance := Allowance{Own: uint32(rapid.IntRange(1, TotalUnits).Draw(t, "own"))}
-		rate := perSecond / 1000 * allowance.At(0)
+		allowance := Allowance{OwnUnits: uint32(rapid.IntRange(1, TotalUnits).Draw(t, "own"))}
+		rate := perSecond / 1000 * allowance.ShareAt(0)
 		var taken []float64
 		now := 1000.0
 		for range 300 {
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -31,10 +31,10 @@
 
 // Config holds the parameters of a Ledger. All nodes of a fleet use the same values, except for Self.
 type Config struct {
-	Self     cluster.NodeID
-	Founders int     // the nodes below this number own the units above the floors
-	MaxNodes int     // node ids are below this number
-	LeaseMs  float64 // duration of a lease
+	Self        cluster.NodeID
+	QuotaOwners int     // the nodes below this number own the units above the floors
+	MaxNodes    int     // node ids are below this number
+	LeaseMs     float64 // duration of a lease
 }
 
 const (
@@ -59,15 +59,17 @@
 // floor returns the units that every node owns, whatever it receives.
 func (c Config) floor() uint32 { return uint32(floorShare * TotalUnits / float64(c.MaxNodes)) }
 
-// Initial returns the allowance of a node that has not received anything yet: it may have replaced a process that still spends.
-func (c Config) Initial() Allowance { return Allowance{MaxNodes: c.MaxNodes, Own: c.floor()} }
+// InitialAllowance returns the allowance of a node that has not received anything yet: it may have replaced a process that still spends.
+func (c Config) InitialAllowance() Allowance {
+	return Allowance{MaxNodes: c.MaxNodes, OwnUnits: c.floor()}
+}
 
 // ownedUnits returns the units that belong to this node besides its floor.
 func (c Config) ownedUnits() uint32 {
-	if int(c.Self) >= c.Founders {
+	if int(c.Self) >= c.QuotaOwners {
 		return 0
 	}
-	return uint32((TotalUnits - float64(c.MaxNodes)*float64(c.floor())) / float64(c.Founders))
+	return uint32((TotalUnits - float64(c.MaxNodes)*float64(c.floor())) / float64(c.QuotaOwners))
 }
 
 // lenderLeaseMs returns the time after which the lender considers a lease expired.
--- a/internal/cluster/quota/golden_test.go
+++ b/internal/cluster/quota/golden_test.go
@@ -14,7 +14,7 @@
 func goldenScript() (sent []*wire.Message, allowances []Allowance) {
 	var ledgers [3]*Ledger
 	for i := range ledgers {
-		ledgers[i] = New(1000, Config{Self: cluster.NodeID(i), Founders: 2, MaxNodes: 3, LeaseMs: leaseMs}, cluster.Incarnation(0x0011223344550000+i))
+		ledgers[i] = New(1000, Config{Self: cluster.NodeID(i), QuotaOwners: 2, MaxNodes: 3, LeaseMs: leaseMs}, cluster.Incarnation(0x0011223344550000+i))
 	}
 	for now := 1000.0 + 2*leaseMs; now < 1000+5*leaseMs; now += 0.4 * leaseMs {
 		for i, ledger := range ledgers {
--- a/internal/cluster/quota/ledger.go
+++ b/internal/cluster/quota/ledger.go
@@ -62,7 +62,7 @@
 
 // New returns the ledger of a node that has just started.
 func New(now float64, config Config, incarnation cluster.Incarnation) *Ledger {
-	config.Founders = max(1, min(config.Founders, config.MaxNodes))
+	config.QuotaOwners = max(1, min(config.QuotaOwners, config.MaxNodes))
 	return &Ledger{
 		config:         config,
 		incarnationTag: incarnation.Tag(),
@@ -100,9 +100,9 @@
 	if b == nil {
 		b = &budgetState{}
 	}
-	allowance := Allowance{MaxNodes: l.config.MaxNodes, Own: l.availableUnits(now, b)}
+	allowance := Allowance{MaxNodes: l.config.MaxNodes, OwnUnits: l.availableUnits(now, b)}
 	if b.fromTraffic {
-		allowance.Lent = l.missingTrafficUnits(now, b)
+		allowance.LentUnits = l.missingTrafficUnits(now, b)
 	}
 	for _, lease := range b.held {
 		if now < lease.expiresAt {
@@ -120,31 +120,31 @@
 	return l.lentUnits(now, b)
 }
 
-// Account is the state of one budget as its operators see it. Amounts are in units.
-type Account struct {
-	Budget      uint32 `json:"Budget"`
-	Name        string `json:"Text"`    // empty where this node does not know it
-	FromTraffic bool   `json:"ByTrade"` // the quota follows from traffic: TotalUnits stand for one unit of work per ms
-	Own         uint32 `json:"Own"`     // may be spent of this node's own units
-	Borrowed    uint32 `json:"Borrowed"`
-	Lent        uint32 `json:"Lent"`
-	Demand      uint32 `json:"Need"` // including headroom
+// BudgetStatus is the state of one budget as its operators see it. Amounts are in units.
+type BudgetStatus struct {
+	Budget        uint32 `json:"Budget"`
+	Name          string `json:"Text"`    // empty where this node does not know it
+	FromTraffic   bool   `json:"ByTrade"` // the quota follows from traffic: TotalUnits stand for one unit of work per ms
+	OwnUnits      uint32 `json:"Own"`     // may be spent of this node's own units
+	BorrowedUnits uint32 `json:"Borrowed"`
+	LentUnits     uint32 `json:"Lent"`
+	DemandUnits   uint32 `json:"Need"` // including headroom
 }
 
-// Accounts returns the state of all budgets in use.
-func (l *Ledger) Accounts(now float64) (accounts []Account) {
+// Status returns the state of all budgets in use.
+func (l *Ledger) Status(now float64) (accounts []BudgetStatus) {
 	for _, id := range l.budgetOrder {
 		b := l.budgets[id]
-		account := Account{
+		account := BudgetStatus{
 			Budget:      id,
 			FromTraffic: b.fromTraffic,
-			Own:         l.availableUnits(now, b),
-			Lent:        l.lentUnits(now, b),
-			Demand:      l.targetUnits(now, b),
+			OwnUnits:    l.availableUnits(now, b),
+			LentUnits:   l.lentUnits(now, b),
+			DemandUnits: l.targetUnits(now, b),
 		}
 		for _, lease := range b.held {
 			if now < lease.expiresAt {
-				account.Borrowed += lease.units
+				account.BorrowedUnits += lease.units
 			}
 		}
 		accounts = append(accounts, account)
--- a/internal/cluster/quota/ledger_test.go
+++ b/internal/cluster/quota/ledger_test.go
@@ -61,7 +61,7 @@
 func newFleet(nodes, founders, maxNodes int, seed uint64) *testFleet {
 	f := &testFleet{
 		Network: simnet.New(nodes, seed),
-		config:  Config{Founders: founders, MaxNodes: maxNodes, LeaseMs: leaseMs},
+		config:  Config{QuotaOwners: founders, MaxNodes: maxNodes, LeaseMs: leaseMs},
 		ledgers: make([]*Ledger, nodes),
 		demands: make([]float64, nodes),
 	}
@@ -88,7 +88,7 @@
 func (f *testFleet) allowedAt(i int) float64 {
 	now := f.Nodes[i].LocalTime(f.Now)
 	allowance := f.ledgers[i].Allowance(now, budget)
-	return allowance.At(now)
+	return allowance.ShareAt(now)
 }
 
 // spendable returns the share of the budget that all running processes may spend, including suspended ones.
@@ -234,10 +234,10 @@
 	f.Run(3 * leaseMs)
 	now := f.Nodes[0].LocalTime(f.Now)
 	allowance := f.ledgers[0].Allowance(now, budget)
-	if allowance.At(now) < 0.6 {
-		t.Fatalf("it has borrowed only up to %.2f", allowance.At(now))
+	if allowance.ShareAt(now) < 0.6 {
+		t.Fatalf("it has borrowed only up to %.2f", allowance.ShareAt(now))
 	}
-	if left := allowance.At(now + 30_000); left > 0.34 {
+	if left := allowance.ShareAt(now + 30_000); left > 0.34 {
 		t.Errorf("30 s later, with the same allowance, it may spend %.2f", left)
 	}
 	var bucket Bucket
@@ -261,7 +261,7 @@
 
 // A delayed grant to a request of the previous incarnation with the same number is ignored.
 func TestGrantToPreviousIncarnation(t *testing.T) {
-	config := Config{Founders: 2, MaxNodes: 2, LeaseMs: leaseMs}
+	config := Config{QuotaOwners: 2, MaxNodes: 2, LeaseMs: leaseMs}
 	lender := New(0, config, 1)
 	config.Self = 1
 	before, after := New(0, config, 1<<32+5), New(2*leaseMs, config, 7<<32+5)
@@ -284,7 +284,7 @@
 func newTrafficLedgers(t *testing.T) (ledgers [trafficNodes]*Ledger, now float64) {
 	t.Helper()
 	for i := range ledgers {
-		config := Config{Self: cluster.NodeID(i), Founders: trafficNodes, MaxNodes: trafficNodes, LeaseMs: leaseMs}
+		config := Config{Self: cluster.NodeID(i), QuotaOwners: trafficNodes, MaxNodes: trafficNodes, LeaseMs: leaseMs}
 		ledgers[i] = New(0, config, cluster.Incarnation(i+1))
 	}
 	now = 3 * leaseMs
@@ -307,7 +307,7 @@
 		used := 0.0
 		for _, ledger := range ledgers[:2] {
 			allowance := ledger.Allowance(now, budget)
-			used += 0.01 - float64(allowance.Lent)/TotalUnits + allowance.borrowed(now)
+			used += 0.01 - float64(allowance.LentUnits)/TotalUnits + allowance.borrowed(now)
 		}
 		if used < 0.035 || used > 0.0401 { // two quotas, and half of the other four
 			t.Fatalf("two nodes may spend %.4f of 0.06", used)
@@ -335,7 +335,7 @@
 func TestTrafficQuotaExpires(t *testing.T) {
 	const start = 13.0 * leaseMs
 	request := wire.QuotaRequest{Budget: budget, Seq: 1 << 30, Units: 9}
-	ledger := New(start, Config{Self: 5, Founders: trafficNodes, MaxNodes: trafficNodes, LeaseMs: leaseMs}, 99)
+	ledger := New(start, Config{Self: 5, QuotaOwners: trafficNodes, MaxNodes: trafficNodes, LeaseMs: leaseMs}, 99)
 	ledger.SetTrafficQuota(start, budget, 0.01, 0)
 	if grant := ledger.HandleRequest(start+leaseMs, 0, 1, true, request); grant.Units > 0 {
 		t.Error("it lends before leases of its previous incarnation have expired")
--- a/internal/cluster/quota/lend.go
+++ b/internal/cluster/quota/lend.go
@@ -45,7 +45,7 @@
 	case fromTraffic:
 		return b != nil
 	default:
-		return int(l.config.Self) < l.config.Founders
+		return int(l.config.Self) < l.config.QuotaOwners
 	}
 }
 
--- a/internal/cluster/quota/lend_test.go
+++ b/internal/cluster/quota/lend_test.go
@@ -17,12 +17,12 @@
 }
 
 // lentUnits returns the units that a ledger considers leased out of its only budget.
-func lentUnits(ledger *Ledger, now float64) uint32 { return ledger.Accounts(now)[0].Lent }
+func lentUnits(ledger *Ledger, now float64) uint32 { return ledger.Status(now)[0].LentUnits }
 
 // Of two leases to one process the larger counts while both may be in use; leases to two incarnations add up.
 func TestLentUnits(t *testing.T) {
 	const start = 2.0 * leaseMs
-	ledger := New(0, Config{Self: 0, Founders: 2, MaxNodes: 2, LeaseMs: leaseMs}, 1)
+	ledger := New(0, Config{Self: 0, QuotaOwners: 2, MaxNodes: 2, LeaseMs: leaseMs}, 1)
 	lend(t, ledger, start, 5, 1, 100_000)
 	lend(t, ledger, start+0.5*leaseMs, 5, 2, 10_000)
 	lend(t, ledger, start+0.5*leaseMs, 7, 1, 1000)
@@ -44,7 +44,7 @@
 // A request that is sent twice, or arrives after a later one, is not granted anew.
 func TestDuplicateRequest(t *testing.T) {
 	const start = 2.0 * leaseMs
-	ledger := New(0, Config{Self: 0, Founders: 2, MaxNodes: 2, LeaseMs: leaseMs}, 1)
+	ledger := New(0, Config{Self: 0, QuotaOwners: 2, MaxNodes: 2, LeaseMs: leaseMs}, 1)
 	lend(t, ledger, start, 5, 2, 1000)
 	lend(t, ledger, start+0.9*leaseMs, 5, 2, 1000)
 	if got := lentUnits(ledger, start+1.1*leaseMs); got != 0 {
@@ -59,7 +59,7 @@
 // What is leased out of a quota that follows from traffic is missing of it, also where the quota has shrunk since.
 func TestShrinkingTrafficQuota(t *testing.T) {
 	const now, lent = 2.0 * leaseMs, 3000
-	ledger := New(0, Config{Self: 0, Founders: 1, MaxNodes: 2, LeaseMs: leaseMs}, 1)
+	ledger := New(0, Config{Self: 0, QuotaOwners: 1, MaxNodes: 2, LeaseMs: leaseMs}, 1)
 	ledger.SetTrafficQuota(now, budget, 0.01, 0)
 	request := wire.QuotaRequest{Budget: budget, Seq: 1, Units: lent}
 	if grant := ledger.HandleRequest(now, 1, 5, true, request); grant.Units != lent {
@@ -67,8 +67,8 @@
 	}
 	for quota, own := range map[float64]uint32{0.01: 10_485 - lent, 0.001: 0} {
 		ledger.SetTrafficQuota(now, budget, quota, 0)
-		if a := ledger.Allowance(now, budget); a.Own != own || a.Lent != lent {
-			t.Errorf("of a quota of %v %d units may be spent and %d are lent, want %d and %d", quota, a.Own, a.Lent, own, lent)
+		if a := ledger.Allowance(now, budget); a.OwnUnits != own || a.LentUnits != lent {
+			t.Errorf("of a quota of %v %d units may be spent and %d are lent, want %d and %d", quota, a.OwnUnits, a.LentUnits, own, lent)
 		}
 	}
 }
--- a/internal/cluster/quota/random_test.go
+++ b/internal/cluster/quota/random_test.go
@@ -106,7 +106,7 @@
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 4).Draw(t, "nodes")
-		f := newRandomFleet(Config{Founders: rapid.IntRange(1, nodes).Draw(t, "founders"), MaxNodes: nodes, LeaseMs: leaseMs}, false)
+		f := newRandomFleet(Config{QuotaOwners: rapid.IntRange(1, nodes).Draw(t, "founders"), MaxNodes: nodes, LeaseMs: leaseMs}, false)
 		demand := make([]float64, nodes)
 		for i := range nodes {
 			f.drift[i] = drawDrift.Draw(t, "drift")
@@ -147,7 +147,7 @@
 	for i, ledger := range f.ledgers {
 		if f.up[i] {
 			allowance := ledger.Allowance(f.clock(i), budget)
-			sum += allowance.At(f.clock(i))
+			sum += allowance.ShareAt(f.clock(i))
 		}
 	}
 	if sum > 1 {
@@ -199,7 +199,7 @@
 		lately += retainedTrafficShare * f.recentMax(i)
 		if f.up[i] {
 			allowance := ledger.Allowance(f.clock(i), budget)
-			spent += max(0, f.quotas[i]-float64(allowance.Lent)/TotalUnits) + allowance.borrowed(f.clock(i))
+			spent += max(0, f.quotas[i]-float64(allowance.LentUnits)/TotalUnits) + allowance.borrowed(f.clock(i))
 			quotas += f.quotas[i]
 		}
 	}
@@ -217,7 +217,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 5).Draw(t, "nodes")
 		f := &trafficFleet{
-			randomFleet: newRandomFleet(Config{Founders: 1, MaxNodes: nodes, LeaseMs: leaseMs}, true),
+			randomFleet: newRandomFleet(Config{QuotaOwners: 1, MaxNodes: nodes, LeaseMs: leaseMs}, true),
 			quotas:      make([]float64, nodes),
 			demands:     make([]float64, nodes),
 			earlier:     make([][]pastQuota, nodes),
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -116,7 +116,7 @@
 // useLeasedQuota makes the connection pools spend from the cluster's quota. Until the node has heard others it has its initial part: without
 // that a successor, whose predecessor still holds the address, would open no connection.
 func (n *Node) useLeasedQuota(config *gossip.Config) {
-	n.cachePool.LeasedRate, n.cachePool.InitialQuota = config.ShareQuotas, config.QuotaConfig().Initial()
+	n.cachePool.LeasedRate, n.cachePool.InitialQuota = config.ShareQuotas, config.QuotaConfig().InitialAllowance()
 }
 
 // clusterJoined: the socket to the peers is open.
--- a/internal/testbed/simulator/clustermember.go
+++ b/internal/testbed/simulator/clustermember.go
@@ -51,7 +51,7 @@
 	if config.ShareCounters {
 		p.inflight.OnAdmit = m.participant.ObserveRequest
 	}
-	p.cachePool.LeasedRate, p.cachePool.InitialQuota = config.ShareQuotas, config.QuotaConfig().Initial()
+	p.cachePool.LeasedRate, p.cachePool.InitialQuota = config.ShareQuotas, config.QuotaConfig().InitialAllowance()
 	p.sim.scheduleAfter(time.Duration(p.uniform()*float64(gossipInterval)), actionFunc(m.tick))
 }
 
