--- a/internal/cluster/quota/allowance.go
+++ b/internal/cluster/quota/allowance.go
@@ -1,12 +1,12 @@
 package quota
 
-// Allowance is what a node may spend of a budget. It stays valid without updates: leases in it expire by themselves.
+// Allowance is the part of a budget that a node may spend. It stays valid without updates, because its leases expire by themselves.
 type Allowance struct {
-	MaxNodes   int    // nodes that the fleet may have
-	OwnUnits   uint32 // units, until some of them are leased out, which yields a new Allowance
-	LentUnits  uint32 // units missing of a quota that follows from this node's traffic, which the node knows better by then
+	MaxNodes   int    // maximum number of nodes in the fleet
+	OwnUnits   uint32 // spendable units of this node's own; a lease to another node takes effect with the next Allowance
+	LentUnits  uint32 // only if the quota follows from traffic: units that are or may be lent. The node subtracts them from its latest quota.
 	Leases     [maxAllowanceLeases]Lease
-	LeaseCount int // of Leases that are in use
+	LeaseCount int // number of Leases in use
 }
 
 // Lease is a number of units that a node has borrowed.
@@ -15,13 +15,14 @@
 	ExpiresAt float64 // ms
 }
 
-// ShareAt returns what may be spent at a time, as a share of the whole budget. A process that was suspended gets only what has not expired.
+// ShareAt returns the share of the whole budget that may be spent at a time. Expired leases do not count, so a process that resumes after a
+// suspension does not spend them.
 func (a *Allowance) ShareAt(now float64) float64 {
-	return float64(a.OwnUnits)/TotalUnits + a.borrowed(now)
+	return float64(a.OwnUnits)/TotalUnits + a.borrowedShare(now)
 }
 
-// borrowed returns the borrowed part of what may be spent at a time, as a share of the whole budget.
-func (a *Allowance) borrowed(now float64) float64 {
+// borrowedShare returns the share of the whole budget that may be spent from leases at a time.
+func (a *Allowance) borrowedShare(now float64) float64 {
 	units := uint32(0)
 	for _, lease := range a.Leases[:a.LeaseCount] {
 		if now < lease.ExpiresAt {
@@ -31,7 +32,7 @@
 	return float64(units) / TotalUnits
 }
 
-// addLease adds a lease. If there is no room for it, it replaces the smallest one or is not used.
+// addLease adds a lease. If there is no room, the smallest lease is dropped, which may be the new one.
 func (a *Allowance) addLease(lease Lease) {
 	if a.LeaseCount < len(a.Leases) {
 		a.Leases[a.LeaseCount] = lease
--- a/internal/cluster/quota/borrow.go
+++ b/internal/cluster/quota/borrow.go
@@ -7,15 +7,16 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// LeaseRequest is a request for a lease and the node that it is sent to.
+// LeaseRequest is a request for a lease and the lender that it is sent to.
 type LeaseRequest struct {
 	To           cluster.NodeID
 	FromTraffic  bool // for units of a quota that follows from the lender's traffic
 	QuotaRequest wire.QuotaRequest
 }
 
-// Tick drops what has expired and returns the requests for the units that are missing. Only members are asked.
-func (l *Ledger) Tick(now float64, isMember func(cluster.NodeID) bool) (out []LeaseRequest) {
+// Tick drops expired leases, requests and refusals, forgets unused budgets, and returns the lease requests for missing units. Requests go only
+// to members.
+func (l *Ledger) Tick(now float64, isMember func(cluster.NodeID) bool) (requests []LeaseRequest) {
 	l.budgetOrder = slices.DeleteFunc(l.budgetOrder, func(id uint32) bool {
 		b := l.budgets[id]
 		b.dropExpired(now, l.config.LeaseMs)
@@ -26,9 +27,9 @@
 		return unused
 	})
 	for _, id := range l.budgetOrder {
-		out = append(out, l.requestLeases(now, l.budgets[id], isMember)...)
+		requests = append(requests, l.requestLeases(now, l.budgets[id], isMember)...)
 	}
-	return out
+	return requests
 }
 
 func (b *budgetState) dropExpired(now, leaseMs float64) {
@@ -42,22 +43,22 @@
 	}
 }
 
-// requestLeases returns the requests for what is missing of a budget, and the renewals of leases that expire soon.
+// requestLeases returns the requests that renew leases of a budget that expire soon, and those for new leases of the missing units.
 func (l *Ledger) requestLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool) []LeaseRequest {
-	target, available := l.targetUnits(now, b), l.availableUnits(now, b)
-	needed := target - min(target, available)
+	demand, available := l.demandWithHeadroom(now, b), l.availableUnits(now, b)
+	needed := demand - min(demand, available)
 	held := uint32(0)
 	for _, lease := range b.held {
 		held += lease.units
 	}
 	missing := needed - min(needed, held)
 	perLender := max(1, missing/lendersPerRound)
-	out := l.renewLeases(now, b, isMember, needed, min(missing, perLender))
-	return append(out, l.requestNewLeases(now, b, isMember, missing, perLender)...)
+	requests := l.renewLeases(now, b, isMember, needed, min(missing, perLender))
+	return append(requests, l.requestNewLeases(now, b, isMember, missing, perLender)...)
 }
 
-// renewLeases returns the requests that renew the leases that expire soon, as far as they are needed, each with an extra number of units.
-func (l *Ledger) renewLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool, needed, extra uint32) (out []LeaseRequest) {
+// renewLeases returns requests that renew leases that expire soon. Each asks for the units of its lease that are still needed, plus extra.
+func (l *Ledger) renewLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool, needed, extra uint32) (requests []LeaseRequest) {
 	for _, lease := range b.held {
 		if needed == 0 {
 			break
@@ -66,31 +67,33 @@
 		needed -= used
 		expiresSoon := lease.expiresAt-now < renewBefore*l.config.LeaseMs
 		if expiresSoon && isMember(lease.lender) && !l.askedRecently(now, b, lease.lender) {
-			out = append(out, l.request(now, b, lease.lender, used+extra))
+			requests = append(requests, l.newRequest(now, b, lease.lender, used+extra))
 		}
 	}
-	return out
+	return requests
 }
 
-// requestNewLeases returns requests for the missing units to the next few lenders in turn.
-func (l *Ledger) requestNewLeases(now float64, b *budgetState, isMember func(cluster.NodeID) bool, missing, perLender uint32) (out []LeaseRequest) {
+// requestNewLeases returns requests for the missing units to the next few lenders in round-robin order.
+func (l *Ledger) requestNewLeases(
+	now float64, b *budgetState, isMember func(cluster.NodeID) bool, missing, perLender uint32,
+) (requests []LeaseRequest) {
 	lenders := l.lenderCount(b)
 	for range lenders {
-		if len(out) >= lendersPerRound || missing == 0 {
+		if len(requests) >= lendersPerRound || missing == 0 {
 			break
 		}
-		b.nextLender = (b.nextLender + 1) % lenders
-		lender := cluster.NodeID(b.nextLender)
+		b.lenderCursor = (b.lenderCursor + 1) % lenders
+		lender := cluster.NodeID(b.lenderCursor)
 		if !isMember(lender) || !l.mayAsk(now, b, lender) {
 			continue
 		}
-		out = append(out, l.request(now, b, lender, max(perLender, min(missing, l.config.floor()))))
+		requests = append(requests, l.newRequest(now, b, lender, max(perLender, min(missing, l.config.floorUnits()))))
 		missing -= min(missing, perLender)
 	}
-	return out
+	return requests
 }
 
-// lenderCount returns the number of nodes that may own units to lease out: those with the lowest ids.
+// lenderCount returns the number of nodes that may own units to lease out. They have the lowest ids.
 func (l *Ledger) lenderCount(b *budgetState) int {
 	if b.fromTraffic {
 		return l.config.MaxNodes
@@ -106,15 +109,15 @@
 	return !slices.ContainsFunc(b.held, func(h heldLease) bool { return h.lender == lender && h.expiresAt > now })
 }
 
-// askedRecently reports whether a lender was asked so recently that its answer may be on the way.
+// askedRecently reports whether a lender was asked so recently that its answer may still arrive.
 func (l *Ledger) askedRecently(now float64, b *budgetState, lender cluster.NodeID) bool {
 	return slices.ContainsFunc(b.pending, func(p pendingRequest) bool {
-		return p.lender == lender && now-p.sentAt < repeatAfter*l.config.LeaseMs
+		return p.lender == lender && now-p.sentAt < minRequestInterval*l.config.LeaseMs
 	})
 }
 
-// request records and returns a request.
-func (l *Ledger) request(now float64, b *budgetState, lender cluster.NodeID, units uint32) LeaseRequest {
+// newRequest returns a new request and records it as pending.
+func (l *Ledger) newRequest(now float64, b *budgetState, lender cluster.NodeID, units uint32) LeaseRequest {
 	l.seq++
 	b.pending = append(b.pending, pendingRequest{lender: lender, seq: l.seq, sentAt: now})
 	return LeaseRequest{
@@ -124,12 +127,12 @@
 	}
 }
 
-// HandleGrant processes the answer to a request. An answer to a request that is not pending, or older than the lease held of that lender,
-// is ignored.
+// HandleGrant processes the answer to a request. It ignores an answer to a request that is not pending or that is older than the request of
+// the lease held from that lender.
 func (l *Ledger) HandleGrant(now float64, from cluster.NodeID, grant wire.QuotaGrant) {
 	b := l.budgets[grant.Budget]
 	if b == nil || grant.IncarnationTag != l.incarnationTag {
-		return // for an earlier incarnation, whose request with the same number was sent at another time
+		return // the grant is for an earlier incarnation, which may have sent a request with the same number at another time
 	}
 	i := slices.IndexFunc(b.pending, func(p pendingRequest) bool { return p.lender == from && p.seq == grant.Seq })
 	if i < 0 {
@@ -142,11 +145,12 @@
 		expiresAt: b.pending[i].sentAt + l.config.LeaseMs,
 	}
 	b.pending = slices.Delete(b.pending, i, i+1)
-	b.hold(now, lease, l.config.LeaseMs)
+	b.storeLease(now, lease, l.config.LeaseMs)
 }
 
-// hold takes over a lease, in place of an earlier one of the same lender; one of no units is a refusal.
-func (b *budgetState) hold(now float64, lease heldLease, leaseMs float64) {
+// storeLease stores a lease in place of an earlier one from the same lender. A lease of 0 units is a refusal, which leaves an earlier one
+// unchanged.
+func (b *budgetState) storeLease(now float64, lease heldLease, leaseMs float64) {
 	i := slices.IndexFunc(b.held, func(h heldLease) bool { return h.lender == lease.lender })
 	switch {
 	case i < 0 && lease.units == 0:
--- a/internal/cluster/quota/bucket_test.go
+++ b/internal/cluster/quota/bucket_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// Whatever allowances are used and whenever it is asked, a bucket gives no more in any window than the allowance, its depth and one.
+// In any window, a bucket permits no more than the allowance for the window, its depth and one token. Allowances and times of calls are random.
 func TestBucket(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var bucket Bucket
@@ -22,14 +22,14 @@
 			if ok {
 				taken = append(taken, now)
 			} else if retryAt <= now || math.IsInf(retryAt, 1) {
-				t.Fatalf("the next attempt is due in %v ms", retryAt-now)
+				t.Fatalf("retry after %v ms", retryAt-now)
 			}
 		}
 		for i := range taken {
 			for k := i; k < len(taken); k++ {
 				window := taken[k] - taken[i]
 				if n, limit := float64(k-i+1), rate*(window+bucketDepthMs)+1; n > limit+1e-6 {
-					t.Fatalf("%.0f taken in %.0f ms, at most %.2f are allowed", n, window, limit)
+					t.Fatalf("%.0f tokens taken in %.0f ms, want at most %.2f", n, window, limit)
 				}
 			}
 		}
--- a/internal/cluster/quota/golden_test.go
+++ b/internal/cluster/quota/golden_test.go
@@ -9,8 +9,8 @@
 	"mintspring/internal/testbed/wiretest"
 )
 
-// goldenScript returns the messages and the allowances of three nodes that borrow from one another: units of a budget that is given by a number
-// and of one whose quotas follow from traffic.
+// goldenScript returns the messages and the allowances of three nodes that borrow from one another, from a budget of fixed size and from one
+// whose quotas follow from traffic.
 func goldenScript() (sent []*wire.Message, allowances []Allowance) {
 	var ledgers [3]*Ledger
 	for i := range ledgers {
@@ -35,7 +35,7 @@
 	return sent, allowances
 }
 
-// The requests and grants of leases stay the same byte for byte.
+// The encoding of lease requests and grants must not change.
 func TestGoldenDatagrams(t *testing.T) {
 	sent, allowances := goldenScript()
 	granted := 0
@@ -49,9 +49,9 @@
 	}
 	borrowed := 0.0
 	for _, allowance := range allowances {
-		borrowed += allowance.borrowed(0)
+		borrowed += allowance.borrowedShare(0)
 	}
 	if granted == 0 || borrowed == 0 {
-		t.Errorf("the script has %d units granted and %.3f borrowed", granted, borrowed)
+		t.Errorf("the script grants %d units and %.3f of a budget are borrowed, want more than 0", granted, borrowed)
 	}
 }
--- a/internal/cluster/quota/ledger.go
+++ b/internal/cluster/quota/ledger.go
@@ -6,7 +6,7 @@
 	"mintspring/internal/cluster"
 )
 
-// leaseholder is the process that has borrowed units.
+// leaseholder identifies a process that has borrowed units.
 type leaseholder struct {
 	node        cluster.NodeID
 	incarnation cluster.Incarnation
@@ -20,7 +20,7 @@
 	expiresAt float64
 }
 
-// heldLease is a lease that this node has borrowed.
+// heldLease is a lease that another node has granted to this one.
 type heldLease struct {
 	lender    cluster.NodeID
 	seq       uint32 // of the request
@@ -28,7 +28,7 @@
 	expiresAt float64
 }
 
-// pendingRequest is a request that has not been answered.
+// pendingRequest is a lease request that has not been answered.
 type pendingRequest struct {
 	lender cluster.NodeID
 	seq    uint32
@@ -37,27 +37,27 @@
 
 // budgetState is the state of one budget.
 type budgetState struct {
-	id           uint32
-	fromTraffic  bool   // the quota follows from traffic
-	trafficUnits uint32 // that quota
-	demand       uint32
-	demandAt     float64 // when the demand, and the quota that follows from traffic, was set
+	id                uint32
+	fromTraffic       bool   // the quota follows from traffic
+	trafficQuotaUnits uint32 // the quota that follows from traffic
+	demand            uint32
+	updatedAt         float64 // when demand and trafficQuotaUnits were last set
 
 	granted      []grantedLease
 	held         []heldLease
 	pending      []pendingRequest
-	nextLender   int
-	refusedUntil map[cluster.NodeID]float64 // lenders that had nothing to lease out
+	lenderCursor int
+	refusedUntil map[cluster.NodeID]float64 // by lender that refused a lease
 }
 
-// Ledger is what one node owns, lends and borrows of all budgets.
+// Ledger records the units of all budgets that one node owns, lends and borrows.
 type Ledger struct {
 	config         Config
 	incarnationTag uint16 // of this process
 	startedAt      float64
 	seq            uint32
 	budgets        map[uint32]*budgetState
-	budgetOrder    []uint32 // keys of budgets in the order of their creation, so that nothing depends on the order of a map
+	budgetOrder    []uint32 // keys of budgets in the order of their creation, because the iteration order of a map is random
 }
 
 // New returns the ledger of a node that has just started.
@@ -72,29 +72,29 @@
 	}
 }
 
-// SetDemand sets how much of a budget this node could spend, as a share of the whole.
+// SetDemand sets how much of a budget this node could spend, as a share of the whole budget.
 func (l *Ledger) SetDemand(now float64, budget uint32, share float64) {
 	b := l.budget(budget)
 	b.demand = uint32(TotalUnits * max(0, min(1, share)))
-	b.demandAt = now
+	b.updatedAt = now
 	b.fromTraffic = false
 }
 
-// SetTrafficQuota sets this node's quota of a budget, which follows from its own traffic, and how much it could spend. Both are in multiples of
-// TotalUnits.
-func (l *Ledger) SetTrafficQuota(now float64, budget uint32, own, demand float64) {
+// SetTrafficQuota sets this node's quota of a budget, which follows from its own traffic, and its demand. Both are in multiples of TotalUnits.
+func (l *Ledger) SetTrafficQuota(now float64, budget uint32, quota, demand float64) {
 	b := l.budget(budget)
-	b.trafficUnits = trafficUnits(own)
-	b.demand = trafficUnits(demand)
-	b.demandAt = now
+	b.trafficQuotaUnits = toTrafficUnits(quota)
+	b.demand = toTrafficUnits(demand)
+	b.updatedAt = now
 	b.fromTraffic = true
 }
 
-func trafficUnits(wholes float64) uint32 {
-	return uint32(TotalUnits * max(0, min(wholes, maxTrafficWholes)))
+// toTrafficUnits converts a quota or demand of a budget that follows from traffic from multiples of TotalUnits to units.
+func toTrafficUnits(amount float64) uint32 {
+	return uint32(TotalUnits * max(0, min(amount, maxTrafficQuota)))
 }
 
-// Allowance returns what this node may spend of a budget from now on.
+// Allowance returns the part of a budget that this node may spend from now on.
 func (l *Ledger) Allowance(now float64, budget uint32) Allowance {
 	b := l.budgets[budget]
 	if b == nil {
@@ -102,7 +102,7 @@
 	}
 	allowance := Allowance{MaxNodes: l.config.MaxNodes, OwnUnits: l.availableUnits(now, b)}
 	if b.fromTraffic {
-		allowance.LentUnits = l.missingTrafficUnits(now, b)
+		allowance.LentUnits = l.possiblyLentUnits(now, b)
 	}
 	for _, lease := range b.held {
 		if now < lease.expiresAt {
@@ -112,69 +112,70 @@
 	return allowance
 }
 
-// missingTrafficUnits returns the units of a quota that follows from traffic which are, or may be, leased out.
-func (l *Ledger) missingTrafficUnits(now float64, b *budgetState) uint32 {
-	if now < l.lendsFrom() {
+// possiblyLentUnits returns the units of a quota that follows from traffic that are leased out, or may have been leased out by the previous
+// incarnation.
+func (l *Ledger) possiblyLentUnits(now float64, b *budgetState) uint32 {
+	if now < l.lendingStartsAt() {
 		return l.ownedUnits(now, b) - l.retainedUnits(now, b)
 	}
 	return l.lentUnits(now, b)
 }
 
-// BudgetStatus is the state of one budget as its operators see it. Amounts are in units.
+// BudgetStatus is the state of one budget as shown to operators.
 type BudgetStatus struct {
 	Budget        uint32 `json:"Budget"`
-	Name          string `json:"Text"`    // empty where this node does not know it
+	Name          string `json:"Text"`    // empty if this node does not know it
 	FromTraffic   bool   `json:"ByTrade"` // the quota follows from traffic: TotalUnits stand for one unit of work per ms
-	OwnUnits      uint32 `json:"Own"`     // may be spent of this node's own units
+	OwnUnits      uint32 `json:"Own"`     // this node's own units that it may spend
 	BorrowedUnits uint32 `json:"Borrowed"`
 	LentUnits     uint32 `json:"Lent"`
 	DemandUnits   uint32 `json:"Need"` // including headroom
 }
 
 // Status returns the state of all budgets in use.
-func (l *Ledger) Status(now float64) (accounts []BudgetStatus) {
+func (l *Ledger) Status(now float64) (statuses []BudgetStatus) {
 	for _, id := range l.budgetOrder {
 		b := l.budgets[id]
-		account := BudgetStatus{
+		status := BudgetStatus{
 			Budget:      id,
 			FromTraffic: b.fromTraffic,
 			OwnUnits:    l.availableUnits(now, b),
 			LentUnits:   l.lentUnits(now, b),
-			DemandUnits: l.targetUnits(now, b),
+			DemandUnits: l.demandWithHeadroom(now, b),
 		}
 		for _, lease := range b.held {
 			if now < lease.expiresAt {
-				account.BorrowedUnits += lease.units
+				status.BorrowedUnits += lease.units
 			}
 		}
-		accounts = append(accounts, account)
+		statuses = append(statuses, status)
 	}
-	return accounts
+	return statuses
 }
 
 // budget returns the state of a budget, which it creates if necessary.
 func (l *Ledger) budget(id uint32) *budgetState {
 	b := l.budgets[id]
 	if b == nil {
-		b = &budgetState{id: id, refusedUntil: map[cluster.NodeID]float64{}, nextLender: int(l.config.Self) + 1}
+		b = &budgetState{id: id, refusedUntil: map[cluster.NodeID]float64{}, lenderCursor: int(l.config.Self) + 1}
 		l.budgets[id] = b
 		l.budgetOrder = append(l.budgetOrder, id)
 	}
 	return b
 }
 
-// lendsFrom returns the time at which everything that the previous incarnation may have leased out has expired.
-func (l *Ledger) lendsFrom() float64 { return l.startedAt + l.config.lenderLeaseMs() }
+// lendingStartsAt returns the time at which all leases that the previous incarnation may have granted have expired.
+func (l *Ledger) lendingStartsAt() float64 { return l.startedAt + l.config.lenderLeaseMs() }
 
-// floorUnits returns the units that every node owns of a budget.
+// floorUnits returns the floor of a budget in units.
 func (l *Ledger) floorUnits(b *budgetState) uint32 {
 	if b.fromTraffic {
 		return 0
 	}
-	return l.config.floor()
+	return l.config.floorUnits()
 }
 
-// ownedUnits returns the units that belong to this node besides its floor.
+// ownedUnits returns the units that belong to this node above its floor.
 func (l *Ledger) ownedUnits(now float64, b *budgetState) uint32 {
 	if !b.fromTraffic {
 		return l.config.ownedUnits()
@@ -182,10 +183,10 @@
 	if l.demandExpired(now, b) {
 		return 0
 	}
-	return b.trafficUnits
+	return b.trafficQuotaUnits
 }
 
-// retainedUnits returns how many of its owned units this node never leases out.
+// retainedUnits returns how many of the units above its floor this node never leases out.
 func (l *Ledger) retainedUnits(now float64, b *budgetState) uint32 {
 	if b.fromTraffic {
 		return uint32(retainedTrafficShare * float64(l.ownedUnits(now, b)))
@@ -193,17 +194,17 @@
 	return uint32(retainedShare * float64(l.config.ownedUnits()))
 }
 
-// availableUnits returns what this node may spend of its own units.
+// availableUnits returns how many of its own units this node may spend.
 func (l *Ledger) availableUnits(now float64, b *budgetState) uint32 {
-	if now < l.lendsFrom() {
+	if now < l.lendingStartsAt() {
 		return l.floorUnits(b) + l.retainedUnits(now, b)
 	}
 	owned, lent := l.floorUnits(b)+l.ownedUnits(now, b), l.lentUnits(now, b)
 	return owned - min(owned, lent) // a quota that follows from traffic may have shrunk since it was leased out
 }
 
-// targetUnits returns the demand of this node with its headroom.
-func (l *Ledger) targetUnits(now float64, b *budgetState) uint32 {
+// demandWithHeadroom returns the demand of this node plus headroom, in units.
+func (l *Ledger) demandWithHeadroom(now float64, b *budgetState) uint32 {
 	if l.demandExpired(now, b) {
 		return 0
 	}
@@ -215,25 +216,25 @@
 }
 
 func (l *Ledger) demandExpired(now float64, b *budgetState) bool {
-	return now-b.demandAt > demandTTL*l.config.LeaseMs
+	return now-b.updatedAt > demandTTL*l.config.LeaseMs
 }
 
 // lentUnits returns the units that are leased out.
 func (l *Ledger) lentUnits(now float64, b *budgetState) uint32 {
-	return b.lentUnits(now, leaseholder{node: l.config.Self}) // this node never leases to itself
+	return b.lentUnitsExcept(now, leaseholder{node: l.config.Self}) // this node never leases to itself
 }
 
-// lentUnits returns the units that are leased out, except those of one holder. Where a lease has replaced another of the same holder, both
-// have to expire, but the holder uses only one of them: the larger one counts.
-func (b *budgetState) lentUnits(now float64, except leaseholder) (sum uint32) {
+// lentUnitsExcept returns the units that are leased out to all holders but one. If a holder has several leases that have not expired, only the
+// largest counts: the lender cannot know which of them the holder uses, but it uses only one at a time.
+func (b *budgetState) lentUnitsExcept(now float64, excluded leaseholder) (sum uint32) {
 	for i, lease := range b.granted {
-		if lease.expiresAt <= now || lease.holder == except {
+		if lease.expiresAt <= now || lease.holder == excluded {
 			continue
 		}
-		counted := slices.ContainsFunc(b.granted[:i], func(earlier grantedLease) bool {
+		alreadyCounted := slices.ContainsFunc(b.granted[:i], func(earlier grantedLease) bool {
 			return earlier.holder == lease.holder && earlier.expiresAt > now
 		})
-		if !counted {
+		if !alreadyCounted {
 			sum += b.largestGrant(now, lease.holder)
 		}
 	}
--- a/internal/cluster/quota/ledger_test.go
+++ b/internal/cluster/quota/ledger_test.go
@@ -18,16 +18,16 @@
 	leaseMs = 2000
 )
 
-// allMembers is the view of a node for which all nodes are members, which leases out the most.
+// allMembers reports every node as a member, so that as many units as possible are leased out.
 func allMembers(cluster.NodeID) bool { return true }
 
-// process runs a Ledger on a simulated network.
-type process struct {
+// ledgerProcess runs a Ledger on a simulated network.
+type ledgerProcess struct {
 	*Ledger
 	demand *float64
 }
 
-func (p process) Tick(now float64) (out []*wire.Message) {
+func (p ledgerProcess) Tick(now float64) (out []*wire.Message) {
 	if *p.demand > 0 {
 		p.SetDemand(now, budget, *p.demand)
 	}
@@ -37,7 +37,7 @@
 	return out
 }
 
-func (p process) Handle(now float64, m *wire.Message) (out []*wire.Message) {
+func (p ledgerProcess) Handle(now float64, m *wire.Message) (out []*wire.Message) {
 	for _, r := range m.QuotaRequests {
 		grant := p.HandleRequest(now, m.From, m.Incarnation, false, r)
 		out = append(out, &wire.Message{Kind: wire.Gossip, To: m.From, QuotaGrants: []wire.QuotaGrant{grant}})
@@ -51,67 +51,67 @@
 // testFleet is a simulated network of nodes that share a budget.
 type testFleet struct {
 	*simnet.Network
-	config     Config
-	ledgers    []*Ledger // by node
-	demands    []float64 // by node
-	maxSpent   float64   // the greatest share of the budget that all nodes together could spend at any moment
-	maxSpentAt string
+	config         Config
+	ledgers        []*Ledger // by node
+	demands        []float64 // by node
+	maxSpendable   float64   // largest share of the budget that all nodes together could spend at any moment
+	maxSpendableAt string
 }
 
-func newFleet(nodes, founders, maxNodes int, seed uint64) *testFleet {
+func newFleet(nodes, quotaOwners, maxNodes int, seed uint64) *testFleet {
 	f := &testFleet{
 		Network: simnet.New(nodes, seed),
-		config:  Config{QuotaOwners: founders, MaxNodes: maxNodes, LeaseMs: leaseMs},
+		config:  Config{QuotaOwners: quotaOwners, MaxNodes: maxNodes, LeaseMs: leaseMs},
 		ledgers: make([]*Ledger, nodes),
 		demands: make([]float64, nodes),
 	}
 	f.OnEvent = func() {
-		if sum := f.spendable(); sum > f.maxSpent {
-			f.maxSpent = sum
-			f.maxSpentAt = fmt.Sprintf("%.0f ms", f.Now)
+		if sum := f.spendableShare(); sum > f.maxSpendable {
+			f.maxSpendable = sum
+			f.maxSpendableAt = fmt.Sprintf("%.0f ms", f.Now)
 		}
 	}
 	return f
 }
 
-// start starts a node as a new incarnation without memory.
+// start starts a node as a new incarnation without state.
 func (f *testFleet) start(i int) {
 	config := f.config
 	config.Self = cluster.NodeID(i)
 	now := f.Nodes[i].LocalTime(f.Now)
 	incarnation := cluster.NewIncarnation(now, f.Rng.Float64())
 	f.ledgers[i] = New(now, config, incarnation)
-	f.Start(i, process{f.ledgers[i], &f.demands[i]}, func() cluster.Incarnation { return incarnation })
+	f.Start(i, ledgerProcess{f.ledgers[i], &f.demands[i]}, func() cluster.Incarnation { return incarnation })
 }
 
-// allowedAt returns the share of the budget that a node may spend at this moment.
-func (f *testFleet) allowedAt(i int) float64 {
+// allowedShare returns the share of the budget that a node may spend now.
+func (f *testFleet) allowedShare(i int) float64 {
 	now := f.Nodes[i].LocalTime(f.Now)
 	allowance := f.ledgers[i].Allowance(now, budget)
 	return allowance.ShareAt(now)
 }
 
-// spendable returns the share of the budget that all running processes may spend, including suspended ones.
-func (f *testFleet) spendable() (sum float64) {
+// spendableShare returns the share of the budget that all running processes may spend, including suspended ones.
+func (f *testFleet) spendableShare() (sum float64) {
 	for i, node := range f.Nodes {
 		if node.Up {
-			sum += f.allowedAt(i)
+			sum += f.allowedShare(i)
 		}
 	}
 	return sum
 }
 
-// used returns the share of the budget that there is demand for where it may be spent.
-func (f *testFleet) used() (sum float64) {
+// usableShare returns the share of the budget that the nodes can use: of each running node, its demand up to its allowance.
+func (f *testFleet) usableShare() (sum float64) {
 	for i, node := range f.Nodes {
 		if node.Up {
-			sum += min(f.demands[i], f.allowedAt(i))
+			sum += min(f.demands[i], f.allowedShare(i))
 		}
 	}
 	return sum
 }
 
-// The budget is never exceeded among nodes whose links have faults all the time, over hours.
+// The budget must not be exceeded in a long run with frequent faults of nodes and links.
 func TestBudgetIsNeverExceededForLong(t *testing.T) {
 	const nodes = 6
 	for seed := range uint64(6) {
@@ -124,8 +124,8 @@
 			f.injectFault(f.Rng.IntN(nodes))
 			f.Run(1.5 * leaseMs * f.Rng.Float64())
 		}
-		if f.maxSpent > 1 {
-			t.Errorf("seed %d: all nodes together may spend %.4f of the budget at %s", seed+1, f.maxSpent, f.maxSpentAt)
+		if f.maxSpendable > 1 {
+			t.Errorf("seed %d: all nodes together may spend %.4f of the budget at %s, want at most 1", seed+1, f.maxSpendable, f.maxSpendableAt)
 		}
 		if f.MalformedDatagrams == 0 {
 			t.Errorf("seed %d: no datagram was corrupted", seed+1)
@@ -133,7 +133,7 @@
 	}
 }
 
-// injectFault lets a random fault happen to a node or to all links, or changes the node's demand.
+// injectFault injects a random fault into a node or all links, or changes the node's demand.
 func (f *testFleet) injectFault(i int) {
 	all := f.NodeIndexes()
 	switch node := f.Nodes[i]; f.Rng.IntN(8) {
@@ -163,36 +163,37 @@
 	}
 }
 
-// Nodes with much traffic borrow from nodes with little; isolated nodes fall back to what they own, and never to nothing.
+// Nodes with much traffic borrow from nodes with little. Isolated nodes may spend their own units, and after a restart a part of them, but
+// never none.
 func TestBusyNodesBorrow(t *testing.T) {
 	f := newFleet(9, 9, 9, 3)
-	evenShares := 0.0
+	usableEvenShares := 0.0
 	for i := range f.demands {
 		f.demands[i] = []float64{1, 5, 20}[i%3] / 26 / 3 * 0.8
 		if i == 8 {
 			f.demands[i] += 0.1
 		}
-		evenShares += min(f.demands[i], 1.0/9)
+		usableEvenShares += min(f.demands[i], 1.0/9)
 		f.start(i)
 	}
 	f.Run(6 * leaseMs)
-	if used := f.used(); used < 0.86 || evenShares > 0.55 {
-		t.Errorf("of a demand of 0.9 %.3f can be used; %.3f with an even share for each node", used, evenShares)
+	if used := f.usableShare(); used < 0.86 || usableEvenShares > 0.55 {
+		t.Errorf("%.3f of a demand of 0.9 can be used, want at least 0.86; %.3f with even shares, want at most 0.55", used, usableEvenShares)
 	}
 	f.Links.Set(f.NodeIndexes(), f.NodeIndexes(), func(link *faultrelay.Link) { link.Cut = true })
 	f.Run(3 * leaseMs)
 	for i := range f.ledgers {
-		if got := f.allowedAt(i); got < 0.99/9 || got > 1.01/9 {
-			t.Errorf("isolated, node %d may spend %.4f", i, got)
+		if got := f.allowedShare(i); got < 0.99/9 || got > 1.01/9 {
+			t.Errorf("isolated node %d may spend %.4f, want 1/9", i, got)
 		}
 	}
-	f.start(0) // it does not know what it had leased out
-	if got := f.allowedAt(0); got < 0.01 || got > 0.5/9 {
-		t.Errorf("just started and isolated, it may spend %.4f", got)
+	f.start(0) // the new incarnation does not know what the previous one leased out
+	if got := f.allowedShare(0); got < 0.01 || got > 0.5/9 {
+		t.Errorf("isolated node that has just restarted may spend %.4f, want 0.01 to 0.5/9", got)
 	}
 }
 
-// A fleet grows from its founders to the maximum and shrinks again: a late node has its floor, and borrows.
+// A fleet grows from its quota owners to the maximum number of nodes and shrinks again. A node that joins late has its floor and borrows.
 func TestGrowingFleet(t *testing.T) {
 	f := newFleet(30, 3, 20, 5)
 	for i := range 3 {
@@ -204,11 +205,11 @@
 	}
 	f.demands[15] = 0.3
 	f.Run(3 * leaseMs)
-	if got := f.allowedAt(15); got < 0.29 {
-		t.Errorf("a late node may spend %.3f of its demand of 0.3", got)
+	if got := f.allowedShare(15); got < 0.29 {
+		t.Errorf("a node that joined late may spend %.3f with a demand of 0.3, want at least 0.29", got)
 	}
-	if f.allowedAt(16) <= 0 {
-		t.Error("a late node has nothing")
+	if f.allowedShare(16) <= 0 {
+		t.Error("a node that joined late may spend nothing")
 	}
 	for i := 3; i < 30; i++ {
 		f.Kill(i)
@@ -216,15 +217,15 @@
 	f.Run(3 * leaseMs)
 	f.demands[0] = 0.8
 	f.Run(6 * leaseMs)
-	if got := f.allowedAt(0); got < 0.6 {
-		t.Errorf("after the others are gone a founder may spend %.3f", got)
+	if got := f.allowedShare(0); got < 0.6 {
+		t.Errorf("after the other nodes have left, a quota owner may spend %.3f, want at least 0.6", got)
 	}
-	if f.maxSpent > 1 {
-		t.Errorf("%.4f of the budget may be spent at %s", f.maxSpent, f.maxSpentAt)
+	if f.maxSpendable > 1 {
+		t.Errorf("all nodes together may spend %.4f of the budget at %s, want at most 1", f.maxSpendable, f.maxSpendableAt)
 	}
 }
 
-// A borrower that is suspended with a lease and resumes much later has none left, and what it had saved up is bounded.
+// A borrower that is suspended and resumes after its leases have expired may spend only its own units and a bounded number of saved tokens.
 func TestSuspendedBorrower(t *testing.T) {
 	f := newFleet(3, 3, 3, 8)
 	for i := range 3 {
@@ -235,10 +236,10 @@
 	now := f.Nodes[0].LocalTime(f.Now)
 	allowance := f.ledgers[0].Allowance(now, budget)
 	if allowance.ShareAt(now) < 0.6 {
-		t.Fatalf("it has borrowed only up to %.2f", allowance.ShareAt(now))
+		t.Fatalf("it may spend %.2f with its leases, want at least 0.6", allowance.ShareAt(now))
 	}
-	if left := allowance.ShareAt(now + 30_000); left > 0.34 {
-		t.Errorf("30 s later, with the same allowance, it may spend %.2f", left)
+	if remaining := allowance.ShareAt(now + 30_000); remaining > 0.34 {
+		t.Errorf("30 s later it may spend %.2f with the same allowance, want at most 0.34", remaining)
 	}
 	var bucket Bucket
 	spent := 0
@@ -248,39 +249,40 @@
 		}
 	}
 	if spent < 55 || spent > 100 {
-		t.Errorf("%d spent in a second, of a budget of 100", spent)
+		t.Errorf("%d spent in a second of a budget of 100, want 55 to 100", spent)
 	}
 	spent = 0
 	for ok := true; ok; spent++ {
 		ok, _ = bucket.Take(now+30_000, 100, &allowance)
 	}
 	if spent > 1+100*bucketDepthMs/1000 {
-		t.Errorf("%d spent at once after the suspension", spent)
+		t.Errorf("%d spent at once after the suspension, want at most the bucket depth", spent)
 	}
 }
 
-// A delayed grant to a request of the previous incarnation with the same number is ignored.
+// A delayed grant for a request of the previous incarnation is ignored, even if a request of this one has the same number.
 func TestGrantToPreviousIncarnation(t *testing.T) {
 	config := Config{QuotaOwners: 2, MaxNodes: 2, LeaseMs: leaseMs}
 	lender := New(0, config, 1)
 	config.Self = 1
-	before, after := New(0, config, 1<<32+5), New(2*leaseMs, config, 7<<32+5)
-	before.SetDemand(3*leaseMs, budget, 0.9)
-	request := before.Tick(3*leaseMs, allMembers)[0].QuotaRequest
+	previous, current := New(0, config, 1<<32+5), New(2*leaseMs, config, 7<<32+5)
+	previous.SetDemand(3*leaseMs, budget, 0.9)
+	request := previous.Tick(3*leaseMs, allMembers)[0].QuotaRequest
 	grant := lender.HandleRequest(3*leaseMs, 1, 1<<32+5, false, request)
-	after.SetDemand(3.9*leaseMs, budget, 0.9)
-	if again := after.Tick(3.9*leaseMs, allMembers)[0].QuotaRequest; again.Seq != request.Seq || grant.Units == 0 {
-		t.Fatalf("%+v, %+v, %+v", again, request, grant)
+	current.SetDemand(3.9*leaseMs, budget, 0.9)
+	if repeated := current.Tick(3.9*leaseMs, allMembers)[0].QuotaRequest; repeated.Seq != request.Seq || grant.Units == 0 {
+		t.Fatalf("requests %+v and %+v, grant %+v; want equal sequence numbers and units granted", request, repeated, grant)
 	}
-	after.HandleGrant(3.9*leaseMs, 0, grant)
-	if allowance := after.Allowance(4.5*leaseMs, budget); allowance.LeaseCount > 0 {
-		t.Error("a grant to the previous incarnation is accepted")
+	current.HandleGrant(3.9*leaseMs, 0, grant)
+	if allowance := current.Allowance(4.5*leaseMs, budget); allowance.LeaseCount > 0 {
+		t.Error("a grant for the previous incarnation is accepted")
 	}
 }
 
 const trafficNodes = 6
 
-// newTrafficLedgers returns nodes whose quotas of the budget follow from traffic, after they have leased units to the two with demand.
+// newTrafficLedgers returns the ledgers of nodes whose quotas of the budget follow from traffic, after they have leased units to the two nodes
+// with demand.
 func newTrafficLedgers(t *testing.T) (ledgers [trafficNodes]*Ledger, now float64) {
 	t.Helper()
 	for i := range ledgers {
@@ -307,21 +309,22 @@
 		used := 0.0
 		for _, ledger := range ledgers[:2] {
 			allowance := ledger.Allowance(now, budget)
-			used += 0.01 - float64(allowance.LentUnits)/TotalUnits + allowance.borrowed(now)
+			used += 0.01 - float64(allowance.LentUnits)/TotalUnits + allowance.borrowedShare(now)
 		}
-		if used < 0.035 || used > 0.0401 { // two quotas, and half of the other four
-			t.Fatalf("two nodes may spend %.4f of 0.06", used)
+		if used < 0.035 || used > 0.0401 { // the quotas of the two nodes and half of the other four
+			t.Fatalf("the two nodes with demand may spend %.4f of 0.06, want 0.035 to 0.0401", used)
 		}
 	}
 	return ledgers, now
 }
 
-// Nodes without demand for a server lease their quotas to those with demand, and a request of one kind is not granted of a budget of the other.
+// Nodes without demand lease parts of quotas that follow from traffic to nodes with demand. A request is refused if it is for the other kind of
+// budget or if the quota was never set.
 func TestTrafficQuotasAreLeased(t *testing.T) {
 	ledgers, now := newTrafficLedgers(t)
 	request := wire.QuotaRequest{Budget: budget, Seq: 1 << 30, Units: 9}
 	if grant := ledgers[5].HandleRequest(now, 0, 1, false, request); grant.Units > 0 {
-		t.Error("founders' units are leased out of a budget that has none")
+		t.Error("a request for a budget of fixed size is granted from a quota that follows from traffic")
 	}
 	unknown := request
 	unknown.Budget++
@@ -330,21 +333,21 @@
 	}
 }
 
-// A node leases out units of a quota that follows from traffic neither while leases of its previous incarnation may exist nor after the quota was not
-// set for long.
+// A node leases out no units of a quota that follows from traffic while leases of its previous incarnation may exist, or when the quota has
+// not been set for a long time.
 func TestTrafficQuotaExpires(t *testing.T) {
 	const start = 13.0 * leaseMs
 	request := wire.QuotaRequest{Budget: budget, Seq: 1 << 30, Units: 9}
 	ledger := New(start, Config{Self: 5, QuotaOwners: trafficNodes, MaxNodes: trafficNodes, LeaseMs: leaseMs}, 99)
 	ledger.SetTrafficQuota(start, budget, 0.01, 0)
 	if grant := ledger.HandleRequest(start+leaseMs, 0, 1, true, request); grant.Units > 0 {
-		t.Error("it lends before leases of its previous incarnation have expired")
+		t.Error("units are leased out before leases of the previous incarnation have expired")
 	}
 	ledger.SetTrafficQuota(start+leaseMs, budget, 0.01, 0)
 	if grant := ledger.HandleRequest(start+2*leaseMs, 1, 2, true, request); grant.Units != 9 {
-		t.Error("it lends nothing")
+		t.Errorf("granted %d units, want 9", grant.Units)
 	}
 	if grant := ledger.HandleRequest(start+4*leaseMs, 2, 3, true, request); grant.Units > 0 {
-		t.Error("it lends of a quota that was set long ago")
+		t.Error("units are leased out of a quota that has not been set for a long time")
 	}
 }
--- a/internal/cluster/quota/lend.go
+++ b/internal/cluster/quota/lend.go
@@ -5,9 +5,9 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// HandleRequest answers a request for a lease. What is granted counts as leased out from now on, whether the answer arrives or not. A request
-// for units of a quota that follows from traffic is granted only of such a quota: a message of another node neither changes the kind of a
-// budget nor makes this node lease out what it does not know to own.
+// HandleRequest answers a request for a lease. The granted units count as leased out from now on, whether or not the answer arrives. A request
+// whose fromTraffic differs from that of the budget is refused, and so is one for a traffic quota that this node has not set: a message from
+// another node must neither change the kind of a budget nor make this node lease out units that it does not own.
 func (l *Ledger) HandleRequest(
 	now float64, from cluster.NodeID, incarnation cluster.Incarnation, fromTraffic bool, request wire.QuotaRequest,
 ) wire.QuotaGrant {
@@ -22,7 +22,7 @@
 			continue
 		}
 		if lease.seq == request.Seq {
-			grant.Units = lease.units // the request was sent twice, or duplicated
+			grant.Units = lease.units // a duplicate of the request
 		}
 		return grant
 	}
@@ -35,10 +35,10 @@
 	return grant
 }
 
-// mayLend reports whether this node may lease out units of a budget; b is nil for an unknown budget.
+// mayLend reports whether this node may lease out units of a budget. b is nil for an unknown budget.
 func (l *Ledger) mayLend(now float64, to cluster.NodeID, fromTraffic bool, b *budgetState) bool {
 	switch {
-	case now < l.lendsFrom() || to == l.config.Self:
+	case now < l.lendingStartsAt() || to == l.config.Self:
 		return false
 	case b != nil && b.fromTraffic != fromTraffic:
 		return false
@@ -49,14 +49,14 @@
 	}
 }
 
-// leasableUnits returns how many units a holder may have, with what it has already. No holder gets more than three quarters of the free
-// units: others may need as much.
+// leasableUnits returns how many units a holder may have in total, including its current lease. A larger lease is limited to three quarters of
+// the free units, because other nodes may need as much.
 func (l *Ledger) leasableUnits(now float64, b *budgetState, holder leaseholder) uint32 {
-	owned, target := l.ownedUnits(now, b), l.targetUnits(now, b)
-	needed := max(l.retainedUnits(now, b), min(owned, target-min(target, l.floorUnits(b))))
-	free := int64(owned) - int64(needed) - int64(b.lentUnits(now, holder))
+	owned, demand := l.ownedUnits(now, b), l.demandWithHeadroom(now, b)
+	needed := max(l.retainedUnits(now, b), min(owned, demand-min(demand, l.floorUnits(b))))
+	free := int64(owned) - int64(needed) - int64(b.lentUnitsExcept(now, holder))
 	if free <= 0 {
 		return 0
 	}
-	return max(uint32(free-free/minFreeDivisor), min(b.largestGrant(now, holder), uint32(free)))
+	return max(uint32(free-free/reservedFreeDivisor), min(b.largestGrant(now, holder), uint32(free)))
 }
--- a/internal/cluster/quota/random_test.go
+++ b/internal/cluster/quota/random_test.go
@@ -9,7 +9,7 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// message is a request or a grant that was sent. It may be delivered at any time, and more than once.
+// message is a request or a grant that was sent. It may be delivered at any time and more than once.
 type message struct {
 	from, to    int
 	incarnation cluster.Incarnation // of the sender
@@ -46,10 +46,10 @@
 	}
 }
 
-// clock returns what a node's clock shows.
+// clock returns the time on a node's clock.
 func (f *randomFleet) clock(i int) float64 { return f.now*(1+f.drift[i]) + f.skew[i] }
 
-// start starts a node without memory.
+// start starts a node as a new incarnation without state.
 func (f *randomFleet) start(i int) {
 	config := f.config
 	config.Self = cluster.NodeID(i)
@@ -58,11 +58,11 @@
 	f.incarnations[i], f.up[i] = f.lastIncarnation, true
 }
 
-// tick has a node send its requests. All nodes count as members, which leases out the most.
+// tick sends the requests of a node. All nodes count as members, so that as many units as possible are leased out.
 func (f *randomFleet) tick(t *rapid.T, i int) {
 	for _, r := range f.ledgers[i].Tick(f.clock(i), allMembers) {
 		if r.FromTraffic != f.fromTraffic {
-			t.Fatalf("a request of the wrong kind: %+v", r)
+			t.Fatalf("a request has the wrong FromTraffic: %+v", r)
 		}
 		f.sent = append(f.sent, message{from: i, to: int(r.To), incarnation: f.incarnations[i], request: &r.QuotaRequest})
 	}
@@ -82,7 +82,7 @@
 	}
 }
 
-// deliverAny delivers any message, new or old, perhaps once more.
+// deliverAny delivers a random message, which may be old or a duplicate.
 func (f *randomFleet) deliverAny(t *rapid.T) {
 	if len(f.sent) > 0 {
 		f.deliver(f.sent[rapid.IntRange(0, len(f.sent)-1).Draw(t, "message")])
@@ -101,12 +101,12 @@
 	drawDemand = rapid.SampledFrom([]float64{0.02, 0.5, 1})
 )
 
-// Whatever messages are lost, late, duplicated and reordered, and whichever nodes are suspended, die or restart, with clocks that differ and
-// run up to 2.4% fast and slow: at no moment may all nodes together spend more than the whole budget.
+// At no moment may all nodes together spend more than the whole budget, while messages are lost, delayed, duplicated and reordered, nodes crash,
+// restart and are suspended, and clocks differ and run up to 2.4% fast or slow.
 func TestBudgetIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 4).Draw(t, "nodes")
-		f := newRandomFleet(Config{QuotaOwners: rapid.IntRange(1, nodes).Draw(t, "founders"), MaxNodes: nodes, LeaseMs: leaseMs}, false)
+		f := newRandomFleet(Config{QuotaOwners: rapid.IntRange(1, nodes).Draw(t, "quota owners"), MaxNodes: nodes, LeaseMs: leaseMs}, false)
 		demand := make([]float64, nodes)
 		for i := range nodes {
 			f.drift[i] = drawDrift.Draw(t, "drift")
@@ -151,7 +151,7 @@
 		}
 	}
 	if sum > 1 {
-		t.Fatalf("all nodes together may spend %.4f of the budget", sum)
+		t.Fatalf("all nodes together may spend %.4f of the budget, want at most 1", sum)
 	}
 }
 
@@ -159,60 +159,62 @@
 type trafficFleet struct {
 	*randomFleet
 	quotas, demands []float64
-	earlier         [][]pastQuota // by node
+	pastQuotas      [][]pastQuota // by node
 }
 
-// pastQuota is a quota that a node had until a time.
+// pastQuota is an earlier quota of a node and the time when it ended.
 type pastQuota struct{ until, quota float64 }
 
-func (f *trafficFleet) setQuota(t *rapid.T, i int) {
-	f.earlier[i] = append(f.earlier[i], pastQuota{f.now, f.quotas[i]})
+func (f *trafficFleet) drawQuota(t *rapid.T, i int) {
+	f.pastQuotas[i] = append(f.pastQuotas[i], pastQuota{f.now, f.quotas[i]})
 	f.quotas[i] = rapid.SampledFrom([]float64{0, 0.001, 0.02, 0.3}).Draw(t, "quota")
 }
 
-func (f *trafficFleet) publishQuota(i int) {
+func (f *trafficFleet) applyQuota(i int) {
 	f.ledgers[i].SetTrafficQuota(f.clock(i), budget, f.quotas[i], f.demands[i])
 }
 
-// start starts a node, which knows its quota at once.
+// start starts a node and sets its quota.
 func (f *trafficFleet) start(i int) {
 	f.randomFleet.start(i)
-	f.publishQuota(i)
+	f.applyQuota(i)
 }
 
-// recentMax returns the greatest quota of a node within the duration of a lease.
-func (f *trafficFleet) recentMax(i int) float64 {
-	greatest := f.quotas[i]
-	for _, past := range f.earlier[i] {
+// maxRecentQuota returns the largest quota that a node had within the duration of a lease.
+func (f *trafficFleet) maxRecentQuota(i int) float64 {
+	largest := f.quotas[i]
+	for _, past := range f.pastQuotas[i] {
 		if f.now-past.until < 1.08*leaseMs {
-			greatest = max(greatest, past.quota)
+			largest = max(largest, past.quota)
 		}
 	}
-	return greatest
+	return largest
 }
 
-// checkQuotas fails if all nodes together may spend more than their quotas and, unless their traffic is steady, half of what they had lately.
+// checkQuotas fails if all nodes together may spend more than the sum of their quotas. Unless their traffic is steady, half of the largest
+// recent quota of each node is allowed in addition.
 func (f *trafficFleet) checkQuotas(t *rapid.T, steady bool) {
 	const tolerance = 1e-5
-	spent, quotas, lately := 0.0, 0.0, 0.0
+	spendable, quotas, allowedExcess := 0.0, 0.0, 0.0
 	for i, ledger := range f.ledgers {
-		lately += retainedTrafficShare * f.recentMax(i)
+		allowedExcess += retainedTrafficShare * f.maxRecentQuota(i)
 		if f.up[i] {
 			allowance := ledger.Allowance(f.clock(i), budget)
-			spent += max(0, f.quotas[i]-float64(allowance.LentUnits)/TotalUnits) + allowance.borrowed(f.clock(i))
+			spendable += max(0, f.quotas[i]-float64(allowance.LentUnits)/TotalUnits) + allowance.borrowedShare(f.clock(i))
 			quotas += f.quotas[i]
 		}
 	}
-	if spent > quotas+lately+tolerance {
-		t.Fatalf("all nodes together may spend %.5f with quotas of %.5f, and lately of %.5f", spent, quotas, lately/retainedTrafficShare)
+	if spendable > quotas+allowedExcess+tolerance {
+		t.Fatalf("all nodes together may spend %.5f, the sum of quotas is %.5f and that of the largest recent ones %.5f",
+			spendable, quotas, allowedExcess/retainedTrafficShare)
 	}
-	if steady && spent > quotas+tolerance {
-		t.Fatalf("the traffic is steady, and all nodes together may spend %.5f of %.5f", spent, quotas)
+	if steady && spendable > quotas+tolerance {
+		t.Fatalf("all nodes together may spend %.5f with steady traffic, the sum of quotas is %.5f", spendable, quotas)
 	}
 }
 
-// Where quotas follow from traffic: whatever messages are lost, late and duplicated, and whichever nodes die, restart or see their traffic
-// change, all nodes together spend no more than their quotas and half of what any of them had within the duration of a lease.
+// Nodes whose quotas follow from traffic must not spend more than the sum of their quotas and half of the largest quota that each had within
+// the duration of a lease, while messages are lost, delayed and duplicated, nodes crash and restart, and their traffic changes.
 func TestTrafficQuotasAreNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(2, 5).Draw(t, "nodes")
@@ -220,12 +222,12 @@
 			randomFleet: newRandomFleet(Config{QuotaOwners: 1, MaxNodes: nodes, LeaseMs: leaseMs}, true),
 			quotas:      make([]float64, nodes),
 			demands:     make([]float64, nodes),
-			earlier:     make([][]pastQuota, nodes),
+			pastQuotas:  make([][]pastQuota, nodes),
 		}
-		steady := rapid.Bool().Draw(t, "steady traffic") // and no node dies for longer than a moment
+		steady := rapid.Bool().Draw(t, "steady traffic") // in which case nodes restart but do not stay down
 		for i := range nodes {
 			f.drift[i] = drawDrift.Draw(t, "drift")
-			f.setQuota(t, i)
+			f.drawQuota(t, i)
 			f.demands[i] = rapid.SampledFrom([]float64{0, 0.01, 0.5}).Draw(t, "demand")
 			f.start(i)
 		}
@@ -239,7 +241,7 @@
 				f.start(i)
 			case 2:
 				if !steady {
-					f.setQuota(t, i)
+					f.drawQuota(t, i)
 				}
 			case 3:
 				f.now += rapid.SampledFrom([]float64{1, 300, 0.97 * leaseMs, 1.06 * leaseMs}).Draw(t, "ms")
@@ -249,7 +251,7 @@
 				f.deliverLatest(8)
 			default:
 				if f.up[i] {
-					f.publishQuota(i)
+					f.applyQuota(i)
 					f.tick(t, i)
 				}
 			}
