--- a/internal/cluster/outlier/assess.go
+++ b/internal/cluster/outlier/assess.go
@@ -9,18 +9,18 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// Change is what the evidence of other nodes says of a server from now on.
+// Change is the new effect of other nodes' evidence of a server.
 type Change struct {
 	Server          uint32
 	Bias            float64 // added to the failure rate that this node has observed
-	TrialIntervalMs float64 // between this node's trial requests, as others make them too; 0: as if it were alone
+	TrialIntervalMs float64 // between this node's trial requests while other nodes send some too; 0: the node's own interval
 	Duplicating     bool    // the server sends duplicate responses
-	Sources         int     // nodes that agree on this
-	AgeMs           float64 // of the latest evidence; +Inf: there is none
+	Sources         int     // number of sources that agree
+	AgeMs           float64 // age of the latest evidence; +Inf: there is none
 }
 
-// Tick renews this node's own evidence, drops what has expired, and returns what has changed. The number of nodes determines how many sources
-// must agree.
+// Tick renews this node's own evidence, drops expired evidence, and returns the changes. The number of nodes determines how many sources must
+// agree.
 func (d *Detector) Tick(now float64, nodes int) []Change {
 	if now-d.lastTickAt < tickIntervalMs {
 		return nil
@@ -30,12 +30,12 @@
 		d.renew(now, id)
 		d.dropExpired(now, id)
 	}
-	changes := d.report(d.limitBias(d.assess(now, nodes)))
+	changes := d.report(d.limitBiasedServers(d.assess(now, nodes)))
 	d.dropUnused()
 	return changes
 }
 
-// renew publishes this node's own verdict again if it still holds, and withdraws it after the TTL if not.
+// renew publishes this node's own verdict again if it still holds, or withdraws it after the TTL.
 func (d *Detector) renew(now float64, id uint32) {
 	e := &d.servers[id].local
 	age := now - e.publishedAt
@@ -62,54 +62,54 @@
 	}
 }
 
-// assessment is a Change together with the number of its accusers.
+// assessment is a Change together with the number of sources that report the server as failing.
 type assessment struct {
-	change   Change
-	accusers int
+	change         Change
+	failingSources int
 }
 
-// assess returns what the evidence says of each server, those with the most accusers first.
+// assess assesses each server. Servers that the most sources report as failing come first.
 func (d *Detector) assess(now float64, nodes int) []assessment {
-	excluded := d.excessiveAccusers()
+	ignoredReporters := d.excessiveReporters()
 	var all []assessment
 	for _, id := range d.serverOrder {
-		all = append(all, d.assessServer(now, id, nodes, excluded))
+		all = append(all, d.assessServer(now, id, nodes, ignoredReporters))
 	}
 	slices.SortStableFunc(all, func(a, b assessment) int {
-		return cmp.Or(cmp.Compare(b.accusers, a.accusers), cmp.Compare(a.change.Server, b.change.Server))
+		return cmp.Or(cmp.Compare(b.failingSources, a.failingSources), cmp.Compare(a.change.Server, b.change.Server))
 	})
 	return all
 }
 
-// excessiveAccusers returns the sources that accuse so many servers that their accusations do not count.
-func (d *Detector) excessiveAccusers() map[cluster.NodeID]bool {
-	accused := map[cluster.NodeID]int{}
+// excessiveReporters returns the sources that report so many servers as failing that these reports do not count.
+func (d *Detector) excessiveReporters() map[cluster.NodeID]bool {
+	failingServers := map[cluster.NodeID]int{}
 	for _, s := range d.servers {
 		for source, e := range s.evidence {
 			if e.verdict == wire.Failing {
-				accused[source]++
+				failingServers[source]++
 			}
 		}
 	}
-	limit := d.shareOfServers(maxAccusedShare)
+	limit := d.shareOfServers(maxFailingShare)
 	excessive := map[cluster.NodeID]bool{}
-	for source, servers := range accused {
+	for source, servers := range failingServers {
 		excessive[source] = servers > limit
 	}
 	return excessive
 }
 
-// shareOfServers returns the number of servers in a share of all, at least one.
+// shareOfServers converts a share of all servers to a number of servers, at least 1.
 func (d *Detector) shareOfServers(share float64) int {
 	return int(max(1, share*float64(d.serverCount)))
 }
 
-func (d *Detector) assessServer(now float64, id uint32, nodes int, excluded map[cluster.NodeID]bool) assessment {
+func (d *Detector) assessServer(now float64, id uint32, nodes int, ignoredReporters map[cluster.NodeID]bool) assessment {
 	s := d.servers[id]
 	change := Change{Server: id, AgeMs: math.Inf(1)}
 	var sources [wire.Duplicating + 1]int // by verdict
 	for source, e := range s.evidence {
-		if source == d.config.Self || e.verdict == wire.Failing && excluded[source] {
+		if source == d.config.Self || e.verdict == wire.Failing && ignoredReporters[source] {
 			continue
 		}
 		change.AgeMs = min(change.AgeMs, now-e.observedAt)
@@ -120,7 +120,7 @@
 	switch {
 	case failing >= required && failing > healthy:
 		change.Bias, change.Sources = maxBias, failing
-		if healthy == 0 { // otherwise it may have recovered; a false claim of that makes all nodes try as if they were alone
+		if healthy == 0 { // otherwise the server may have recovered; a false report of that only raises the number of trial requests
 			change.TrialIntervalMs = float64(nodes) * d.config.TTLMs / float64(trialsPerSource*required)
 		}
 	case healthy >= required && healthy > failing && s.local.failureRate >= failingThreshold:
@@ -130,26 +130,27 @@
 		change.Duplicating = true
 		change.Sources = max(change.Sources, duplicating)
 	}
-	return assessment{change: change, accusers: failing}
+	return assessment{change: change, failingSources: failing}
 }
 
-// limitBias removes the claims against servers beyond the share of servers that may have any, those with the fewest accusers first.
-func (d *Detector) limitBias(all []assessment) []assessment {
-	left := d.shareOfServers(maxBiasedShare)
+// limitBiasedServers removes the positive bias and the duplicating mark of servers beyond maxBiasedShare. The assessments are sorted, so that
+// the servers that the fewest sources report as failing lose theirs.
+func (d *Detector) limitBiasedServers(all []assessment) []assessment {
+	remaining := d.shareOfServers(maxBiasedShare)
 	for i := range all {
 		change := &all[i].change
 		if change.Bias <= 0 && !change.Duplicating {
 			continue
 		}
-		left--
-		if left < 0 {
+		remaining--
+		if remaining < 0 {
 			change.Bias, change.TrialIntervalMs, change.Duplicating = 0, 0, false
 		}
 	}
 	return all
 }
 
-// report returns the assessments that differ from what was reported last.
+// report returns the assessments that differ from the last reported ones.
 func (d *Detector) report(all []assessment) (changes []Change) {
 	for _, a := range all {
 		s := d.servers[a.change.Server]
@@ -162,14 +163,15 @@
 	return changes
 }
 
-// differs reports whether a change is worth reporting; trial intervals follow the number of nodes and vary a little all the time.
+// differs reports whether an assessment differs enough from the last reported one. Small changes of the trial interval are ignored, because it
+// follows the number of nodes and varies all the time.
 func (s *server) differs(change Change) bool {
 	before, after := s.trialIntervalMs, change.TrialIntervalMs
 	return s.bias != change.Bias || s.duplicating != change.Duplicating || (before == 0) != (after == 0) ||
 		before > trialIntervalChange*after || after > trialIntervalChange*before
 }
 
-// dropUnused forgets the servers that there is no evidence of.
+// dropUnused forgets servers that there is no evidence of.
 func (d *Detector) dropUnused() {
 	d.serverOrder = slices.DeleteFunc(d.serverOrder, func(id uint32) bool {
 		s := d.servers[id]
--- a/internal/cluster/outlier/config.go
+++ b/internal/cluster/outlier/config.go
@@ -1,11 +1,12 @@
-// Package outlier lets the nodes of a fleet exchange evidence of failing servers, so that each needs less evidence of its own. Indirect
-// evidence is a bias: it lowers the threshold at which a node's own failures eject a server, or raises it where other nodes have received
-// responses since; alone it neither ejects nor readmits a server. It counts only from several sources, of each source for few servers at a time,
-// and for few servers in total, and it expires unless it is renewed. So nodes that lie, or that are cut off and see failures everywhere,
-// change how strongly a node's own evidence counts, for no more than a fixed share of the servers.
+// Package outlier lets the nodes of a fleet exchange evidence of failing servers, so that each needs less evidence of its own. Evidence from
+// other nodes acts as a bias on the failure rate that a node observes: it lowers the threshold at which the node's own failures eject a
+// server, or raises it if other nodes have received responses since. Alone it neither ejects nor readmits a server. It counts only if several
+// sources agree, it is limited to a share of the servers, both per source and in total, and it expires unless it is renewed. Hence nodes that
+// send false evidence, or that are partitioned and observe failures everywhere, can only change how strongly a node's own evidence counts, and
+// only for that share of the servers.
 //
-// While other nodes say that a server fails, this node makes only its part of the trial requests: the trials of the others serve it as well,
-// as long as their evidence arrives. As soon as one of them receives a response it makes trials as if it were alone.
+// While other nodes report that a server fails, this node sends only its part of the trial requests, because it also learns the results of the
+// others' trials. As soon as one of them receives a response, this node sends trial requests as if it were alone.
 //
 // The package does no I/O and reads no clock; times are float64 ms. One goroutine must own a Detector.
 package outlier
@@ -16,10 +17,10 @@
 type Config struct {
 	Self     cluster.NodeID
 	MaxNodes int     // node ids are below this number
-	TTLMs    float64 // after which evidence that was not renewed is dropped
+	TTLMs    float64 // age at which evidence is dropped unless it was renewed
 }
 
-// Limits of the bias: what indirect evidence adds to the failure rate of a server.
+// Limits of the bias, which is added to the failure rate that a node has observed of a server.
 const (
 	minBias = -0.2
 	maxBias = 0.25
@@ -27,31 +28,31 @@
 
 // Parameters of this node's own evidence.
 const (
-	smoothing        = 0.25 // weight of one outcome in the failure rate
-	failingThreshold = 0.4  // failure rate from which a server is published as failing
-	healthyThreshold = 0.1  // failure rate below which a server is forgotten
-	minOutcomes      = 2    // outcomes below which nothing is published
+	smoothing        = 0.25 // weight of the latest outcome in the failure rate, an exponential moving average
+	failingThreshold = 0.4  // failure rate at which a server is published as failing
+	healthyThreshold = 0.1  // failure rate below which a server needs no evidence and is forgotten
+	minOutcomes      = 2    // outcomes required before a server is published as failing
 	recoveredStreak  = 2    // successes in a row after which a failing server is published as healthy, whatever its failure rate
-	maxOutcomes      = 255  // limit of the number of outcomes on the wire
-	refreshAfter     = 0.4  // of the TTL: evidence that still holds is renewed
-	duplicatingTTLs  = 10   // TTLs for which a server counts as duplicating after a duplicate response
+	maxOutcomes      = 255  // upper bound of the number of outcomes, which is one byte on the wire
+	refreshAfter     = 0.4  // age, as a share of the TTL, at which evidence that still holds is renewed
+	duplicatingTTLs  = 10   // number of TTLs for which a server counts as duplicating after a duplicate response
 )
 
-// Parameters of the evidence of others.
+// Parameters of the evidence from other nodes.
 const (
-	maxAccusedShare      = 0.25 // of all servers that one source may accuse; if it accuses more, none of its accusations counts
-	maxBiasedShare       = 0.25 // of all servers that may have a bias against them at a time
-	minSources           = 2    // sources that are required
-	nodesPerExtraSource  = 20   // and one more for each so many nodes
-	maxSources           = 8    // limit of the required sources
-	trialsPerSource      = 8    // trial requests that all nodes together make in a TTL, per required source
-	retransmitMultiplier = 3    // with log2 of the fleet's size: how often evidence is passed on
-	newerByMs            = 150  // evidence of one source replaces what is known only if it is newer by this; ages are rounded on the wire
+	maxFailingShare      = 0.25 // share of all servers that one source may report as failing; if it reports more, none of those reports count
+	maxBiasedShare       = 0.25 // share of all servers that may have a positive bias or count as duplicating at a time
+	minSources           = 2    // sources required in a small fleet
+	nodesPerExtraSource  = 20   // one more source is required per this many nodes
+	maxSources           = 8    // upper bound of the required sources
+	trialsPerSource      = 8    // trial requests that all nodes together send in a TTL, per required source
+	retransmitMultiplier = 3    // evidence is passed on this many times log2 of the number of nodes
+	minNewerByMs         = 150  // evidence replaces that of the same source if newer by more than this; ages are rounded on the wire
 	tickIntervalMs       = 100
-	trialIntervalChange  = 2 // factor by which the trial interval changes before it is reported
+	trialIntervalChange  = 2 // factor by which the trial interval must change before it is reported
 )
 
-// requiredSources returns how many sources must agree among so many nodes.
+// requiredSources returns how many sources must agree in a fleet of a number of nodes.
 func requiredSources(nodes int) int {
 	return min(maxSources, minSources+nodes/nodesPerExtraSource)
 }
--- a/internal/cluster/outlier/detector.go
+++ b/internal/cluster/outlier/detector.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// localEvidence is what this node has observed of a server.
+// localEvidence is the evidence that this node has observed of a server.
 type localEvidence struct {
 	failureRate   float64
 	successStreak int // since the last failure
@@ -16,43 +16,43 @@
 	published     bool
 	verdict       wire.Verdict // if published
 	publishedAt   float64
-	duplicatedAt  float64 // time of the last duplicate response; 0: none
+	duplicatedAt  float64 // time of the last duplicate response; 0: there was none
 }
 
-// remoteEvidence is the evidence of one source.
-type remoteEvidence struct {
+// sourceEvidence is the latest evidence of a server from one source.
+type sourceEvidence struct {
 	verdict    wire.Verdict
 	attempts   uint8
 	observedAt float64 // by this node's clock
 	transmits  int
 }
 
-// server is what is known of one server.
+// server is the evidence of one server and its last reported effect.
 type server struct {
 	local    localEvidence
-	evidence map[cluster.NodeID]remoteEvidence // by source, including this node
+	evidence map[cluster.NodeID]sourceEvidence // by source, including this node
 
-	// As last reported by Tick.
+	// As last returned by Tick.
 	bias            float64
 	trialIntervalMs float64
 	duplicating     bool
 }
 
-// queueItem is evidence that is to be passed on.
+// queueItem identifies evidence that is to be passed on.
 type queueItem struct {
 	server uint32
 	source cluster.NodeID
 }
 
-// Detector is one node's evidence of all servers.
+// Detector holds one node's evidence of all servers, its own and that from other nodes.
 type Detector struct {
-	config      Config
-	servers     map[uint32]*server // by hash of the name
-	serverOrder []uint32           // keys of servers in the order of their creation
-	serverCount int                // known servers, whether there is evidence of them or not
-	queue       []queueItem
-	unsent      bool // there is new evidence in the queue
-	lastTickAt  float64
+	config         Config
+	servers        map[uint32]*server // by hash of the name
+	serverOrder    []uint32           // keys of servers in the order of their creation
+	serverCount    int                // number of known servers, with or without evidence
+	queue          []queueItem
+	hasNewEvidence bool // evidence from a new source, or with a new verdict, has been queued since the last TakeNewEvidenceFlag
+	lastTickAt     float64
 }
 
 // New returns a Detector without evidence.
@@ -70,7 +70,7 @@
 	d.queue = slices.DeleteFunc(d.queue, func(item queueItem) bool { return item.server == id })
 }
 
-// Observe records the outcome of one attempt at a server: whether it failed by the fault of the server.
+// Observe records the outcome of one attempt at a server. failed means that the server caused the failure.
 func (d *Detector) Observe(now float64, id uint32, failed bool) {
 	s := d.servers[id]
 	if s == nil {
@@ -96,18 +96,18 @@
 	}
 }
 
-// verdictToPublish returns the verdict that is news after an outcome.
+// verdictToPublish returns the verdict to publish after an outcome, and whether there is one.
 func (s *server) verdictToPublish(failed bool) (verdict wire.Verdict, publish bool) {
 	e := &s.local
-	accused := e.published && e.verdict == wire.Failing
-	if !accused && e.failureRate >= failingThreshold && e.outcomes >= minOutcomes {
+	reportedFailing := e.published && e.verdict == wire.Failing
+	if !reportedFailing && e.failureRate >= failingThreshold && e.outcomes >= minOutcomes {
 		return wire.Failing, true
 	}
-	// Where this node makes few trials because others do, its own accusation has expired, but its first response is news: otherwise no node
-	// would learn of it.
-	accusedByOthers := !e.published && s.bias > 0 && e.failureRate > healthyThreshold
+	// A node that sends few trial requests because others send them has no published verdict any more, because it has expired. It must still publish
+	// its first response, or no node would learn of the recovery.
+	othersReportFailing := !e.published && s.bias > 0 && e.failureRate > healthyThreshold
 	recovered := e.failureRate < failingThreshold || e.successStreak >= recoveredStreak || s.trialIntervalMs > 0
-	return wire.Healthy, !failed && (accused || accusedByOthers) && recovered
+	return wire.Healthy, !failed && (reportedFailing || othersReportFailing) && recovered
 }
 
 // ObserveDuplicate records that a server sent a duplicate response.
@@ -117,40 +117,40 @@
 	d.publish(now, id, &s.local, wire.Duplicating)
 }
 
-// server returns what is known of a server, which it creates if necessary.
+// server returns the state of a server, which it creates if necessary.
 func (d *Detector) server(id uint32) *server {
 	s := d.servers[id]
 	if s == nil {
-		s = &server{evidence: map[cluster.NodeID]remoteEvidence{}}
+		s = &server{evidence: map[cluster.NodeID]sourceEvidence{}}
 		d.servers[id] = s
 		d.serverOrder = append(d.serverOrder, id)
 	}
 	return s
 }
 
-// publish makes a verdict of this node's own known.
+// publish queues a verdict of this node for the other nodes.
 func (d *Detector) publish(now float64, id uint32, e *localEvidence, verdict wire.Verdict) {
 	e.published, e.verdict, e.publishedAt = true, verdict, now
-	d.record(id, d.config.Self, remoteEvidence{verdict: verdict, attempts: uint8(e.outcomes), observedAt: now})
+	d.record(id, d.config.Self, sourceEvidence{verdict: verdict, attempts: uint8(e.outcomes), observedAt: now})
 }
 
-// ServerStatus is what is known of one server, as operators see it.
+// ServerStatus is the evidence of one server as shown to operators.
 type ServerStatus struct {
 	Server      uint32          `json:"Server"`
-	Name        string          `json:"Text"` // empty where this node does not know it
-	FailureRate float64         `json:"Own"`  // by this node's own traffic
+	Name        string          `json:"Text"` // empty if this node does not know it
+	FailureRate float64         `json:"Own"`  // as observed by this node
 	Bias        float64         `json:"Hearsay"`
 	Duplicating bool            `json:"Twice"`
 	Evidence    []wire.Evidence `json:"Opinions"`
 }
 
-// Status returns what is known of all servers.
+// Status returns the status of every server that there is evidence of.
 func (d *Detector) Status(now float64) (all []ServerStatus) {
 	for _, id := range d.serverOrder {
 		s := d.servers[id]
 		status := ServerStatus{Server: id, FailureRate: s.local.failureRate, Bias: s.bias, Duplicating: s.duplicating}
 		for source, e := range s.evidence {
-			status.Evidence = append(status.Evidence, e.onWire(now, id, source))
+			status.Evidence = append(status.Evidence, e.toWire(now, id, source))
 		}
 		slices.SortFunc(status.Evidence, func(a, b wire.Evidence) int { return cmp.Compare(a.Source, b.Source) })
 		all = append(all, status)
@@ -158,8 +158,8 @@
 	return all
 }
 
-// onWire returns the evidence in the form in which it is passed on.
-func (e remoteEvidence) onWire(now float64, server uint32, source cluster.NodeID) wire.Evidence {
+// toWire converts evidence to its form on the wire.
+func (e sourceEvidence) toWire(now float64, server uint32, source cluster.NodeID) wire.Evidence {
 	return wire.Evidence{
 		Source: source, Server: server, Verdict: e.verdict, Attempts: e.attempts, AgeMs: now - e.observedAt,
 	}
--- a/internal/cluster/outlier/detector_test.go
+++ b/internal/cluster/outlier/detector_test.go
@@ -17,14 +17,14 @@
 
 const (
 	ttlMs      = 10_000
-	fleetNodes = 12 // nodes of the fleet as a testNode sees it
+	fleetNodes = 12 // number of nodes that a testNode assumes
 )
 
-// testNode is a node whose evidence of others is given by the test.
+// testNode is a node that receives its evidence from other nodes from the test.
 type testNode struct {
 	*Detector
 	now     float64
-	changes map[uint32]Change // the latest by server
+	changes map[uint32]Change // latest change, by server
 }
 
 func newNode(servers int) *testNode {
@@ -33,12 +33,12 @@
 	return n
 }
 
-// receive passes evidence of a source to the node.
+// receive merges evidence of a source into the node.
 func (n *testNode) receive(source cluster.NodeID, server uint32, verdict wire.Verdict) {
 	n.MergeEvidence(n.now, &wire.Message{Evidence: []wire.Evidence{{Source: source, Server: server, Verdict: verdict, Attempts: 9}}})
 }
 
-// tick advances the time and lets the node assess its evidence.
+// tick advances the time and calls Tick.
 func (n *testNode) tick(ms float64) {
 	n.now += ms
 	for _, change := range n.Tick(n.now, fleetNodes) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// Two sources lower the threshold, one does not. Evidence expires unless it is renewed. Responses that others received raise the threshold for a
-// node that sees the server fail itself, and for no other.
+// Evidence from two sources lowers the threshold, evidence from one does not. It expires unless it is renewed. Responses that other nodes
+// received raise the threshold only if the node itself observes failures of the server.
 func TestBias(t *testing.T) {
 	n := newNode(12)
 	n.receive(1, 7, wire.Failing)
@@ -59,7 +59,7 @@
 	n.receive(2, 7, wire.Failing)
 	n.tick(200)
 	if n.changes[7].Bias != maxBias {
-		t.Errorf("two sources: %v", n.changes[7].Bias)
+		t.Errorf("two sources cause a bias of %v, want %v", n.changes[7].Bias, maxBias)
 	}
 	for range 4 {
 		n.Observe(n.now, 7, true)
@@ -70,7 +70,7 @@
 	n.receive(2, 7, wire.Healthy)
 	n.tick(300)
 	if n.changes[7].Bias != minBias {
-		t.Errorf("others receive responses: %v", n.changes[7].Bias)
+		t.Errorf("other nodes' responses cause a bias of %v, want %v", n.changes[7].Bias, minBias)
 	}
 	n.receive(3, 8, wire.Failing)
 	n.receive(4, 8, wire.Failing)
@@ -78,7 +78,7 @@
 	n.receive(4, 9, wire.Duplicating)
 	n.tick(200)
 	if n.changes[8].Bias != maxBias || !n.changes[9].Duplicating {
-		t.Errorf("%+v", n.changes)
+		t.Errorf("changes %+v, want a bias of server 8 and server 9 duplicating", n.changes)
 	}
 	n.tick(ttlMs)
 	if n.changes[8].Bias != 0 || n.changes[9].Duplicating {
@@ -88,23 +88,23 @@
 	n.receive(4, 8, wire.Healthy)
 	n.tick(200)
 	if n.changes[8].Bias != 0 {
-		t.Error("others' responses change what this node has no evidence against")
+		t.Error("other nodes' responses cause a bias for a server that this node has no evidence of")
 	}
 }
 
-// While others accuse a server, all nodes together make just enough trial requests for the evidence to be renewed; a single source has no effect. As
-// soon as one of them receives a response each makes trials as if it were alone, and a node that seldom does publishes its first response.
+// While several sources report a server as failing, all nodes together send just enough trial requests to renew the evidence. As soon as one
+// node receives a response, each sends trial requests as if it were alone. A node that sends few trial requests publishes its first response.
 func TestTrialInterval(t *testing.T) {
 	n := newNode(12)
 	n.receive(1, 7, wire.Failing)
 	n.tick(200)
 	if n.changes[7].TrialIntervalMs != 0 {
-		t.Error("a single source makes this node try less")
+		t.Error("a single source lengthens the trial interval")
 	}
 	n.receive(2, 7, wire.Failing)
 	n.tick(200)
 	if want := float64(fleetNodes) * ttlMs / trialsPerSource / 2; n.changes[7].TrialIntervalMs != want {
-		t.Errorf("%d nodes make a trial each %.0f ms, want %.0f", fleetNodes, n.changes[7].TrialIntervalMs, want)
+		t.Errorf("with %d nodes the trial interval is %.0f ms, want %.0f", fleetNodes, n.changes[7].TrialIntervalMs, want)
 	}
 	for range 6 {
 		n.Observe(n.now, 7, true)
@@ -121,12 +121,12 @@
 	m := &wire.Message{}
 	n.AppendEvidence(n.now, m, 9, fleetNodes)
 	if !slices.ContainsFunc(m.Evidence, func(e wire.Evidence) bool { return e.Source == 0 && e.Verdict == wire.Healthy }) {
-		t.Errorf("the first response after long is not published: %+v", m.Evidence)
+		t.Errorf("the first response after a long time is not published: %+v", m.Evidence)
 	}
 	n.receive(3, 7, wire.Healthy)
 	n.tick(200)
 	if n.changes[7].TrialIntervalMs != 0 || n.changes[7].Bias != maxBias {
-		t.Errorf("one node receives responses, and the change is %+v", n.changes[7])
+		t.Errorf("after one node received a response the change is %+v, want the full bias and no trial interval", n.changes[7])
 	}
 	n.tick(ttlMs)
 	if n.changes[7].TrialIntervalMs != 0 || n.changes[7].Bias != 0 {
@@ -134,7 +134,7 @@
 	}
 }
 
-// Whatever any number of false sources say, there is no bias against more than a fixed share of the servers, the bias keeps its bounds, and a single
+// False evidence from any number of sources must not bias more than a fixed share of the servers, nor exceed the bounds of the bias. A single
 // source has no effect.
 func TestFalseEvidence(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -148,34 +148,34 @@
 			if rapid.Bool().Draw(t, "tick") {
 				n.tick(rapid.SampledFrom([]float64{110, 500, 6000}).Draw(t, "ms"))
 			}
-			accused := n.checkChanges(t)
-			if limit := max(1, servers/4); accused > limit || sources == 1 && accused > 0 {
-				t.Fatalf("%d false sources cause a bias against %d of %d servers", sources, accused, servers)
+			biased := n.checkChanges(t)
+			if limit := max(1, servers/4); biased > limit || sources == 1 && biased > 0 {
+				t.Fatalf("%d false sources bias %d of %d servers", sources, biased, servers)
 			}
 		}
 	})
 }
 
-// checkChanges checks the bounds of what was reported, and returns the number of servers that are accused.
-func (n *testNode) checkChanges(t *rapid.T) (accused int) {
+// checkChanges checks the bounds of the reported changes. It returns the number of servers with a positive bias or that count as duplicating.
+func (n *testNode) checkChanges(t *rapid.T) (biased int) {
 	for server, change := range n.changes {
 		if change.Bias < minBias || change.Bias > maxBias {
-			t.Fatalf("bias of %v", change.Bias)
+			t.Fatalf("bias of %v is out of bounds", change.Bias)
 		}
 		if change.Bias < 0 && n.servers[server] != nil && n.servers[server].local.failureRate < failingThreshold {
-			t.Fatal("the threshold is raised for a server that this node has no evidence against")
+			t.Fatal("the threshold is raised for a server of which this node observes few failures")
 		}
 		if change.TrialIntervalMs > 0 && change.Bias <= 0 {
-			t.Fatal("fewer trials are made of a server that is not believed to fail")
+			t.Fatal("the trial interval is set for a server without a positive bias")
 		}
 		if change.Bias > 0 || change.Duplicating {
-			accused++
+			biased++
 		}
 	}
-	return accused
+	return biased
 }
 
-// gossiper is a process that sends its evidence to one other node each 100 ms.
+// gossiper is a node that sends evidence to one other node every 100 ms.
 type gossiper struct {
 	*Detector
 	nodes   int
@@ -202,15 +202,15 @@
 	return nil
 }
 
-// What a few nodes observe of a server becomes known to all, with a fifth of all datagrams lost and clocks that differ, and all forget it once the
-// server is healthy.
+// Evidence from a few nodes reaches all nodes, with a fifth of all datagrams lost and clocks that differ. Once the server is healthy, the bias
+// ends at all nodes.
 func TestEvidenceSpreads(t *testing.T) {
 	const nodes, server = 60, 5
 	network := simnet.New(nodes, 4)
 	all := network.NodeIndexes()
 	network.Links.Set(all, all, func(link *faultrelay.Link) { link.LossRate, link.JitterMs = 0.2, 60 })
 	var gossipers []*gossiper
-	fails := true
+	failing := true
 	for i := range nodes {
 		network.Nodes[i].SkewMs = float64(i-30) * 1000
 		g := &gossiper{Detector: New(Config{Self: cluster.NodeID(i), MaxNodes: nodes, TTLMs: ttlMs}), nodes: nodes, to: i}
@@ -219,13 +219,13 @@
 		g.observe = func(now float64) {
 			if i < 6 && now >= nextObservation { // only a few nodes have traffic there
 				nextObservation = now + 200
-				g.Observe(now, server, fails)
+				g.Observe(now, server, failing)
 			}
 		}
 		gossipers = append(gossipers, g)
 		network.Start(i, g, func() cluster.Incarnation { return 1 })
 	}
-	accusing := func() (n int) {
+	biasedNodes := func() (n int) {
 		for _, g := range gossipers {
 			if s := g.servers[server]; s != nil && s.bias > 0 {
 				n++
@@ -234,17 +234,17 @@
 		return n
 	}
 	network.Run(10_000)
-	if got := accusing(); got < 54 {
-		t.Errorf("after 10 s %d of %d nodes know", got, nodes)
+	if got := biasedNodes(); got < 54 {
+		t.Errorf("after 10 s %d of %d nodes have a bias, want at least 54", got, nodes)
 	}
-	fails = false
+	failing = false
 	network.Run(3 * ttlMs)
-	if got := accusing(); got > 0 {
-		t.Errorf("long after the server is healthy %d of %d nodes have a bias against it", got, nodes)
+	if got := biasedNodes(); got > 0 {
+		t.Errorf("%d of %d nodes have a bias long after the server is healthy", got, nodes)
 	}
 }
 
-// The accusations of a source that accuses half of all servers, as one does that is cut off from them, do not count.
+// Failing reports do not count if their source reports half of all servers, as a node that is partitioned from them does.
 func TestExcessiveAccuser(t *testing.T) {
 	n := newNode(40)
 	for server := range uint32(20) {
@@ -255,7 +255,7 @@
 	n.tick(200)
 	for server, change := range n.changes {
 		if change.Bias != 0 {
-			t.Errorf("server %d: %v", server, change.Bias)
+			t.Errorf("server %d has a bias of %v, want 0", server, change.Bias)
 		}
 	}
 }
--- a/internal/cluster/outlier/golden_test.go
+++ b/internal/cluster/outlier/golden_test.go
@@ -9,7 +9,7 @@
 	"mintspring/internal/testbed/wiretest"
 )
 
-// goldenScript returns what one node sends that reaches each verdict by its own traffic and passes on those of others.
+// goldenScript returns the messages of one node that reaches each verdict by its own traffic and passes on evidence from other nodes.
 func goldenScript() (sent []*wire.Message) {
 	d := New(Config{Self: 1, MaxNodes: 20, TTLMs: ttlMs})
 	d.SetServerCount(12)
@@ -40,7 +40,7 @@
 	return sent
 }
 
-// The datagrams with evidence stay the same byte for byte.
+// The encoding of evidence must not change.
 func TestGoldenDatagrams(t *testing.T) {
 	sent := goldenScript()
 	verdicts := map[wire.Verdict]bool{}
@@ -53,6 +53,6 @@
 		}
 	}
 	if len(verdicts) != 3 {
-		t.Errorf("the script covers verdicts %v", verdicts)
+		t.Errorf("the script covers verdicts %v, want 3", verdicts)
 	}
 }
--- a/internal/cluster/outlier/gossip.go
+++ b/internal/cluster/outlier/gossip.go
@@ -8,23 +8,23 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// MergeEvidence takes over the evidence in a message.
+// MergeEvidence stores the valid evidence in a message.
 func (d *Detector) MergeEvidence(now float64, m *wire.Message) {
 	for _, e := range m.Evidence {
-		known := int(e.Source) < d.config.MaxNodes && e.Verdict <= wire.Duplicating
-		if !known || e.Source == d.config.Self || e.AgeMs >= d.config.TTLMs {
+		valid := int(e.Source) < d.config.MaxNodes && e.Verdict <= wire.Duplicating
+		if !valid || e.Source == d.config.Self || e.AgeMs >= d.config.TTLMs {
 			continue
 		}
-		d.record(e.Server, e.Source, remoteEvidence{verdict: e.Verdict, attempts: e.Attempts, observedAt: now - e.AgeMs})
+		d.record(e.Server, e.Source, sourceEvidence{verdict: e.Verdict, attempts: e.Attempts, observedAt: now - e.AgeMs})
 	}
 }
 
-// record stores evidence, if it is newer than what is known of that source, and queues it at the front: until all nodes know of a failing
-// server, it costs requests at each.
-func (d *Detector) record(id uint32, source cluster.NodeID, e remoteEvidence) {
+// record stores evidence if it is newer than the stored evidence of its source. It queues it at the front, because requests fail at each node
+// until that node knows of the failing server.
+func (d *Detector) record(id uint32, source cluster.NodeID, e sourceEvidence) {
 	s := d.server(id)
 	previous, known := s.evidence[source]
-	if known && previous.observedAt >= e.observedAt-newerByMs {
+	if known && previous.observedAt >= e.observedAt-minNewerByMs {
 		return
 	}
 	s.evidence[source] = e
@@ -32,19 +32,19 @@
 	d.queue = slices.DeleteFunc(d.queue, func(item queueItem) bool { return item == added })
 	d.queue = slices.Insert(d.queue, 0, added)
 	if !known || previous.verdict != e.verdict {
-		d.unsent = true
+		d.hasNewEvidence = true
 	}
 }
 
-// TakeNewEvidenceFlag reports whether there is new evidence since the last call.
+// TakeNewEvidenceFlag reports whether there is a new source or verdict to pass on since the last call, and clears the flag.
 func (d *Detector) TakeNewEvidenceFlag() bool {
-	unsent := d.unsent
-	d.unsent = false
-	return unsent
+	hasNewEvidence := d.hasNewEvidence
+	d.hasNewEvidence = false
+	return hasNewEvidence
 }
 
-// AppendEvidence adds up to limit pieces of evidence to a message, those that were passed on least often first. The number of nodes
-// determines how often each is passed on.
+// AppendEvidence appends up to limit pieces of evidence from the front of the queue to a message. It queues each again at the back until it
+// has been passed on often enough for the number of nodes.
 func (d *Detector) AppendEvidence(now float64, m *wire.Message, limit, nodes int) {
 	maxTransmits := int(retransmitMultiplier * math.Ceil(math.Log2(float64(nodes+1))))
 	for range len(d.queue) {
@@ -58,7 +58,7 @@
 		if !known || now-e.observedAt >= d.config.TTLMs {
 			continue
 		}
-		entry := e.onWire(now, item.server, item.source)
+		entry := e.toWire(now, item.server, item.source)
 		entry.AgeMs = max(0, entry.AgeMs)
 		m.Evidence = append(m.Evidence, entry)
 		limit--
