--- a/cmd/mintspring/peers.go
+++ b/cmd/mintspring/peers.go
@@ -73,14 +73,14 @@
 	p.Printf("  node %-4d %-8s started at %s, %s\n", m.Node, m.State, startedAt, heard)
 }
 
-func printQuota(p *cli.Printer, account *quota.Account) {
+func printQuota(p *cli.Printer, account *quota.BudgetStatus) {
 	scale, unit := 100.0, "%"
 	if account.FromTraffic {
 		scale, unit = 1000, " a second"
 	}
 	formatUnits := func(units uint32) string { return fmt.Sprintf("%.1f%s", scale*float64(units)/quota.TotalUnits, unit) }
 	p.Printf("  %s: %s own, %s borrowed, %s lent, %s needed\n", displayName(account.Name, "quota", account.Budget),
-		formatUnits(account.Own), formatUnits(account.Borrowed), formatUnits(account.Lent), formatUnits(account.Demand))
+		formatUnits(account.OwnUnits), formatUnits(account.BorrowedUnits), formatUnits(account.LentUnits), formatUnits(account.DemandUnits))
 }
 
 // verdictNames has the printed names of the verdicts that nodes exchange about a server.
--- a/internal/cluster/quota/golden_test.go
+++ b/internal/cluster/quota/golden_test.go
@@ -9,12 +9,12 @@
 	"mintspring/internal/testbed/wiretest"
 )
 
-// goldenScript returns the messages and the allowances of three nodes that borrow from one another: units of a budget that is given by a number
-// and of one whose quotas follow from traffic.
+// goldenScript returns the messages and the allowances of three nodes that borrow from one another, from a budget of fixed size and from one
+// whose quotas follow from traffic.
 func goldenScript() (sent []*wire.Message, allowances []Allowance) {
 	var ledgers [3]*Ledger
 	for i := range ledgers {
-		ledgers[i] = New(1000, Config{Self: cluster.NodeID(i), Founders: 2, MaxNodes: 3, LeaseMs: leaseMs}, cluster.Incarnation(0x0011223344550000+i))
+		ledgers[i] = New(1000, Config{Self: cluster.NodeID(i), QuotaOwners: 2, MaxNodes: 3, LeaseMs: leaseMs}, cluster.Incarnation(0x0011223344550000+i))
 	}
 	for now := 1000.0 + 2*leaseMs; now < 1000+5*leaseMs; now += 0.4 * leaseMs {
 		for i, ledger := range ledgers {
@@ -35,7 +35,7 @@
 	return sent, allowances
 }
 
-// The requests and grants of leases stay the same byte for byte.
+// The encoding of lease requests and grants must not change.
 func TestGoldenDatagrams(t *testing.T) {
 	sent, allowances := goldenScript()
 	granted := 0
@@ -49,9 +49,9 @@
 	}
 	borrowed := 0.0
 	for _, allowance := range allowances {
-		borrowed += allowance.borrowed(0)
+		borrowed += allowance.borrowedShare(0)
 	}
 	if granted == 0 || borrowed == 0 {
-		t.Errorf("the script has %d units granted and %.3f borrowed", granted, borrowed)
+		t.Errorf("the script grants %d units and %.3f of a budget are borrowed, want more than 0", granted, borrowed)
 	}
 }
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -116,7 +116,7 @@
 // useLeasedQuota makes the connection pools use the node's part of the cluster's quota, and an initial part until the node has received
 // datagrams: without it a successor whose predecessor still holds the peer address would open no connection.
 func (n *Node) useLeasedQuota(config *gossip.Config) {
-	n.cachePoolConfig.LeasedRate, n.cachePoolConfig.InitialQuota = config.ShareQuotas, config.QuotaConfig().Initial()
+	n.cachePoolConfig.LeasedRate, n.cachePoolConfig.InitialQuota = config.ShareQuotas, config.QuotaConfig().InitialAllowance()
 }
 
 // clusterJoined is the event that the socket to the peers is open.
