--- a/cmd/mintspring-xds/check.go
+++ b/cmd/mintspring-xds/check.go
@@ -14,7 +14,7 @@
 
 type checkCmd struct{ configFiles }
 
-// Run prints all errors of the files, or what would be in effect.
+// Run prints all errors in the files, or else the settings that would be in effect.
 func (c *checkCmd) Run() error { return checkFiles(c.configFiles, os.Stdout) }
 
 func checkFiles(files configFiles, out io.Writer) error {
--- a/cmd/mintspring-xds/controlplane.go
+++ b/cmd/mintspring-xds/controlplane.go
@@ -16,17 +16,17 @@
 	"mintspring/internal/node"
 )
 
-// controlPlane is a control plane that runs. It owns its goroutines, which stop ends.
+// controlPlane is a running control plane. It owns its goroutines, which end when stop is called.
 type controlPlane struct {
 	controller *controller.Controller
 	server     *server.Server
-	addr       string     // that it listens on
+	addr       string     // listen address
 	serveErr   chan error // receives the result of serving
 	stopping   chan struct{}
 	traffic    sync.WaitGroup
 }
 
-// startControlPlane starts a control plane.
+// startControlPlane starts a control plane: the controller, the server, and the traffic log.
 func startControlPlane(configuration *platform.Config, operator *config.File, log *logrus.Logger) (*controlPlane, error) {
 	var creds credentials.TransportCredentials
 	if operator.TLS != nil {
@@ -58,7 +58,7 @@
 	return p, nil
 }
 
-// persistence returns how learned state is kept across restarts, nil if it is not.
+// persistence returns the settings for storing learned state across restarts, or nil if it is not stored.
 func persistence(configuration *platform.Config, operator *config.File) *controller.Persistence {
 	if operator.Snapshot == nil {
 		return nil
@@ -70,7 +70,7 @@
 	}
 }
 
-// stop ends the control plane. The leases of proxies run out by themselves.
+// stop ends the control plane. The leases of proxies expire on their own.
 func (p *controlPlane) stop() {
 	close(p.stopping)
 	p.traffic.Wait()
--- a/cmd/mintspring-xds/main.go
+++ b/cmd/mintspring-xds/main.go
@@ -1,5 +1,5 @@
-// Mintspring-xds is the control plane: it follows the endpoint list, runs the decision module on the load that proxies report, and
-// sends the ring, its adjusted points and draining servers to proxies over xDS.
+// Mintspring-xds is the control plane. It polls the endpoint list, runs the decision module on the load reports of proxies, and sends
+// proxies the ring with its adjusted points and the states of the servers over xDS.
 package main
 
 import (
@@ -23,7 +23,7 @@
 	configVariable = "LB_CONFIG"
 )
 
-// commandLine is the command line. Without a command it stands for run.
+// commandLine is the command line. The default command is run.
 type commandLine struct {
 	Run     runCmd     `cmd:"" default:"withargs" help:"Run the control plane (also without a command)."`
 	Check   checkCmd   `cmd:"" help:"Check the configuration and the operator file, and show what would be in effect."`
@@ -31,13 +31,13 @@
 	Version versionCmd `cmd:"" help:"Show which build this is."`
 }
 
-// configFiles are the two files that the control plane is started with.
+// configFiles are the flags that name the two configuration files of the control plane.
 type configFiles struct {
 	Config   string `help:"The configuration, as a node has it; LB_CONFIG names it otherwise." placeholder:"FILE"`
 	Operator string `help:"The control plane's operator file, as deploy/control.toml." placeholder:"FILE"`
 }
 
-// readConfiguration reads the configuration.
+// readConfiguration reads the configuration that the flag names, or else the environment variable.
 func (f configFiles) readConfiguration() (*platform.Config, error) {
 	return platform.Load(func(name string) string {
 		if name == configVariable && f.Config != "" {
@@ -54,7 +54,7 @@
 	}
 }
 
-// run runs the command on the command line. SIGINT and SIGTERM end its context.
+// run parses the command line and runs the command. SIGINT and SIGTERM cancel the context of the command.
 func run() error {
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	defer stop()
--- a/cmd/mintspring-xds/run.go
+++ b/cmd/mintspring-xds/run.go
@@ -15,7 +15,7 @@
 
 type runCmd struct{ configFiles }
 
-// Run runs the control plane until the context ends. SIGHUP reads the configuration again.
+// Run runs the control plane until the context ends. SIGHUP reloads the configuration.
 func (c *runCmd) Run(ctx context.Context) error {
 	configuration, err := c.readConfiguration()
 	if err != nil {
@@ -50,9 +50,9 @@
 	}
 }
 
-// reload reads the configuration again, and returns the one that is active from now on. The address of discovery takes effect at once;
-// the log says what needs a restart. A file that cannot be used changes nothing, and neither does one that lacks keys of the active
-// configuration: it may have been truncated where it can still be parsed.
+// reload reads the configuration again and returns the active one. A new discovery address takes effect at once; a log field lists the
+// changes that need a restart. If the new file is invalid, or lacks keys of the active configuration, the active one is kept: a
+// truncated file may still parse.
 func (c *runCmd) reload(active *platform.Config, plane *controlPlane, log *logrus.Logger) *platform.Config {
 	next, err := c.readConfiguration()
 	if err == nil {
--- a/cmd/mintspring-xds/show.go
+++ b/cmd/mintspring-xds/show.go
@@ -20,16 +20,16 @@
 	"mintspring/internal/node/clients"
 )
 
-// showNodeID identifies the command to the control plane. It is sent, so it keeps the name that the program had at first.
+// showNodeID is the node ID that show sends to the control plane. It keeps the program's original name, since control planes receive it.
 const showNodeID = "mintcontrol show"
 
-// errNoSnapshot is returned by show when nothing usable arrives in time.
+// errNoSnapshot is returned by show when no usable snapshot arrives in time.
 var errNoSnapshot = errors.New("no usable snapshot")
 
-// showPollInterval is the interval at which show looks for a usable snapshot.
+// showPollInterval is the interval at which show checks for a usable snapshot.
 const showPollInterval = 10 * time.Millisecond
 
-// showCmd is a proxy that prints what it gets.
+// showCmd connects as a proxy and prints the snapshot that it receives.
 type showCmd struct {
 	Addr    string        `arg:"" help:"Address of the control plane."`
 	Cluster string        `default:"mintspring" help:"Name of the resources."`
@@ -69,7 +69,7 @@
 	return err
 }
 
-// waitUsable waits until a proxy has a usable snapshot and endpoints. It reports false if the context ends before.
+// waitUsable waits until a proxy has a usable snapshot and endpoints. It reports false if the context ends first.
 func waitUsable(ctx context.Context, proxy *client.Client) bool {
 	ticker := time.NewTicker(showPollInterval)
 	defer ticker.Stop()
@@ -87,7 +87,7 @@
 	}
 }
 
-// credentials returns the credentials in the files named, nil for plain text.
+// credentials loads the credentials from the files in the flags. It returns nil for plain text.
 func (c *showCmd) credentials() (credentials.TransportCredentials, error) {
 	if c.Cert == "" && c.CA == "" {
 		return nil, nil
@@ -102,7 +102,7 @@
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(text) {
-		return nil, fmt.Errorf("--ca: %s: no certificate in it", c.CA)
+		return nil, fmt.Errorf("--ca: %s contains no certificate", c.CA)
 	}
 	return credentials.NewTLS(&tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -112,7 +112,7 @@
 	}), nil
 }
 
-// stateNames are the states of servers as they are printed.
+// stateNames are the printed names of server states.
 var stateNames = map[fleet.State]string{fleet.Gone: "gone", fleet.Draining: "draining", fleet.Ready: "ready"}
 
 // print prints a snapshot: its servers with their arcs and weights, and the owners of the keys.
--- a/cmd/mintspring-xds/traffic.go
+++ b/cmd/mintspring-xds/traffic.go
@@ -12,7 +12,7 @@
 // trafficLogInterval is the interval of the traffic line in the log.
 const trafficLogInterval = 5 * time.Second
 
-// trafficFields are the counters in the traffic line, by their names there.
+// trafficFields are the counters in the traffic line, with their field names.
 var trafficFields = []struct {
 	name    string
 	counter func(*server.Counters) *atomic.Int64
@@ -26,7 +26,7 @@
 	{"nacks", func(c *server.Counters) *atomic.Int64 { return &c.Nacks }},
 }
 
-// logTraffic logs at an interval what the counters have counted since the previous line, until stop.
+// logTraffic logs the increments of the counters every trafficLogInterval, until stop is called.
 func (p *controlPlane) logTraffic(log *logrus.Logger) {
 	ticker := time.NewTicker(trafficLogInterval)
 	defer ticker.Stop()
--- a/internal/controlplane/client/client.go
+++ b/internal/controlplane/client/client.go
@@ -1,5 +1,5 @@
-// Package client is a proxy's side of the control plane over gRPC: it keeps an xDS stream open, applies responses to a
-// ringcache.Cache, requests leases, and reconnects when the stream is lost. Proxies written in Go can use it as it is.
+// Package client is the client of the control plane for proxies written in Go. It keeps an xDS stream open over gRPC, applies responses
+// to a ringcache.Cache, requests leases, and reconnects when the stream is lost.
 package client
 
 import (
@@ -27,10 +27,10 @@
 )
 
 const (
-	leaseRequestInterval = 100 * time.Millisecond // of a lease of 400 ms three requests may be lost
-	leaseTimeout         = time.Second            // without a lease the stream is taken for lost
+	leaseRequestInterval = 100 * time.Millisecond // a lease of 400 ms outlives the loss of three requests
+	leaseTimeout         = time.Second            // a stream without a lease for this long is considered lost
 
-	// The time before a reconnect is drawn from the second half of a backoff that doubles from the first to the second of these.
+	// The backoff doubles from minBackoff to maxBackoff. The delay before a reconnect is random, between half the backoff and all of it.
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 2 * time.Second
 
@@ -39,40 +39,41 @@
 	userAgent = "mintspring-follow" // sent to the control plane
 )
 
-// Config says what a Client follows, and how it identifies itself.
+// Config configures a Client: the control plane, the identity of the proxy, and its subscriptions.
 type Config struct {
 	Addr              string // host:port of the control plane
-	Cluster           string // names the resources
+	Cluster           string // name of the cluster, which prefixes resource names
 	NodeID            string // of the proxy
 	Zone              string // of the proxy
-	Incremental       bool   // use the incremental variant in place of state of the world
-	WatchEndpoints    bool   // subscribe to the cluster and its endpoints too
-	ForgetOnReconnect bool   // reconnect without stating what is held
+	Incremental       bool   // use the incremental variant instead of state of the world
+	WatchEndpoints    bool   // also subscribe to the cluster and its endpoints
+	ForgetOnReconnect bool   // do not send the held versions on a reconnect
 
-	Credentials credentials.TransportCredentials                         // nil: plain text
-	Dial        func(ctx context.Context, addr string) (net.Conn, error) // nil: TCP
+	Credentials credentials.TransportCredentials                         // nil for plain text
+	Dial        func(ctx context.Context, addr string) (net.Conn, error) // nil for TCP
 
-	// Validate, if set, is called before a response is applied; its error rejects the response. OnApplied, if set, is called for each
-	// snapshot applied. Both run on the Client's goroutine and must not call the Client.
+	// Validate, if set, is called before a response is applied; an error rejects the response. OnApplied, if set, is called after each
+	// applied snapshot. Both run on the goroutine of Run with the Client's lock held, and must not
+	// call the Client's methods.
 	Validate  func(snapshot.TypeURL) error
 	OnApplied func(version snapshot.Version, digest uint64)
 }
 
-// ErrNoUsableSnapshot is returned while no snapshot may be used: the lease has ended, or a server was taken out of service since the
+// ErrNoUsableSnapshot is returned while no snapshot may be used: there is no valid lease, or a server was taken out of service after the
 // snapshot.
 var ErrNoUsableSnapshot = errors.New("no usable snapshot")
 
-// Client follows the control plane while Run runs. All other methods may be called from any goroutine.
+// Client receives snapshots and leases from the control plane while Run runs. All other methods are safe for concurrent use.
 type Client struct {
 	config Config
 	start  time.Time
 
-	mu            sync.Mutex // guards what follows
+	mu            sync.Mutex // guards the fields below
 	cache         *ringcache.Cache
 	endpoints     *endpoint.ClusterLoadAssignment
 	streamCount   int
 	rejectedCount int
-	leasedAt      time.Time // of the last lease, or the start of the stream
+	leasedAt      time.Time // when the last lease arrived, or when the stream started
 }
 
 // New returns a client without a snapshot.
@@ -80,10 +81,10 @@
 	return &Client{config: config, start: time.Now(), cache: ringcache.New(config.Cluster)}
 }
 
-// nowMs returns the time since the start in milliseconds. It is monotonic: a lease must not outlive a clock that is set back.
+// nowMs returns the time since New in milliseconds. It is monotonic, so that setting the system clock back does not extend a lease.
 func (c *Client) nowMs() float64 { return float64(time.Since(c.start)) / float64(time.Millisecond) }
 
-// Run follows the control plane until the context ends.
+// Run keeps a stream to the control plane open until the context ends.
 func (c *Client) Run(ctx context.Context) {
 	backoff := minBackoff
 	for ctx.Err() == nil {
@@ -91,7 +92,7 @@
 		c.streamCount++
 		c.mu.Unlock()
 		started := time.Now()
-		_ = c.runStream(ctx) // whatever ended the stream, the answer is another one
+		_ = c.runStream(ctx) // any error leads to a new stream
 		if time.Since(started) > maxBackoff {
 			backoff = minBackoff
 		}
@@ -103,7 +104,7 @@
 	}
 }
 
-// runStream follows the control plane over one connection until that is lost.
+// runStream opens a connection and a stream, and applies responses until the stream ends.
 func (c *Client) runStream(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -127,7 +128,7 @@
 		}
 		rejection := c.handleResponse(r)
 		if r.typeURL == snapshot.LeaseType {
-			continue // the next request acknowledges it
+			continue // the next lease request acknowledges the lease
 		}
 		if err := stream.acknowledge(r.typeURL, r.version, r.nonce, rejection); err != nil {
 			return err
@@ -135,7 +136,7 @@
 	}
 }
 
-// connect returns a connection to the control plane, which is dialled when it is used.
+// connect returns a connection to the control plane, which is dialed on first use.
 func (c *Client) connect() (*grpc.ClientConn, error) {
 	creds := c.config.Credentials
 	if creds == nil {
@@ -173,7 +174,7 @@
 	return newSotwStream(stream, node, c.config.Cluster), nil
 }
 
-// subscribe subscribes to the resources on a new stream, and states what is held of the ring.
+// subscribe sends the subscriptions on a new stream, with the held versions of the ring parts.
 func (c *Client) subscribe(stream messageStream) error {
 	if c.config.WatchEndpoints {
 		if err := errors.Join(
@@ -193,7 +194,7 @@
 	return stream.subscribe(snapshot.RingPartType, nil, held, held[snapshot.HeadName(c.config.Cluster)])
 }
 
-// leaseLoop requests leases, and cancels a stream on which none arrive. It ends with the stream.
+// leaseLoop requests leases until the stream ends. It cancels the stream if no lease arrives within leaseTimeout.
 func (c *Client) leaseLoop(ctx context.Context, cancel context.CancelFunc, stream messageStream) {
 	ticker := time.NewTicker(leaseRequestInterval)
 	defer ticker.Stop()
@@ -217,7 +218,7 @@
 	}
 }
 
-// handleResponse applies a response. An error says why it is rejected; its text is sent to the control plane.
+// handleResponse applies a response. An error rejects the response; its text is sent to the control plane.
 func (c *Client) handleResponse(r *response) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -262,7 +263,7 @@
 func (c *Client) applyEndpoints(r *response) error {
 	for _, body := range r.resources {
 		if body.GetTypeUrl() != string(snapshot.EndpointType) {
-			continue // a heartbeat, which has no body
+			continue // a heartbeat has no body
 		}
 		assignment := &endpoint.ClusterLoadAssignment{}
 		if err := body.UnmarshalTo(assignment); err != nil {
@@ -289,7 +290,7 @@
 	return nil
 }
 
-// Owner returns the server that a new request of a key goes to now. The error is ErrNoUsableSnapshot.
+// Owner returns the server that currently owns a key. The error wraps ErrNoUsableSnapshot.
 func (c *Client) Owner(key fleet.Key) (ringcache.Server, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -303,28 +304,28 @@
 	return *owner, nil
 }
 
-// WithCache calls a function with the ring cache, which it must not keep, and whether the cache is usable now.
+// WithCache calls a function with the ring cache and whether the cache is usable now. The function must not retain the cache.
 func (c *Client) WithCache(do func(cache *ringcache.Cache, usable bool)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	do(c.cache, c.cache.Usable(c.nowMs()))
 }
 
-// Endpoints returns the last endpoints for proxies that know weights only, nil before any have arrived.
+// Endpoints returns the last received endpoint assignment, which has weights in place of ring points. It is nil before the first one.
 func (c *Client) Endpoints() *endpoint.ClusterLoadAssignment {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.endpoints
 }
 
-// StreamsOpened returns how many streams were opened, or tried, so far.
+// StreamsOpened returns the number of attempts to open a stream, failed ones included.
 func (c *Client) StreamsOpened() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.streamCount
 }
 
-// ResponsesRejected returns how many responses were rejected so far.
+// ResponsesRejected returns the number of rejected responses.
 func (c *Client) ResponsesRejected() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/controlplane/client/delta.go
+++ b/internal/controlplane/client/delta.go
@@ -14,7 +14,7 @@
 type deltaStream struct {
 	stream discovery.AggregatedDiscoveryService_DeltaAggregatedResourcesClient
 
-	mu   sync.Mutex // guards node, and sending on the stream
+	mu   sync.Mutex // guards node; held while sending on the stream
 	node *core.Node // sent in the first request only, nil after it
 }
 
--- a/internal/controlplane/client/sotw.go
+++ b/internal/controlplane/client/sotw.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/controlplane/wire"
 )
 
-// resourceWrapperType is the type of the wrapper that a resource with a TTL is sent in.
+// resourceWrapperType is the type of the wrapper in which a resource with a TTL is sent.
 const resourceWrapperType = "type.googleapis.com/envoy.service.discovery.v3.Resource"
 
 // sotwStream is a messageStream of the state-of-the-world variant.
@@ -20,7 +20,7 @@
 	stream  discovery.AggregatedDiscoveryService_StreamAggregatedResourcesClient
 	cluster string
 
-	mu              sync.Mutex // guards what follows, and sending on the stream
+	mu              sync.Mutex // guards the fields below; held while sending on the stream
 	node            *core.Node // sent in the first request only, nil after it
 	appliedVersions map[snapshot.TypeURL]string
 	subscribedNames map[snapshot.TypeURL][]string
@@ -86,15 +86,15 @@
 		body = unwrap(body)
 		r.resources = append(r.resources, body)
 		if r.typeURL == snapshot.RingPartType {
-			// In this variant resources have no names. That of a part follows from its kind and its place among those of its kind, since
-			// they are sent in the order of their names.
+			// Resources have no names in this variant. The name of a part is derived from its kind and its index among parts of that
+			// kind, since the server sends parts in the order of their names.
 			r.byName[partName(s.cluster, body, r.byName)] = body
 		}
 	}
 	return r, nil
 }
 
-// unwrap returns the resource in a wrapper, nil if that is a heartbeat, and any other resource as it is.
+// unwrap returns the resource in a wrapper, or nil for a heartbeat. It returns a resource without a wrapper unchanged.
 func unwrap(body *anypb.Any) *anypb.Any {
 	if body.TypeUrl != resourceWrapperType {
 		return body
@@ -106,8 +106,9 @@
 	return wrapper.Resource
 }
 
-// partName returns the name of a part, the next one of its kind after the parts named already. It is empty for what is no part.
-func partName(cluster string, body *anypb.Any, named map[string]*anypb.Any) string {
+// partName returns the name of a part: the first name of its kind that is not taken. It returns an empty name for a body that does not
+// decode as a part.
+func partName(cluster string, body *anypb.Any, taken map[string]*anypb.Any) string {
 	var part wire.Part
 	if proto.Unmarshal(body.GetValue(), &part) != nil {
 		return ""
@@ -123,7 +124,7 @@
 	}
 	for i := 0; ; i++ {
 		name := snapshot.PartName(cluster, kind, i)
-		if _, taken := named[name]; !taken {
+		if _, exists := taken[name]; !exists {
 			return name
 		}
 	}
--- a/internal/controlplane/server/ads.go
+++ b/internal/controlplane/server/ads.go
@@ -57,7 +57,7 @@
 		resource := &r.Resources[i]
 		body := resource.Body
 		if r.TTLMs > 0 {
-			// With a TTL a resource is sent in a wrapper, in a heartbeat without its body (xDS, "TTL").
+			// A resource with a TTL is sent in a wrapper; a heartbeat omits the body of the resource (xDS, "TTL").
 			wrapped, err := anypb.New(wrapResource(resource, r))
 			if err != nil {
 				return fmt.Errorf("encoding resource %q: %w", resource.Name, err)
@@ -105,7 +105,7 @@
 	return s.Send(message)
 }
 
-// formatErrorDetail returns the text of an error detail, empty if there is none.
+// formatErrorDetail formats an error detail as "code: message". It returns an empty string for nil.
 func formatErrorDetail(detail *rpc.Status) string {
 	if detail == nil {
 		return ""
@@ -113,7 +113,7 @@
 	return fmt.Sprintf("%d: %s", detail.Code, detail.Message)
 }
 
-// wrapResource returns a resource with its name, version and TTL.
+// wrapResource adds the name, the version and the TTL to a resource. A heartbeat omits the body.
 func wrapResource(resource *snapshot.Resource, r *stream.Response) *discovery.Resource {
 	wrapped := &discovery.Resource{Name: resource.Name, Version: resource.Version}
 	if !r.Heartbeat {
@@ -125,7 +125,7 @@
 	return wrapped
 }
 
-// countResponse counts a response that is sent.
+// countResponse updates the counters for a response.
 func (s *Server) countResponse(message proto.Message, typeURL snapshot.TypeURL) {
 	s.counters.Responses.Add(1)
 	s.counters.ResponseBytes.Add(int64(proto.Size(message)))
--- a/internal/controlplane/server/identity.go
+++ b/internal/controlplane/server/identity.go
@@ -8,13 +8,13 @@
 	"google.golang.org/grpc/peer"
 )
 
-// proxyIdentity is who is at the other end of a stream.
+// proxyIdentity identifies the proxy at the other end of a stream.
 type proxyIdentity struct {
-	name      string // of its certificate if it has one, since what a proxy states of itself can be anything
+	name      string // from the certificate if there is one: the node ID in a request is not authenticated
 	zoneIndex int
 }
 
-// identify returns the identity of the proxy that has sent a node.
+// identify returns the identity of the proxy that sent a node. A proxy without a certificate and without a node ID is named by its address.
 func (s *Server) identify(ctx context.Context, node *core.Node) proxyIdentity {
 	identity := proxyIdentity{
 		name:      node.GetId(),
--- a/internal/controlplane/server/loadreports.go
+++ b/internal/controlplane/server/loadreports.go
@@ -16,14 +16,14 @@
 	"mintspring/internal/controlplane/loadreport"
 )
 
-// Names of the load metrics that a proxy forwards from the responses of servers, as the mean over its reporting interval.
+// Names of the load metrics that servers attach to responses. A proxy reports their means over its reporting interval.
 const (
 	metricUtilization = "util"  // 0 to 1
-	metricQueueLength = "queue" // requests that wait
-	metricHitRate     = "hits"  // fraction of reads that find their value
+	metricQueueLength = "queue" // number of waiting requests
+	metricHitRate     = "hits"  // fraction of reads that are hits
 )
 
-// maxReportEndpoints bounds one load report.
+// maxReportEndpoints is the maximum number of endpoints in one load report.
 const maxReportEndpoints = 1 << 14
 
 // loadReportService is Envoy's load reporting service.
@@ -32,7 +32,7 @@
 	server *Server
 }
 
-// StreamLoadStats receives the load reports of a proxy. Its first message identifies the proxy.
+// StreamLoadStats receives the load reports of a proxy. The first message of the stream identifies the proxy.
 func (l loadReportService) StreamLoadStats(grpcStream lrs.LoadReportingService_StreamLoadStatsServer) error {
 	release, err := l.server.acquireStream()
 	if err != nil {
@@ -69,7 +69,7 @@
 	}
 }
 
-// endpointReports returns the reports in a message by the addresses of endpoints.
+// endpointReports returns the reports in a message, keyed by endpoint address.
 func endpointReports(message *lrs.LoadStatsRequest) (map[string]loadreport.Report, error) {
 	reports := map[string]loadreport.Report{}
 	for _, cluster := range message.ClusterStats {
@@ -87,7 +87,7 @@
 	return reports, nil
 }
 
-// endpointReport returns the report of one endpoint, if that has an address.
+// endpointReport returns the report of one endpoint. It reports false for an endpoint without a socket address.
 func endpointReport(stats *endpoint.UpstreamEndpointStats) (addr string, report loadreport.Report, ok bool) {
 	socketAddress := stats.GetAddress().GetSocketAddress()
 	if socketAddress == nil {
--- a/internal/controlplane/server/server.go
+++ b/internal/controlplane/server/server.go
@@ -1,6 +1,7 @@
 // Package server serves the control plane to proxies over gRPC: aggregated xDS streams in both variants, load reports, and TLS.
 //
-// Package stream decides what is sent on a stream; this package keeps one proxy from being a burden to the others.
+// Package stream decides what is sent on a stream. This package isolates proxies from one another: it limits connections, streams and
+// request sizes, and ends the streams of proxies that do not acknowledge responses.
 package server
 
 import (
@@ -23,31 +24,31 @@
 	"mintspring/internal/controlplane/stream"
 )
 
-// Controller is where snapshots come from and load reports go. Its methods are called from the goroutines of all streams.
+// Controller provides snapshots and receives load reports. Its methods are called concurrently from the goroutines of all streams.
 type Controller interface {
 	stream.Source
 	ZoneIndex(zone string) int
-	Snapshot(zoneIndex int) *snapshot.Snapshot // nil: none yet
-	Watch() (newer <-chan struct{}, cancel func())
+	Snapshot(zoneIndex int) *snapshot.Snapshot // nil before the first one
+	Watch() (updated <-chan struct{}, cancel func())
 	ObserveVersion(held snapshot.Version)
 	AddLoadReports(proxy string, reports map[string]loadreport.Report)
 }
 
-// Config bounds what proxies may use of the server.
+// Config limits the resources that proxies may use, and sets the timeout and the interval of the protocol.
 type Config struct {
 	StreamLimits            stream.Limits
-	MaxConnections          int           // open at once; others wait
-	MaxStreams              int           // open at once, of all proxies
-	MaxStreamsPerConnection uint32        // open at once
-	MaxRequestBytes         int           // of one request
-	AckTimeout              time.Duration // for a response to be sent and acknowledged, before its stream is ended
-	LoadReportInterval      time.Duration // that proxies are asked for
+	MaxConnections          int           // open at the same time; further ones wait
+	MaxStreams              int           // open at the same time, over all connections
+	MaxStreamsPerConnection uint32        // open at the same time
+	MaxRequestBytes         int           // size limit of one request
+	AckTimeout              time.Duration // a stream ends when sending a response and receiving its acknowledgement takes longer
+	LoadReportInterval      time.Duration // requested from proxies
 }
 
 const (
-	keepaliveTime        = 10 * time.Second // of a connection without traffic, before the server pings
-	keepaliveTimeout     = 5 * time.Second  // for the answer to a ping
-	keepaliveMinInterval = time.Second      // between two pings of a proxy
+	keepaliveTime        = 10 * time.Second // the server pings a connection that was idle for this long
+	keepaliveTimeout     = 5 * time.Second  // the server closes a connection whose ping is not answered in time
+	keepaliveMinInterval = time.Second      // minimum interval between pings from a proxy
 	handshakeTimeout     = 5 * time.Second
 
 	maxHeaderBytes  = 16 << 10
@@ -66,7 +67,7 @@
 	start       time.Time
 }
 
-// Counters count since the start, for the log and for measurements.
+// Counters hold totals since the server started. The control plane logs their increments; tests and benchmarks read them.
 type Counters struct {
 	StreamsOpened   atomic.Int64
 	StreamsRejected atomic.Int64 // over Config.MaxStreams
@@ -77,7 +78,7 @@
 	Nacks           atomic.Int64 // responses rejected by proxies
 }
 
-// New returns a server. With credentials of nil it speaks plain text.
+// New returns a server. Without credentials it serves plain text.
 func New(log *logrus.Logger, controller Controller, config Config, creds credentials.TransportCredentials) *Server {
 	s := &Server{
 		log:         log,
@@ -105,7 +106,7 @@
 	return s
 }
 
-// Serve accepts connections until Stop.
+// Serve accepts connections until Stop is called.
 func (s *Server) Serve(listener net.Listener) error {
 	return s.grpc.Serve(netutil.LimitListener(listener, s.config.MaxConnections))
 }
@@ -116,12 +117,12 @@
 // Counters returns the counters since the start.
 func (s *Server) Counters() *Counters { return &s.counters }
 
-// nowMs returns the time since the start in milliseconds. It is monotonic.
+// nowMs returns the monotonic time since the server was created, in milliseconds.
 func (s *Server) nowMs() float64 { return milliseconds(time.Since(s.start)) }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// acquireStream reserves one of the streams that may be open. The caller has to release it.
+// acquireStream reserves one of the Config.MaxStreams slots. The caller must call release when the stream ends.
 func (s *Server) acquireStream() (release func(), err error) {
 	select {
 	case s.streamSlots <- struct{}{}:
--- a/internal/controlplane/server/session.go
+++ b/internal/controlplane/server/session.go
@@ -14,69 +14,70 @@
 	"mintspring/internal/controlplane/stream"
 )
 
-// maxLoggedDetail is how many characters of a proxy's error detail are logged.
+// maxLoggedDetail is the number of characters of an error detail that are logged.
 const maxLoggedDetail = 300
 
-// messageStream is an xDS stream of either variant.
+// messageStream is the gRPC stream of an xDS stream, in either variant.
 type messageStream interface {
 	Context() context.Context
 	recv() (*stream.Request, *core.Node, error)
 	send(*stream.Response) error
 }
 
-// received is what the read loop has received.
-type received struct {
+// recvResult is what the read loop has recvResult.
+type recvResult struct {
 	request *stream.Request
 	node    *core.Node
 	err     error
 }
 
-// session serves one stream from its start to its end. Reading and writing have goroutines of their own; everything else happens
-// on the goroutine of run. A proxy that does not read blocks its own writer only.
+// session serves one stream. The read loop and the write loop run on separate goroutines; everything else runs on the goroutine of
+// run. A proxy that does not read blocks only the write loop of its own session.
 type session struct {
-	server   *Server
-	variant  stream.Variant
-	messages messageStream
+	server     *Server
+	variant    stream.Variant
+	grpcStream messageStream
 
-	requests  chan received
+	requests  chan recvResult
 	responses chan *stream.Response
-	written   chan error // the result of sending each response
+	written   chan error // result of each send
 
 	// Owned by run's goroutine.
 	proxy            proxyIdentity
 	stream           *stream.Stream // nil until the first request
-	writing          bool           // a response is handed to the write loop
+	writing          bool           // the write loop has a response whose send has not returned
 	writingStartedMs float64
 }
 
-// serveStream serves a stream if one more may be open.
-func (s *Server) serveStream(variant stream.Variant, messages messageStream) error {
+// serveStream serves a stream, or rejects it if Config.MaxStreams are open.
+func (s *Server) serveStream(variant stream.Variant, grpcStream messageStream) error {
 	release, err := s.acquireStream()
 	if err != nil {
 		return err
 	}
 	defer release()
 	session := &session{
-		server:    s,
-		variant:   variant,
-		messages:  messages,
-		requests:  make(chan received),
-		responses: make(chan *stream.Response),
-		written:   make(chan error, 1),
+		server:     s,
+		variant:    variant,
+		grpcStream: grpcStream,
+		requests:   make(chan recvResult),
+		responses:  make(chan *stream.Response),
+		written:    make(chan error, 1),
 	}
 	return session.run()
 }
 
-// run serves the stream. The read loop ends when run has returned, the write loop when gRPC has also ended a send on its way.
+// run serves the stream until it ends. The read loop ends after run returns; the write loop ends after run returns and gRPC has
+// canceled any send in progress.
 func (s *session) run() error {
-	ctx, cancel := context.WithCancel(s.messages.Context())
+	ctx, cancel := context.WithCancel(s.grpcStream.Context())
 	defer cancel()
 	go s.readLoop(ctx)
 	go s.writeLoop()
 	defer close(s.responses)
 
-	newer, unwatch := s.server.controller.Watch()
-	defer unwatch()
+	updated, cancelWatch := s.server.controller.Watch()
+	defer cancelWatch()
 	timer := time.NewTimer(s.server.config.AckTimeout)
 	defer timer.Stop()
 	for {
@@ -101,7 +102,7 @@
 				return err
 			}
 			s.writing = false
-		case <-newer:
+		case <-updated:
 		case <-timer.C:
 		case <-ctx.Done():
 			return ctx.Err()
@@ -111,9 +112,9 @@
 
 func (s *session) readLoop(ctx context.Context) {
 	for {
-		request, node, err := s.messages.recv()
+		request, node, err := s.grpcStream.recv()
 		select {
-		case s.requests <- received{request: request, node: node, err: err}:
+		case s.requests <- recvResult{request: request, node: node, err: err}:
 		case <-ctx.Done():
 			return
 		}
@@ -125,12 +126,12 @@
 
 func (s *session) writeLoop() {
 	for response := range s.responses {
-		s.written <- s.messages.send(response)
+		s.written <- s.grpcStream.send(response)
 	}
 }
 
 // handle applies a request.
-func (s *session) handle(ctx context.Context, r received) error {
+func (s *session) handle(ctx context.Context, r recvResult) error {
 	controller := s.server.controller
 	if s.stream == nil {
 		s.proxy = s.server.identify(ctx, r.node)
@@ -152,8 +153,8 @@
 	return nil
 }
 
-// advance sends the next response if one is due. It returns the time after which it has to be called again, and an error if the proxy
-// has not acknowledged a response in time.
+// advance sends the next response if one is due. It returns the time until the next call is needed, and an error if the proxy has not
+// acknowledged a response in time.
 func (s *session) advance(now float64) (waitMs float64, err error) {
 	waitMs = milliseconds(s.server.config.AckTimeout)
 	if s.stream == nil {
@@ -172,8 +173,8 @@
 	return min(waitMs, remainingMs), err
 }
 
-// checkAckTimeout returns the time that the proxy has left to acknowledge a response, and an error if there is none left. What a proxy
-// does not read, and what it reads without an answer, is held for it here or on the way.
+// checkAckTimeout returns the remaining time for the proxy to acknowledge a response, and an error if the timeout has passed. The
+// timeout bounds how long an unread or unacknowledged response is buffered for a slow proxy.
 func (s *session) checkAckTimeout(now float64) (remainingMs float64, err error) {
 	timeoutMs := milliseconds(s.server.config.AckTimeout)
 	sinceMs, pending := s.stream.OldestUnacknowledged()
--- a/internal/controlplane/server/tls.go
+++ b/internal/controlplane/server/tls.go
@@ -15,38 +15,38 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// TLSConfig names the server's certificate files, all PEM, and the proxies that may connect.
+// TLSConfig lists the server's certificate files, all in PEM format, and the names of the proxies that may connect.
 type TLSConfig struct {
 	CertFile, KeyFile string
-	ClientCAFile      string   // authorities that sign proxies' certificates
-	AllowedNames      []string // DNS or URI names in proxies' certificates; "*.example" matches all names below
+	ClientCAFile      string   // CA certificates that verify the certificates of proxies
+	AllowedNames      []string // DNS or URI names in the certificates of proxies; "*.example" matches all subdomains of example
 }
 
-// reloadInterval is the least time between two checks of whether the files have changed.
+// reloadInterval is the minimum interval between checks for changed files.
 const reloadInterval = time.Second
 
-// Errors of a proxy's handshake.
+// Errors that reject a proxy during the TLS handshake.
 var (
 	errNoCertificate  = errors.New("no client certificate")
 	errNameNotAllowed = errors.New("no name in the client certificate is allowed")
 )
 
-// fileFingerprints identify the content of the three files, without reading them.
+// fileFingerprints hold the modification times and sizes of the three files, to detect changes without reading the files.
 type fileFingerprints [3]string
 
-// certificateReloader holds the TLS configuration of the files as they were last read.
+// certificateReloader holds the TLS configuration from the last successful read of the files.
 type certificateReloader struct {
 	config TLSConfig
 	log    *logrus.Logger
 
-	mu           sync.Mutex // guards what follows
+	mu           sync.Mutex // guards the fields below
 	nextCheck    time.Time
 	fingerprints fileFingerprints
 	current      *tls.Config
 }
 
-// NewCredentials returns credentials that read their files again when these change. Open connections are not affected; new ones use
-// the new files. Files that cannot be used leave the previous ones in place.
+// NewCredentials returns credentials that reload their files when the files change. New connections use the new certificates; open
+// connections are not affected. If the changed files are invalid, the previous certificates stay in use.
 func NewCredentials(config TLSConfig, log *logrus.Logger) (credentials.TransportCredentials, error) {
 	r := &certificateReloader{config: config, log: log}
 	var err error
@@ -83,7 +83,7 @@
 	return config
 }
 
-// fingerprint returns the fingerprints of the files as they are now; that of a file which cannot be examined is empty.
+// fingerprint returns the current fingerprints of the files. The fingerprint is empty for a file that cannot be examined.
 func (r *certificateReloader) fingerprint() fileFingerprints {
 	var fingerprints fileFingerprints
 	for i, name := range []string{r.config.CertFile, r.config.KeyFile, r.config.ClientCAFile} {
@@ -96,18 +96,18 @@
 
 // load reads the files.
 func (r *certificateReloader) load() (*tls.Config, fileFingerprints, error) {
-	fingerprints := r.fingerprint() // before reading: a change meanwhile is read next time
+	fingerprints := r.fingerprint() // taken before reading, so that the next check detects a change during the read
 	certificate, err := tls.LoadX509KeyPair(r.config.CertFile, r.config.KeyFile)
 	if err != nil {
 		return nil, fingerprints, fmt.Errorf("loading certificate and key %s, %s: %w", r.config.CertFile, r.config.KeyFile, err)
 	}
 	text, err := os.ReadFile(r.config.ClientCAFile)
 	if err != nil {
-		return nil, fingerprints, fmt.Errorf("reading client authorities: %w", err)
+		return nil, fingerprints, fmt.Errorf("reading client CA file: %w", err)
 	}
 	authorities := x509.NewCertPool()
 	if !authorities.AppendCertsFromPEM(text) {
-		return nil, fingerprints, fmt.Errorf("reading client authorities: %s holds no certificate", r.config.ClientCAFile)
+		return nil, fingerprints, fmt.Errorf("reading client CA file: %s contains no certificate", r.config.ClientCAFile)
 	}
 	return &tls.Config{
 		MinVersion:   tls.VersionTLS13,
@@ -115,7 +115,7 @@
 		Certificates: []tls.Certificate{certificate},
 		ClientAuth:   tls.RequireAndVerifyClientCert,
 		ClientCAs:    authorities,
-		// A ticket would admit a proxy again by a certificate that has expired meanwhile.
+		// A session ticket would let a proxy reconnect after its certificate has expired.
 		SessionTicketsDisabled: true,
 		VerifyConnection:       r.verifyName,
 	}, fingerprints, nil
@@ -137,7 +137,7 @@
 	return errNameNotAllowed
 }
 
-// matchesPattern reports whether an allowed name, which may begin with "*.", includes a name.
+// matchesPattern reports whether a name matches an allowed name, which may start with "*.".
 func matchesPattern(pattern, name string) bool {
 	if suffix, ok := strings.CutPrefix(pattern, "*"); ok && strings.HasPrefix(suffix, ".") {
 		return strings.HasSuffix(name, suffix) && len(name) > len(suffix)
@@ -154,7 +154,7 @@
 	return names
 }
 
-// certificateName returns the name by which a proxy is known in the log and in load reports.
+// certificateName returns the name that identifies a proxy in the log and in load reports.
 func certificateName(certificate *x509.Certificate) string {
 	if names := certificateNames(certificate); len(names) > 0 {
 		return names[0]
--- a/internal/controlplane/stream/messages.go
+++ b/internal/controlplane/stream/messages.go
@@ -12,14 +12,14 @@
 
 // Variants.
 const (
-	StateOfTheWorld Variant = iota // each response holds all resources of its type that the proxy wants
-	Incremental                    // responses hold what has changed ("delta")
+	StateOfTheWorld Variant = iota // each response holds all subscribed resources of its type
+	Incremental                    // each response holds only changed resources ("delta")
 )
 
 // wildcard is the resource name that subscribes to all resources of a type.
 const wildcard = "*"
 
-// Errors after which a stream has to be ended. Their texts are sent to proxies.
+// Errors that end a stream. The server sends their texts to the proxy.
 var (
 	ErrUnknownType = errors.New("a type that the control service does not have")
 	ErrNameLimit   = errors.New("more, or longer, names than a stream may ask for")
@@ -28,16 +28,16 @@
 // Request is a message from a proxy, of either variant.
 type Request struct {
 	TypeURL         snapshot.TypeURL
-	ResourceNames   []string          // state of the world: all that it wants
-	Version         string            // state of the world: what it holds
-	Subscribe       []string          // incremental
-	Unsubscribe     []string          // incremental
-	InitialVersions map[string]string // incremental: what it holds, by name
-	ResponseNonce   string            // of the response that this acknowledges or rejects; empty: of none
-	ErrorDetail     string            // why that response was rejected; empty: it was acknowledged
+	ResourceNames   []string          // state of the world: all names subscribed to
+	Version         string            // state of the world: version that the proxy holds
+	Subscribe       []string          // incremental: names to add
+	Unsubscribe     []string          // incremental: names to remove
+	InitialVersions map[string]string // incremental: versions of the resources that the proxy holds, by name
+	ResponseNonce   string            // of the response that the request acknowledges or rejects; empty if it does neither
+	ErrorDetail     string            // reason for rejecting that response; empty for an acknowledgement
 }
 
-// HeldVersion returns the version of the snapshot that the proxy holds, if the request states it.
+// HeldVersion returns the version of the snapshot that the proxy holds, if the request contains it.
 func (r *Request) HeldVersion() (version snapshot.Version, ok bool) {
 	if r.TypeURL != snapshot.RingPartType {
 		return snapshot.Version{}, false
@@ -59,7 +59,7 @@
 	Version   string
 	Nonce     string
 	Resources []snapshot.Resource
-	Removed   []string // incremental: names of resources that do not exist
-	TTLMs     float64  // of each resource; 0: unlimited
-	Heartbeat bool     // only renews the TTL: the resources are sent without their bodies
+	Removed   []string // incremental: names of removed or missing resources
+	TTLMs     float64  // TTL of each resource; 0 means unlimited
+	Heartbeat bool     // the response only renews the TTL; its resources have no bodies
 }
--- a/internal/controlplane/stream/stream.go
+++ b/internal/controlplane/stream/stream.go
@@ -1,8 +1,8 @@
 // Package stream holds the state of one xDS stream of a proxy, in either variant of the transport protocol.
 //
-// It does no I/O: it is given requests and newer snapshots, and returns the responses to send. A stream holds the names that a
-// proxy subscribes to and the versions last sent, within Limits, and no queue: a slow proxy gets the newest snapshot when it
-// has acknowledged the previous response.
+// It does no I/O: callers pass it requests and new snapshots, and it returns the responses to send. A stream holds the subscribed names
+// and the versions last sent, bounded by Limits. It has no queue: a slow proxy gets the newest snapshot once it has acknowledged the
+// previous response.
 package stream
 
 import (
@@ -17,38 +17,39 @@
 	"mintspring/internal/controlplane/wire"
 )
 
-// heartbeatsPerTTL is how often heartbeats are sent within a TTL, so that two of them may be lost.
+// heartbeatsPerTTL is the number of heartbeats per TTL: resources outlive the loss of two in a row.
 const heartbeatsPerTTL = 3
 
-// maxListAgeMs is the largest age of the endpoint list that a lease states.
+// maxListAgeMs caps the age of the endpoint list in a lease, which is a uint32.
 const maxListAgeMs = 1 << 31
 
-// Limits bound what a stream holds and grants. Their defaults stand in docs/operators/control.md.
+// Limits bound the state of a stream, and the durations that it grants. docs/operators/control.md lists the defaults.
 type Limits struct {
-	MaxNames     int     // subscribed to, over all types
-	MaxNameBytes int     // of each name
-	LeaseMs      float64 // duration of a lease, from the time of the proxy's request; 0: no leases
-	TTLMs        float64 // of the endpoints of proxies that know weights only; 0: unlimited
+	MaxNames     int     // subscribed names, over all types
+	MaxNameBytes int     // length limit of each name
+	LeaseMs      float64 // duration of a lease, from when the proxy sent the request; 0 disables leases
+	TTLMs        float64 // TTL of the endpoint assignment, for proxies that route by weights; 0 means unlimited
 }
 
-// Source tells streams how old the endpoint list is.
+// Source provides the age of the endpoint list.
 type Source interface {
-	ListAgeMs() float64 // time since discovery was last heard
+	ListAgeMs() float64 // time since the last successful contact with discovery
 }
 
-// Stream is the state of one stream. It is not safe for concurrent use. Times are milliseconds of any one clock.
+// Stream is the state of one stream. It is not safe for concurrent use. Times are in milliseconds; callers must use the same clock for
+// all of them.
 type Stream struct {
 	variant       Variant
 	limits        Limits
 	source        Source
-	snapshot      *snapshot.Snapshot // nil: none yet
+	snapshot      *snapshot.Snapshot // nil before the first one
 	subscriptions map[snapshot.TypeURL]*subscription
 	lastNonce     uint64
-	leaseName     string // of the last lease request
-	leasePending  bool   // that has not been granted yet
+	leaseName     string // name in the last lease request
+	leasePending  bool   // the last lease request has not been granted yet
 }
 
-// New returns a stream at its start. With a snapshot of nil it sends nothing until SetSnapshot.
+// New returns a new stream. If the snapshot is nil, the stream sends nothing until SetSnapshot is called.
 func New(variant Variant, limits Limits, source Source, current *snapshot.Snapshot) *Stream {
 	return &Stream{
 		variant:       variant,
@@ -59,13 +60,13 @@
 	}
 }
 
-// SetSnapshot sets the snapshot that the next responses are made from.
+// SetSnapshot sets the snapshot from which the next responses are built.
 func (s *Stream) SetSnapshot(newest *snapshot.Snapshot) { s.snapshot = newest }
 
-// HandleRequest applies a request. After an error the stream has to be ended.
+// HandleRequest applies a request. After an error the caller must end the stream.
 func (s *Stream) HandleRequest(r *Request) error {
 	if r.TypeURL == snapshot.LeaseType {
-		return s.requestLease(r)
+		return s.handleLeaseRequest(r)
 	}
 	if !slices.Contains(snapshot.TypeOrder, r.TypeURL) {
 		return fmt.Errorf("%w: %.100q", ErrUnknownType, r.TypeURL)
@@ -81,31 +82,31 @@
 	case r.ResponseNonce == "":
 		// An incremental request without a nonce changes the subscription and acknowledges nothing.
 	case r.ResponseNonce == sub.lastNonce:
-		sub.acknowledge(r)
+		sub.handleAck(r)
 	case s.variant == StateOfTheWorld:
-		return nil // it acknowledges a response that was replaced by a newer one; the request for that one comes next
+		return nil // stale nonce: a newer response was sent, and the request that answers that one is still to come
 	}
 	return s.updateSubscription(sub, r)
 }
 
-// updateSubscription applies the names in a request to a subscription, within the limits.
+// updateSubscription applies the names in a request to a subscription. It returns ErrNameLimit if they exceed the limits.
 func (s *Stream) updateSubscription(sub *subscription, r *Request) error {
 	sub.upToDateWith = nil
 	names := r.ResourceNames
 	if s.variant == Incremental {
 		names = r.Subscribe
 	}
-	if err := s.limits.checkNames(names); err != nil {
+	if err := s.limits.checkNameLengths(names); err != nil {
 		return err
 	}
 	if s.variant == Incremental {
-		sub.change(r)
+		sub.changeNames(r)
 	} else {
-		sub.replace(r.ResourceNames)
+		sub.replaceNames(r.ResourceNames)
 	}
 	total := 0
-	for _, each := range s.subscriptions {
-		total += len(each.names)
+	for _, existing := range s.subscriptions {
+		total += len(existing.names)
 	}
 	if total > s.limits.MaxNames {
 		return ErrNameLimit
@@ -113,8 +114,8 @@
 	return nil
 }
 
-// checkNames checks the lengths of names.
-func (l *Limits) checkNames(names []string) error {
+// checkNameLengths returns ErrNameLimit if a name is too long.
+func (l *Limits) checkNameLengths(names []string) error {
 	for _, name := range names {
 		if len(name) > l.MaxNameBytes {
 			return ErrNameLimit
@@ -123,13 +124,13 @@
 	return nil
 }
 
-// requestLease notes a lease request. Only the last one counts, and a request with its name again is an acknowledgement.
-func (s *Stream) requestLease(r *Request) error {
+// handleLeaseRequest records a lease request. Only the last request is granted; a repeated name acknowledges the lease.
+func (s *Stream) handleLeaseRequest(r *Request) error {
 	names := r.ResourceNames
 	if s.variant == Incremental {
 		names = r.Subscribe
 	}
-	if err := s.limits.checkNames(names); err != nil {
+	if err := s.limits.checkNameLengths(names); err != nil {
 		return err
 	}
 	if len(names) == 0 || s.limits.LeaseMs <= 0 {
@@ -141,8 +142,8 @@
 	return nil
 }
 
-// Next returns the response to send now, if one is due. While a response of a type has not been acknowledged no other one of
-// that type is due: at most one of them is on its way to a slow proxy, and the next is made from the snapshot of that time.
+// Next returns the response to send now, if one is due. Each type has at most one unacknowledged response; the next one is built
+// from the snapshot that is current after the acknowledgement.
 func (s *Stream) Next(now float64) (response Response, due bool) {
 	if s.snapshot == nil {
 		return Response{}, false
@@ -162,11 +163,11 @@
 	return Response{}, false
 }
 
-// nextOfType returns the response of one type to send now, if one is due.
+// nextOfType returns the response of one type to send now, if one is due: changed resources, or else a heartbeat.
 func (s *Stream) nextOfType(now float64, typeURL snapshot.TypeURL, sub *subscription) (response Response, due bool) {
 	set := s.snapshot.Resources(typeURL)
 	hasTTL := typeURL == snapshot.EndpointType && s.limits.TTLMs > 0
-	if !sub.settled(set) {
+	if !sub.nothingToSend(set) {
 		response, due = sub.nextResponse(s.variant, set)
 		if !due {
 			sub.upToDateWith = set
@@ -176,7 +177,7 @@
 		if !hasTTL || now < sub.heartbeatAtMs || len(sub.sentVersions) == 0 {
 			return Response{}, false
 		}
-		response = sub.heartbeat()
+		response = sub.heartbeatResponse()
 	}
 	response.TypeURL = typeURL
 	response.Nonce = s.nextNonce()
@@ -184,7 +185,7 @@
 		response.TTLMs = s.limits.TTLMs
 		sub.heartbeatAtMs = now + s.limits.TTLMs/heartbeatsPerTTL
 	}
-	sub.sent(now, &response)
+	sub.recordSent(now, &response)
 	return response, true
 }
 
@@ -193,7 +194,8 @@
 	return strconv.FormatUint(s.lastNonce, 10)
 }
 
-// WaitMs returns for how long Next need not be called while nothing else happens; negative: without a limit.
+// WaitMs returns the time until the next heartbeat, when Next must be called even without a request or a new snapshot. It is negative
+// if no heartbeat is scheduled.
 func (s *Stream) WaitMs(now float64) float64 {
 	if sub := s.subscriptions[snapshot.EndpointType]; sub != nil && s.limits.TTLMs > 0 && len(sub.sentVersions) > 0 {
 		return max(0, sub.heartbeatAtMs-now)
@@ -201,7 +203,7 @@
 	return -1
 }
 
-// OldestUnacknowledged returns the time at which the oldest response without an acknowledgement was sent, if there is one.
+// OldestUnacknowledged returns when the oldest unacknowledged response was sent, if there is one.
 func (s *Stream) OldestUnacknowledged() (sentAtMs float64, ok bool) {
 	for _, sub := range s.subscriptions {
 		if sub.state == awaitingAck && (!ok || sub.sentAtMs < sentAtMs) {
@@ -211,8 +213,8 @@
 	return sentAtMs, ok
 }
 
-// grantLease returns the answer to the last lease request. The oldest usable snapshot that it names is looked up now, so that no
-// drain known by now can be missing from it.
+// grantLease returns the response to the last lease request. The lease names the oldest usable snapshot. This is read at the time of the
+// grant, so that the lease accounts for every drain known by then.
 func (s *Stream) grantLease() (response Response, due bool) {
 	s.leasePending = false
 	body, err := proto.Marshal(&wire.Lease{
@@ -223,7 +225,7 @@
 		ListAgeMs: uint32(min(s.source.ListAgeMs(), maxListAgeMs)),
 	})
 	if err != nil {
-		return Response{}, false // the name is not UTF-8, which cannot arrive in a request
+		return Response{}, false // only a name that is not UTF-8 fails, and decoding rejects such a request
 	}
 	lease := snapshot.Resource{
 		Name:    s.leaseName,
--- a/internal/controlplane/stream/subscription.go
+++ b/internal/controlplane/stream/subscription.go
@@ -7,44 +7,44 @@
 	"mintspring/internal/controlplane/snapshot"
 )
 
-// responseState is the progress of the responses of a subscription.
+// responseState says whether a subscription is due a response or awaits an acknowledgement.
 type responseState uint8
 
 const (
-	idle        responseState = iota // a response is sent once something wanted has changed
-	responseDue                      // a response is sent even if nothing has changed
-	awaitingAck                      // the last response has not been acknowledged or rejected yet
+	idle        responseState = iota // a response is sent when a subscribed resource changes
+	responseDue                      // a response is sent even without a change
+	awaitingAck                      // the last response is neither acknowledged nor rejected yet
 )
 
-// unknownVersion is the version of a resource that the proxy may hold in any version, or not at all. No resource of a snapshot has it, so
-// that the resource is sent, or its removal is.
+// unknownVersion marks a resource of which the proxy may hold any version or none. It differs from the version of every resource in a
+// snapshot, so that the next response contains the resource or its removal.
 const unknownVersion = ""
 
-// replacedVersion is what a proxy held of a resource before the last response.
+// replacedVersion is the version of a resource that the proxy held before the last response, if it held one.
 type replacedVersion struct {
 	version string
 	held    bool
 }
 
-// subscription is the state of one type of resources on a stream.
+// subscription is the state of one resource type on a stream.
 type subscription struct {
-	wildcard        bool // to all resources
+	wildcard        bool // includes all resources
 	names           map[string]bool
-	sentVersions    map[string]string // last sent, or stated by the proxy at its start, or unknownVersion, by name
-	reportedMissing map[string]bool   // incremental: names that the proxy was notified do not exist
+	sentVersions    map[string]string // by name: last sent, initially reported by the proxy, or unknownVersion
+	reportedMissing map[string]bool   // incremental: subscribed names that were reported to the proxy as nonexistent
 
 	state         responseState
 	lastVersion   string // of the last response
 	lastNonce     string // of the last response
 	sentAtMs      float64
-	heartbeatAtMs float64
+	heartbeatAtMs float64 // when the next heartbeat is due
 
-	replacedVersions map[string]replacedVersion // by the last response, by name
-	rejectedVersion  string                     // of the set that the proxy rejected, which is not sent again
-	upToDateWith     *snapshot.ResourceSet      // the set that was found to hold nothing to send
+	replacedVersions map[string]replacedVersion // by name: versions that the last response replaced
+	rejectedVersion  string                     // version of the set that the proxy rejected; it is not sent again
+	upToDateWith     *snapshot.ResourceSet      // set that was compared and has nothing to send
 }
 
-// newSubscription returns the subscription that the first request of a type starts.
+// newSubscription returns the subscription for the first request of a type.
 func newSubscription(variant Variant, r *Request) *subscription {
 	sub := &subscription{
 		names:           map[string]bool{},
@@ -56,13 +56,13 @@
 	if variant == Incremental {
 		names = r.Subscribe
 	}
-	// A first request without names subscribes to all, but for endpoints, which have no wildcard (xDS, "How the client specifies
-	// what resources to return").
+	// A first request without names subscribes to all resources, except for endpoints, which have no wildcard (xDS, "How the client
+	// specifies what resources to return").
 	sub.wildcard = len(names) == 0 && r.TypeURL != snapshot.EndpointType
 	return sub
 }
 
-// setInitialVersions notes what the proxy holds at the start of the stream.
+// setInitialVersions records the versions that the proxy holds at the start of the stream.
 func (s *subscription) setInitialVersions(versions map[string]string, limits Limits) error {
 	for name, version := range versions {
 		if len(s.sentVersions) >= limits.MaxNames || len(name) > limits.MaxNameBytes {
@@ -73,16 +73,16 @@
 	return nil
 }
 
-// wants reports whether the subscription includes a resource.
-func (s *subscription) wants(name string) bool { return s.wildcard || s.names[name] }
+// includes reports whether the subscription includes a resource.
+func (s *subscription) includes(name string) bool { return s.wildcard || s.names[name] }
 
-// forgetUnwanted drops the versions of resources that are not subscribed to any more.
-func (s *subscription) forgetUnwanted() {
-	maps.DeleteFunc(s.sentVersions, func(name, _ string) bool { return !s.wants(name) })
+// dropUnsubscribed deletes the versions of resources that are no longer subscribed to.
+func (s *subscription) dropUnsubscribed() {
+	maps.DeleteFunc(s.sentVersions, func(name, _ string) bool { return !s.includes(name) })
 }
 
-// replace sets the names of a state-of-the-world subscription. A wildcard subscription is kept by a request without names.
-func (s *subscription) replace(resourceNames []string) {
+// replaceNames sets the names of a state-of-the-world subscription. A request without names keeps a wildcard subscription.
+func (s *subscription) replaceNames(resourceNames []string) {
 	if len(resourceNames) == 0 && s.wildcard {
 		return
 	}
@@ -99,11 +99,11 @@
 		}
 	}
 	s.names = names
-	s.forgetUnwanted()
+	s.dropUnsubscribed()
 }
 
-// change adds names to and removes names from an incremental subscription.
-func (s *subscription) change(r *Request) {
+// changeNames adds names to and removes names from an incremental subscription.
+func (s *subscription) changeNames(r *Request) {
 	for _, name := range r.Unsubscribe {
 		if name == wildcard {
 			s.wildcard = false
@@ -113,7 +113,7 @@
 		delete(s.reportedMissing, name)
 	}
 	if len(r.Unsubscribe) > 0 {
-		s.forgetUnwanted()
+		s.dropUnsubscribed()
 	}
 	for _, name := range r.Subscribe {
 		if name == wildcard {
@@ -121,8 +121,9 @@
 			continue
 		}
 		s.names[name] = true
-		// A resource subscribed to again is sent again, since the proxy may have dropped it, unless the proxy states that it holds it.
-		// It is not forgotten: a proxy that has kept it has to be notified of its removal, also if it unsubscribes before that.
+		// A resource that the proxy subscribes to again is sent again, since the proxy may have dropped it, unless the request lists the
+		// version that the proxy holds. The entry is kept rather than deleted: with a wildcard, a proxy that kept the resource must
+		// still be told about its removal after it unsubscribes from the name.
 		_, sent := s.sentVersions[name]
 		if _, stated := r.InitialVersions[name]; sent && !stated {
 			s.sentVersions[name] = unknownVersion
@@ -131,10 +132,9 @@
 	}
 }
 
-// acknowledge handles the acknowledgement or rejection of the last response. After a rejection the proxy holds what it held before.
-// The rejected set is not sent again; with the next one the proxy gets all that it lacks, also what had changed in the rejected
-// one, since its ring would never be complete without.
-func (s *subscription) acknowledge(r *Request) {
+// handleAck handles the acknowledgement or rejection of the last response. A rejection restores the versions from before the response.
+// The rejected set is not sent again, but its changes are sent with the next set: without them the proxy's ring would stay incomplete.
+func (s *subscription) handleAck(r *Request) {
 	if s.state == awaitingAck {
 		s.state = idle
 	}
@@ -147,30 +147,30 @@
 	s.replacedVersions = nil
 }
 
-// restoreVersion notes that the proxy has rejected the response which replaced a version.
+// restoreVersion restores a version that a rejected response replaced.
 func (s *subscription) restoreVersion(name string, replaced replacedVersion) {
-	if !replaced.held || !s.wants(name) {
+	if !replaced.held || !s.includes(name) {
 		delete(s.sentVersions, name)
 		return
 	}
 	if version, sent := s.sentVersions[name]; sent && version == unknownVersion {
-		return // it was subscribed to again after that response
+		return // the proxy subscribed to it again after that response
 	}
 	s.sentVersions[name] = replaced.version
 }
 
-// settled reports whether it is known that a set holds nothing to send.
-func (s *subscription) settled(set *snapshot.ResourceSet) bool {
+// nothingToSend reports whether a set is known to hold nothing to send: it is unchanged, or the proxy rejected it.
+func (s *subscription) nothingToSend(set *snapshot.ResourceSet) bool {
 	return s.upToDateWith == set || s.rejectedVersion == set.Version && s.state != responseDue
 }
 
-// sent notes a response that is sent.
-func (s *subscription) sent(now float64, response *Response) {
+// recordSent notes a response that is recordSent.
+func (s *subscription) recordSent(now float64, response *Response) {
 	s.state, s.sentAtMs = awaitingAck, now
 	s.lastNonce, s.lastVersion = response.Nonce, response.Version
 }
 
-// nextResponse returns the resources of a set to send, if a response is due, and notes their versions as sent.
+// nextResponse returns the response for a set, if one is due, and records the versions in it as sent.
 func (s *subscription) nextResponse(variant Variant, set *snapshot.ResourceSet) (response Response, due bool) {
 	if variant == Incremental {
 		return s.deltaResponse(set)
@@ -178,13 +178,13 @@
 	return s.fullResponse(set)
 }
 
-// fullResponse returns everything that the proxy wants, if any of that has changed.
+// fullResponse returns all subscribed resources, if a response is due or any of them has changed.
 func (s *subscription) fullResponse(set *snapshot.ResourceSet) (response Response, due bool) {
 	response.Version = set.Version
 	due = s.state == responseDue
 	for i := range set.Items {
 		resource := &set.Items[i]
-		if s.wants(resource.Name) {
+		if s.includes(resource.Name) {
 			response.Resources = append(response.Resources, *resource)
 			due = due || s.sentVersions[resource.Name] != resource.Version
 		}
@@ -194,55 +194,56 @@
 	}
 	s.replacedVersions = make(map[string]replacedVersion, len(s.sentVersions))
 	for name := range s.sentVersions {
-		s.noteReplaced(name)
+		s.recordReplaced(name)
 	}
 	clear(s.sentVersions)
 	for i := range response.Resources {
 		resource := &response.Resources[i]
 		if _, replaced := s.replacedVersions[resource.Name]; !replaced {
-			s.noteReplaced(resource.Name)
+			s.recordReplaced(resource.Name)
 		}
 		s.sentVersions[resource.Name] = resource.Version
 	}
 	return response, true
 }
 
-// noteReplaced notes what the proxy holds of a resource that the response being made sends or removes.
-func (s *subscription) noteReplaced(name string) {
+// recordReplaced records the held version of a resource before the response being built replaces or removes it.
+func (s *subscription) recordReplaced(name string) {
 	version, held := s.sentVersions[name]
 	s.replacedVersions[name] = replacedVersion{version, held}
 }
 
-// deltaResponse returns what has changed of what the proxy wants, and the names of what does not exist.
+// deltaResponse returns the subscribed resources that have changed, and the names of those that do not exist.
 func (s *subscription) deltaResponse(set *snapshot.ResourceSet) (response Response, due bool) {
 	response.Version = set.Version
 	for i := range set.Items {
 		resource := &set.Items[i]
-		if s.wants(resource.Name) && s.sentVersions[resource.Name] != resource.Version {
+		if s.includes(resource.Name) && s.sentVersions[resource.Name] != resource.Version {
 			response.Resources = append(response.Resources, *resource)
 		}
 	}
-	response.Removed = s.missing(set)
+	response.Removed = s.missingNames(set)
 	if len(response.Resources) == 0 && len(response.Removed) == 0 && s.state != responseDue {
 		return Response{}, false
 	}
 	s.replacedVersions = map[string]replacedVersion{}
 	for i := range response.Resources {
 		resource := &response.Resources[i]
-		s.noteReplaced(resource.Name)
+		s.recordReplaced(resource.Name)
 		s.sentVersions[resource.Name] = resource.Version
 		delete(s.reportedMissing, resource.Name)
 	}
 	for _, name := range response.Removed {
-		s.noteReplaced(name)
+		s.recordReplaced(name)
 		delete(s.sentVersions, name)
 		s.reportedMissing[name] = s.names[name]
 	}
 	return response, true
 }
 
-// missing returns the names that the proxy has to be notified do not exist: resources that are gone, and names that it subscribes to.
-func (s *subscription) missing(set *snapshot.ResourceSet) []string {
+// missingNames returns the names to report to the proxy as nonexistent: resources that were removed, and subscribed names that no
+// resource has.
+func (s *subscription) missingNames(set *snapshot.ResourceSet) []string {
 	var names []string
 	for name := range s.sentVersions {
 		if _, ok := set.Find(name); !ok {
@@ -261,8 +262,8 @@
 	return names
 }
 
-// heartbeat returns a response that renews the TTL of what the proxy holds.
-func (s *subscription) heartbeat() Response {
+// heartbeatResponse returns a response that renews the TTL of the resources that the proxy holds.
+func (s *subscription) heartbeatResponse() Response {
 	response := Response{Version: s.lastVersion, Heartbeat: true}
 	for _, name := range slices.Sorted(maps.Keys(s.sentVersions)) {
 		if s.sentVersions[name] == unknownVersion {
--- a/internal/controlplane/wire/doc.go
+++ b/internal/controlplane/wire/doc.go
@@ -1,3 +1,3 @@
-// Package wire holds the messages that the control plane and proxies which hold the ring exchange. It is generated from control.proto by
-// protoc-gen-go, with paths=source_relative; the version of the generator stands in the generated file.
+// Package wire holds the messages between the control plane and the proxies that route by the ring. protoc-gen-go generates it from
+// control.proto with paths=source_relative; the generated file names the version of the generator.
 package wire
