--- a/cmd/mintspring-xds/controlplane.go
+++ b/cmd/mintspring-xds/controlplane.go
@@ -23,7 +23,7 @@
 	addr       string     // listen address
 	serveErr   chan error // receives the result of serving
 	stopping   chan struct{}
-	traffic    sync.WaitGroup
+	background sync.WaitGroup
 }
 
 // startControlPlane starts a control plane: the controller, the server, and the traffic log.
@@ -46,7 +46,7 @@
 		LoadReports:     operator.LoadReportConfig(),
 	}
 	p := &controlPlane{
-		controller: controller.New(log, controllerConfig, configuration.Discovery, persistence(configuration, operator)),
+		controller: controller.New(log, controllerConfig, configuration.Discovery, newPersistence(configuration, operator)),
 		addr:       listener.Addr().String(),
 		serveErr:   make(chan error, 1),
 		stopping:   make(chan struct{}),
@@ -54,12 +54,12 @@
 	p.server = server.New(log, p.controller, operator.ServerConfig(), creds)
 	go p.controller.Run()
 	go func() { p.serveErr <- p.server.Serve(listener) }()
-	p.traffic.Go(func() { p.logTraffic(log) })
+	p.background.Go(func() { p.logTraffic(log) })
 	return p, nil
 }
 
-// persistence returns the settings for storing learned state across restarts, or nil if it is not stored.
-func persistence(configuration *platform.Config, operator *config.File) *controller.Persistence {
+// newPersistence returns the settings for storing learned state across restarts, or nil if it is not stored.
+func newPersistence(configuration *platform.Config, operator *config.File) *controller.Persistence {
 	if operator.Snapshot == nil {
 		return nil
 	}
@@ -73,7 +73,7 @@
 // stop ends the control plane. The leases of proxies expire on their own.
 func (p *controlPlane) stop() {
 	close(p.stopping)
-	p.traffic.Wait()
+	p.background.Wait()
 	p.server.Stop()
 	p.controller.Stop()
 }
--- a/cmd/mintspring-xds/main_test.go
+++ b/cmd/mintspring-xds/main_test.go
@@ -26,7 +26,7 @@
 	"mintspring/internal/testbed/reservedport"
 )
 
-// operatorFileEnv names the operator file of a test binary that runs as the control plane.
+// operatorFileEnv is the environment variable that makes the test binary run as the control plane. It names the operator file.
 const operatorFileEnv = "MINTCONTROL_TEST_OPERATOR"
 
 func TestMain(m *testing.M) {
@@ -50,18 +50,18 @@
 	return file
 }
 
-// configJSON is a configuration with the address of discovery.
+// configJSON returns a configuration with the given discovery address.
 func configJSON(discovery string) string {
 	return fmt.Sprintf(`{"name":"c0","listen":"127.0.0.1:1","discovery":%q,"seed":"07","settings":{"FailureDomains":["a","b"],"Kinds":["box","origin"],
 	 "Workloads":[{"Name":"read","Effect":"pure","SloTime":200000,"StatementTimeout":1000000,"Importance":1}],"PolicyLimits":{"MaxExecutions":4},
 	 "FamilyInfo":{"Mode":"aside","OriginKind":1},"Guarantees":{"StopSendingWithin":500000,"MustAskIn":5000000}}}`, discovery)
 }
 
-// process is a control plane that runs as a process of its own.
+// process is a control plane in a separate process.
 type process struct {
 	t     *testing.T
 	cmd   *exec.Cmd
-	ended chan struct{} // closed when it has ended
+	ended chan struct{} // closed when the process has ended
 }
 
 // startProcess starts a control plane, which is killed at the end of the test.
@@ -87,7 +87,7 @@
 	return p
 }
 
-// signal sends a signal to the process, which has to run.
+// signal sends a signal to the process, which must be running.
 func (p *process) signal(sig os.Signal) {
 	p.t.Helper()
 	if err := p.cmd.Process.Signal(sig); err != nil {
@@ -95,7 +95,7 @@
 	}
 }
 
-// kill kills the process, if it still runs, and waits for its end.
+// kill kills the process if it is still running, and waits until it has ended.
 func (p *process) kill() {
 	p.t.Helper()
 	if err := p.cmd.Process.Kill(); err != nil && !errors.Is(err, os.ErrProcessDone) {
@@ -104,7 +104,7 @@
 	<-p.ended
 }
 
-// versionRecorder records the versions of the snapshots that a proxy applies.
+// versionRecorder records the versions of the snapshots that a proxy has applied.
 type versionRecorder struct {
 	mu       sync.Mutex // guards versions
 	versions []snapshot.Version
@@ -116,21 +116,21 @@
 	r.versions = append(r.versions, version)
 }
 
-// check checks that no snapshot was older than the one before, and returns the last version.
-func (r *versionRecorder) check(t *testing.T) (last snapshot.Version) {
+// checkOrder checks that no snapshot was older than the previous one, and returns the last version.
+func (r *versionRecorder) checkOrder(t *testing.T) (last snapshot.Version) {
 	t.Helper()
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, version := range r.versions {
 		if version.Before(last) {
-			t.Errorf("a snapshot was applied that is older than the one before: %v", r.versions)
+			t.Errorf("a snapshot was applied after a newer one: %v", r.versions)
 		}
 		last = version
 	}
 	return last
 }
 
-// waitForServers waits until a proxy holds a usable snapshot of some servers, with a version after another.
+// waitForServers waits until a proxy holds a usable snapshot with a number of servers and a version newer than after.
 func waitForServers(t *testing.T, p *fakeproxy.Proxy, servers int, after snapshot.Version) {
 	t.Helper()
 	var version snapshot.Version
@@ -145,29 +145,30 @@
 			return
 		}
 	}
-	t.Fatalf("holds snapshot %v with %d servers, wants %d after %v", version, count, servers, after)
+	t.Fatalf("proxy holds snapshot %v with %d servers, want %d servers after %v", version, count, servers, after)
 }
 
-// startCatalog starts a fake discovery service with some servers.
-func startCatalog(t *testing.T, servers int) *fakediscovery.Server {
+// startDiscovery starts a fake discovery service with a number of servers.
+func startDiscovery(t *testing.T, servers int) *fakediscovery.Server {
 	t.Helper()
-	var all []string
+	var endpoints []string
 	for i := range servers {
-		all = append(all, fakediscovery.EndpointJSON(i, []string{"a", "b"}[i%2], "in_service", 0))
+		endpoints = append(endpoints, fakediscovery.EndpointJSON(i, []string{"a", "b"}[i%2], "in_service", 0))
 	}
-	catalog, err := fakediscovery.Start(all)
+	server, err := fakediscovery.Start(endpoints)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(catalog.Close)
-	return catalog
+	t.Cleanup(server.Close)
+	return server
 }
 
-// TestControlPlaneProcess checks that proxies follow a control plane which is killed and restarted without going back to an older
-// snapshot, that SIGHUP switches it to another endpoint list, and that show prints what it sends.
+// TestControlPlaneProcess checks that a proxy does not return to an older snapshot when the control plane is killed and restarted, that
+// SIGHUP applies a new discovery address and ignores an invalid configuration, that SIGTERM ends the process, and that show gets a
+// snapshot.
 func TestControlPlaneProcess(t *testing.T) {
 	dir := t.TempDir()
-	first, second := startCatalog(t, 6), startCatalog(t, 9)
+	first, second := startDiscovery(t, 6), startDiscovery(t, 9)
 	reserved, err := reservedport.Reserve()
 	if err != nil {
 		t.Fatal(err)
@@ -195,11 +196,11 @@
 	}
 	other := &showCmd{Addr: addr, Cluster: "other", Within: 300 * time.Millisecond}
 	if err := other.Run(context.Background()); !errors.Is(err, errNoSnapshot) {
-		t.Errorf("a cluster that does not exist: %v", err)
+		t.Errorf("nonexistent cluster: got error %v, want no usable snapshot", err)
 	}
 
 	plane.kill()
-	last := applied.check(t)
+	last := applied.checkOrder(t)
 	plane = startProcess(t, config, operator)
 	waitForServers(t, p, 6, last)
 	writeFile(t, config, configJSON(second.Addr))
@@ -214,28 +215,28 @@
 	select {
 	case <-plane.ended:
 	case <-time.After(5 * time.Second):
-		t.Error("it does not end")
+		t.Error("the process does not end after SIGTERM")
 	}
-	applied.check(t)
+	applied.checkOrder(t)
 }
 
-// TestCheck checks that check prints all errors of both files, or what would be in effect.
+// TestCheck checks that the check command prints all errors in both files, or else the settings that would be in effect.
 func TestCheck(t *testing.T) {
 	dir := t.TempDir()
-	good := writeFile(t, filepath.Join(dir, "good.json"), configJSON("127.0.0.1:2"))
-	bad := writeFile(t, filepath.Join(dir, "bad.json"), `{"name":"c0"}`)
-	off := writeFile(t, filepath.Join(dir, "off.toml"), "listen = \"0.0.0.0:1\"\n")
-	none := writeFile(t, filepath.Join(dir, "none.toml"), "[tls]\ncert=\"c\"\nkey=\"k\"\nclients=\"l\"\npeers=[\"p\"]\n")
-	renamed := writeFile(t, filepath.Join(dir, "renamed.toml"), "gather = \"50ms\"\n")
+	validConfig := writeFile(t, filepath.Join(dir, "good.json"), configJSON("127.0.0.1:2"))
+	invalidConfig := writeFile(t, filepath.Join(dir, "bad.json"), `{"name":"c0"}`)
+	plainTextOperator := writeFile(t, filepath.Join(dir, "off.toml"), "listen = \"0.0.0.0:1\"\n")
+	missingCertOperator := writeFile(t, filepath.Join(dir, "none.toml"), "[tls]\ncert=\"c\"\nkey=\"k\"\nclients=\"l\"\npeers=[\"p\"]\n")
+	deprecatedKeyOperator := writeFile(t, filepath.Join(dir, "renamed.toml"), "gather = \"50ms\"\n")
 	for _, c := range []struct {
 		files configFiles
 		ok    bool
 		want  []string
 	}{
-		{configFiles{Config: good}, true, []string{"cluster mintspring", "plain text", "lease 400ms"}},
-		{configFiles{good, renamed}, true, []string{"renamed.toml:1: gather is deprecated, use batch_interval", "batch interval 50ms"}},
-		{configFiles{bad, off}, false, []string{"bad.json", "off.toml:1: listen"}},
-		{configFiles{good, none}, false, []string{"c, k: "}},
+		{configFiles{Config: validConfig}, true, []string{"cluster mintspring", "plain text", "lease 400ms"}},
+		{configFiles{validConfig, deprecatedKeyOperator}, true, []string{"renamed.toml:1: gather is deprecated, use batch_interval", "batch interval 50ms"}},
+		{configFiles{invalidConfig, plainTextOperator}, false, []string{"bad.json", "off.toml:1: listen"}},
+		{configFiles{validConfig, missingCertOperator}, false, []string{"c, k: "}},
 	} {
 		var out strings.Builder
 		if err := checkFiles(c.files, &out); (err == nil) != c.ok {
@@ -249,10 +250,10 @@
 	}
 }
 
-// TestReloadOfTruncatedConfiguration checks that a configuration which can be parsed, and lacks a key of the active one, changes nothing.
+// TestReloadOfTruncatedConfiguration checks that a reload keeps the active configuration if the new one parses but lacks a key.
 func TestReloadOfTruncatedConfiguration(t *testing.T) {
 	dir := t.TempDir()
-	complete := configJSON(startCatalog(t, 1).Addr)
+	complete := configJSON(startDiscovery(t, 1).Addr)
 	file := writeFile(t, filepath.Join(dir, "config.json"), complete)
 	command := &runCmd{configFiles{Config: file}}
 	active, err := command.readConfiguration()
@@ -273,7 +274,7 @@
 	}
 	defer plane.stop()
 	var lines bytes.Buffer
-	log := logrus.New() // the goroutines of the plane write to another one
+	log := logrus.New() // separate from the control plane's logger, whose goroutines write concurrently
 	log.SetOutput(&lines)
 
 	writeFile(t, file, strings.Replace(complete, `,"Importance":1`, "", 1))
@@ -281,10 +282,10 @@
 		t.Fatalf("the truncated configuration cannot be parsed: %v", err)
 	}
 	if command.reload(active, plane, log) != active || !strings.Contains(lines.String(), "Importance: missing") {
-		t.Errorf("a truncated configuration is taken over, log %s", &lines)
+		t.Errorf("a truncated configuration was applied, or its error not logged; log %s", &lines)
 	}
 	writeFile(t, file, complete)
 	if command.reload(active, plane, log) == active {
-		t.Errorf("a complete configuration is not taken over, log %s", &lines)
+		t.Errorf("a complete configuration was not applied; log %s", &lines)
 	}
 }
--- a/cmd/mintspring-xds/run.go
+++ b/cmd/mintspring-xds/run.go
@@ -65,10 +65,10 @@
 	if next.Discovery != active.Discovery {
 		plane.controller.SetDiscovery(next.Discovery)
 	}
-	line := log.WithField("discovery", next.Discovery)
+	entry := log.WithField("discovery", next.Discovery)
 	if active.SettingsChanged(next) {
-		line = line.WithField("needs_restart", "settings")
+		entry = entry.WithField("needs_restart", "settings")
 	}
-	line.Info("reloaded the configuration")
+	entry.Info("reloaded the configuration")
 	return next
 }
--- a/internal/controlplane/client/golden_test.go
+++ b/internal/controlplane/client/golden_test.go
@@ -16,7 +16,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// goldenStream stands for a gRPC stream: it notes what is sent and hands one response out.
+// goldenStream is a fake gRPC stream. It records the sent requests and returns a fixed response.
 type goldenStream[Req, Resp any] struct {
 	grpc.ClientStream
 	sent     []*Req
@@ -31,7 +31,7 @@
 	return &core.Node{Id: "p1", Cluster: "boxes", Locality: &core.Locality{Zone: "b"}, UserAgentName: "mintspring-follow"}
 }
 
-// sendRequests sends one request of each kind.
+// sendRequests sends the requests in goldenRequests.
 func sendRequests(t *testing.T, s messageStream) {
 	t.Helper()
 	held := map[string]string{"boxes/head": "17.42", "boxes/whole/0000": "0123456789abcdef"}
@@ -49,30 +49,32 @@
 	}
 }
 
+// goldenRequests are the names of the requests in their files, in the order in which they are sent.
 var goldenRequests = []string{"want-endpoints", "want-parts", "ack", "nack", "lease-first", "lease-next"}
 
-func newAny(t *testing.T, kind snapshot.TypeURL, m proto.Message) *anypb.Any {
+func newAny(t *testing.T, typeURL snapshot.TypeURL, m proto.Message) *anypb.Any {
 	t.Helper()
 	b, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &anypb.Any{TypeUrl: string(kind), Value: b}
+	return &anypb.Any{TypeUrl: string(typeURL), Value: b}
 }
 
-// TestGoldenWhole compares the requests of the state-of-the-world variant with bytes written by an earlier build, and reads a response.
-func TestGoldenWhole(t *testing.T) {
-	g := &goldenStream[discovery.DiscoveryRequest, discovery.DiscoveryResponse]{}
-	w := newSotwStream(g, goldenNode(), "boxes")
-	sendRequests(t, w)
+// TestGoldenStateOfTheWorld compares the requests of the state-of-the-world variant with bytes written by an earlier build, and decodes
+// a response.
+func TestGoldenStateOfTheWorld(t *testing.T) {
+	grpcStream := &goldenStream[discovery.DiscoveryRequest, discovery.DiscoveryResponse]{}
+	sotw := newSotwStream(grpcStream, goldenNode(), "boxes")
+	sendRequests(t, sotw)
 	for i, name := range goldenRequests {
-		goldentest.CheckProto(t, "request-"+name+".pb", g.sent[i])
+		goldentest.CheckProto(t, "request-"+name+".pb", grpcStream.sent[i])
 	}
 	head := newAny(t, snapshot.RingPartType, &wire.Part{Kind: &wire.Part_Head{Head: &wire.Head{Epoch: 17, Number: 42}}})
 	points := newAny(t, snapshot.RingPartType, &wire.Part{Kind: &wire.Part_Points{Points: &wire.Points{Circle: wire.Circle_NEAR}}})
-	g.response = &discovery.DiscoveryResponse{TypeUrl: string(snapshot.RingPartType), VersionInfo: "17.42", Nonce: "3", Resources: []*anypb.Any{head, points, points}}
-	goldentest.CheckProto(t, "response.pb", g.response)
-	r, err := w.recv()
+	grpcStream.response = &discovery.DiscoveryResponse{TypeUrl: string(snapshot.RingPartType), VersionInfo: "17.42", Nonce: "3", Resources: []*anypb.Any{head, points, points}}
+	goldentest.CheckProto(t, "response.pb", grpcStream.response)
+	r, err := sotw.recv()
 	want := &response{
 		typeURL: snapshot.RingPartType, version: "17.42", nonce: "3", complete: true, resources: []*anypb.Any{head, points, points},
 		byName: map[string]*anypb.Any{"boxes/head": head, "boxes/near/0000": points, "boxes/near/0001": points},
@@ -82,21 +84,21 @@
 	}
 }
 
-// TestGoldenChanges does so for the incremental variant.
-func TestGoldenChanges(t *testing.T) {
-	g := &goldenStream[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]{}
-	c := newDeltaStream(g, goldenNode())
-	sendRequests(t, c)
+// TestGoldenIncremental compares the requests of the incremental variant with bytes written by an earlier build, and decodes a response.
+func TestGoldenIncremental(t *testing.T) {
+	grpcStream := &goldenStream[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]{}
+	delta := newDeltaStream(grpcStream, goldenNode())
+	sendRequests(t, delta)
 	for i, name := range goldenRequests {
-		goldentest.CheckProto(t, "delta-request-"+name+".pb", g.sent[i])
+		goldentest.CheckProto(t, "delta-request-"+name+".pb", grpcStream.sent[i])
 	}
 	points := newAny(t, snapshot.RingPartType, &wire.Part{Kind: &wire.Part_Points{Points: &wire.Points{Circle: wire.Circle_WHOLE}}})
-	g.response = &discovery.DeltaDiscoveryResponse{
+	grpcStream.response = &discovery.DeltaDiscoveryResponse{
 		TypeUrl: string(snapshot.RingPartType), SystemVersionInfo: "17.42", Nonce: "3",
 		Resources: []*discovery.Resource{{Name: "boxes/whole/0001", Version: "0123456789abcdef", Resource: points}}, RemovedResources: []string{"boxes/whole/0002"},
 	}
-	goldentest.CheckProto(t, "delta-response.pb", g.response)
-	r, err := c.recv()
+	goldentest.CheckProto(t, "delta-response.pb", grpcStream.response)
+	r, err := delta.recv()
 	want := &response{
 		typeURL: snapshot.RingPartType, version: "17.42", nonce: "3", resources: []*anypb.Any{points}, byName: map[string]*anypb.Any{"boxes/whole/0001": points},
 		removed: []string{"boxes/whole/0002"},
--- a/internal/controlplane/server/badclients_test.go
+++ b/internal/controlplane/server/badclients_test.go
@@ -22,8 +22,8 @@
 	"mintspring/internal/testbed/fakeproxy"
 )
 
-// unknownPart requests a ring part that does not exist.
-func unknownPart() *discovery.DiscoveryRequest {
+// unknownPartRequest returns a request for a ring part that does not exist.
+func unknownPartRequest() *discovery.DiscoveryRequest {
 	return &discovery.DiscoveryRequest{TypeUrl: string(snapshot.RingPartType), ResourceNames: []string{"none"}}
 }
 
@@ -33,14 +33,14 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.Send(r); err != nil && !errors.Is(err, io.EOF) { // io.EOF: Recv returns the error
+	if err := s.Send(r); err != nil && !errors.Is(err, io.EOF) { // after io.EOF, Recv returns the actual error
 		return nil, err
 	}
 	return s, nil
 }
 
-// sendNoise sends what is no HTTP/2 and keeps the connection open until the test ends.
-func sendNoise(t *testing.T, addr string) {
+// sendInvalidHTTP2 sends bytes that are not HTTP/2 and keeps the connection open until the test ends.
+func sendInvalidHTTP2(t *testing.T, addr string) {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -49,10 +49,11 @@
 	t.Cleanup(func() {
 		_ = conn.Close() // the server may have closed it
 	})
-	_, _ = fmt.Fprintf(conn, "GET / HTTP/1.1\r\n\r\n\x00\x01\x02%s", strings.Repeat("noise", 100)) // the server may refuse the rest
+	// The write may fail, since the server may have closed the connection.
+	_, _ = fmt.Fprintf(conn, "GET / HTTP/1.1\r\n\r\n\x00\x01\x02%s", strings.Repeat("noise", 100))
 }
 
-// requestWithoutReading requests the entire ring and never reads.
+// requestWithoutReading requests the entire ring and never reads the response.
 func requestWithoutReading(t *testing.T, addr string) {
 	t.Helper()
 	link := fakeproxy.NewLink()
@@ -71,7 +72,7 @@
 	}
 }
 
-// holdStreams opens streams, eight on each connection, and holds them until the context ends. It returns how many were rejected.
+// holdStreams opens streams, eight per connection, which stay open until the context ends. It returns the number of rejected streams.
 func holdStreams(ctx context.Context, t *testing.T, addr string, count int) (rejected int) {
 	t.Helper()
 	const perConnection = 8
@@ -89,10 +90,10 @@
 	return rejected
 }
 
-// holdStream opens a stream and acknowledges its first response: otherwise it would time out, on a slow machine before all streams are
-// open.
+// holdStream opens a stream and acknowledges the first response. Without the acknowledgement the stream would time out, on a slow machine
+// before all streams are open.
 func holdStream(ctx context.Context, conn *grpc.ClientConn) error {
-	s, err := openStream(ctx, conn, unknownPart())
+	s, err := openStream(ctx, conn, unknownPartRequest())
 	if err != nil {
 		return err
 	}
@@ -100,67 +101,68 @@
 	if err != nil {
 		return err
 	}
-	ack := unknownPart()
+	ack := unknownPartRequest()
 	ack.VersionInfo, ack.ResponseNonce = response.GetVersionInfo(), response.GetNonce()
 	return s.Send(ack)
 }
 
-// floodStreams opens many streams at once, 200 on each connection, and returns how many were tried when all have ended.
+// floodStreams opens many streams concurrently, 200 per connection, and calls during meanwhile. When all streams have ended, it returns
+// the number of attempts.
 func floodStreams(ctx context.Context, t *testing.T, addr string, count int, during func()) int64 {
 	t.Helper()
 	const perConnection = 200
 	var tried atomic.Int64
-	var flood sync.WaitGroup
+	var clients sync.WaitGroup
 	for range count / perConnection {
 		conn := dial(t, addr, nil)
 		for range perConnection {
-			flood.Go(func() {
+			clients.Go(func() {
 				defer tried.Add(1)
 				ctx, cancel := context.WithTimeout(ctx, 300*time.Millisecond)
 				defer cancel()
-				s, err := openStream(ctx, conn, unknownPart())
-				for err == nil { // held until its time is over
+				s, err := openStream(ctx, conn, unknownPartRequest())
+				for err == nil { // keep the stream open until its timeout
 					_, err = s.Recv()
 				}
 			})
 		}
 	}
 	during()
-	flood.Wait()
+	clients.Wait()
 	return tried.Load()
 }
 
-// TestBadClients checks that clients which send noise, open streams without end, or never read cost the others nothing, and leave
-// nothing behind.
+// TestBadClients checks that clients that send invalid data, open too many streams, or never read do not take a healthy proxy's lease,
+// and that their streams end.
 func TestBadClients(t *testing.T) {
-	// The lease is ten default ones long: how soon a busy machine renews one is measured elsewhere; here that of the good proxy must
-	// not end because bad clients take its turn.
-	w := newTestbed(t, 2000, nil, func(config *Config) { config.StreamLimits.LeaseMs *= 10 })
-	good := w.startProxy(w.clientConfig("good", "a"))
-	_, before := good.Counts()
+	// The lease is ten times that of testConfig, so that scheduling delays on a busy machine do not end it. It ends only if the bad
+	// clients keep the server from renewing it.
+	bed := newTestbed(t, 2000, nil, func(config *Config) { config.StreamLimits.LeaseMs *= 10 })
+	healthy := bed.startProxy(bed.clientConfig("good", "a"))
+	_, before := healthy.Counts()
 	for range 20 {
-		sendNoise(t, w.addr)
+		sendInvalidHTTP2(t, bed.addr)
 	}
-	requestWithoutReading(t, w.addr)
+	requestWithoutReading(t, bed.addr)
 
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	held, release := context.WithCancel(ctx)
-	defer release()
-	rejected := holdStreams(held, t, w.addr, 240)
-	if rejected < 40 || rejected > 42 { // the good proxy has one stream, and the client that never reads may still have one
+	heldCtx, releaseStreams := context.WithCancel(ctx)
+	defer releaseStreams()
+	rejected := holdStreams(heldCtx, t, bed.addr, 240)
+	if rejected < 40 || rejected > 42 { // the healthy proxy has one stream, and the client that never reads may still have one
 		t.Errorf("%d of 240 streams were rejected", rejected)
 	}
-	release()
+	releaseStreams()
 
-	tried := floodStreams(ctx, t, w.addr, 10_000, func() {
-		w.waitFor("the end of a stream that is not read", func() bool { return w.server.Counters().StreamsTimedOut.Load() > 0 })
+	tried := floodStreams(ctx, t, bed.addr, 10_000, func() {
+		bed.waitFor("a timeout of the stream that is not read", func() bool { return bed.server.Counters().StreamsTimedOut.Load() > 0 })
 	})
 	if tried != 10_000 {
 		t.Errorf("%d streams were tried", tried)
 	}
 
-	conn := dial(t, w.addr, nil)
+	conn := dial(t, bed.addr, nil)
 	for _, r := range []*discovery.DiscoveryRequest{
 		{TypeUrl: "type.googleapis.com/other"},
 		{TypeUrl: string(snapshot.EndpointType), ResourceNames: []string{strings.Repeat("x", 1<<17)}},
@@ -174,8 +176,8 @@
 		}
 	}
 	cancel()
-	if sent, after := good.Counts(); after-before > sent/10 || !usable(good.Client) {
-		t.Errorf("a good proxy found no usable snapshot %d times in %d", after-before, sent)
+	if sent, after := healthy.Counts(); after-before > sent/10 || !usable(healthy.Client) {
+		t.Errorf("the healthy proxy found no usable snapshot %d times, and sent %d requests", after-before, sent)
 	}
-	w.waitFor("the end of the bad clients' streams", func() bool { return len(w.server.streamSlots) <= 1 })
+	bed.waitFor("the end of the bad clients' streams", func() bool { return len(bed.server.streamSlots) <= 1 })
 }
--- a/internal/controlplane/server/golden_test.go
+++ b/internal/controlplane/server/golden_test.go
@@ -21,7 +21,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// goldenStream stands for a gRPC stream of any of the services: it hands the request out once and notes what is sent.
+// goldenStream is a fake gRPC stream of any of the services. It returns the request once and records the sent message.
 type goldenStream[Req, Resp any] struct {
 	grpc.ServerStream
 	request *Req
@@ -54,24 +54,24 @@
 	}
 }
 
-// TestGoldenResponses compares what is sent on streams of both forms with bytes written by an earlier build.
+// TestGoldenResponses compares the responses of both variants with bytes written by an earlier build.
 func TestGoldenResponses(t *testing.T) {
 	s := &Server{}
 	for name, r := range goldenResponses() {
-		w := &goldenStream[discovery.DiscoveryRequest, discovery.DiscoveryResponse]{}
-		if err := (sotwStream{w, s}).send(r); err != nil {
+		sotw := &goldenStream[discovery.DiscoveryRequest, discovery.DiscoveryResponse]{}
+		if err := (sotwStream{sotw, s}).send(r); err != nil {
 			t.Fatal(err)
 		}
-		goldentest.CheckProto(t, "response-"+name+".pb", w.sent)
-		c := &goldenStream[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]{}
-		if err := (deltaStream{c, s}).send(r); err != nil {
+		goldentest.CheckProto(t, "response-"+name+".pb", sotw.sent)
+		delta := &goldenStream[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]{}
+		if err := (deltaStream{delta, s}).send(r); err != nil {
 			t.Fatal(err)
 		}
-		goldentest.CheckProto(t, "delta-response-"+name+".pb", c.sent)
+		goldentest.CheckProto(t, "delta-response-"+name+".pb", delta.sent)
 	}
 }
 
-// TestGoldenRequests reads requests of both forms that an earlier build wrote.
+// TestGoldenRequests decodes requests of both variants that an earlier build wrote.
 func TestGoldenRequests(t *testing.T) {
 	node := &core.Node{Id: "p1", Cluster: "boxes", Locality: &core.Locality{Zone: "b"}, UserAgentName: "mintspring-follow"}
 	read := func(name string, m proto.Message) {
@@ -80,50 +80,50 @@
 			t.Fatal(err)
 		}
 	}
-	w := &goldenStream[discovery.DiscoveryRequest, discovery.DiscoveryResponse]{request: &discovery.DiscoveryRequest{}}
-	read("request", w.request)
-	r, n, err := sotwStream{w, nil}.recv()
+	sotw := &goldenStream[discovery.DiscoveryRequest, discovery.DiscoveryResponse]{request: &discovery.DiscoveryRequest{}}
+	read("request", sotw.request)
+	r, sentBy, err := sotwStream{sotw, nil}.recv()
 	if want := (&stream.Request{TypeURL: snapshot.RingPartType, ResourceNames: []string{"x", "y"}, Version: "17.42", ResponseNonce: "3", ErrorDetail: "3: no part of a ring"}); err != nil ||
-		!reflect.DeepEqual(r, want) || !proto.Equal(n, node) {
-		t.Errorf("read as %+v of %v (%v), want %+v", r, n, err, want)
+		!reflect.DeepEqual(r, want) || !proto.Equal(sentBy, node) {
+		t.Errorf("read as %+v of %v (%v), want %+v", r, sentBy, err, want)
 	}
-	c := &goldenStream[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]{request: &discovery.DeltaDiscoveryRequest{}}
-	read("delta-request", c.request)
-	r, n, err = deltaStream{c, nil}.recv()
+	delta := &goldenStream[discovery.DeltaDiscoveryRequest, discovery.DeltaDiscoveryResponse]{request: &discovery.DeltaDiscoveryRequest{}}
+	read("delta-request", delta.request)
+	r, sentBy, err = deltaStream{delta, nil}.recv()
 	if want := (&stream.Request{TypeURL: snapshot.RingPartType, Subscribe: []string{"x"}, Unsubscribe: []string{"y"}, InitialVersions: map[string]string{
 		"boxes/head":       "17.42",
 		"boxes/whole/0000": "0123456789abcdef",
-	}, ResponseNonce: "3", ErrorDetail: "3: no part of a ring"}); err != nil || !reflect.DeepEqual(r, want) || !proto.Equal(n, node) {
-		t.Errorf("read as %+v of %v (%v), want %+v", r, n, err, want)
+	}, ResponseNonce: "3", ErrorDetail: "3: no part of a ring"}); err != nil || !reflect.DeepEqual(r, want) || !proto.Equal(sentBy, node) {
+		t.Errorf("read as %+v of %v (%v), want %+v", r, sentBy, err, want)
 	}
 }
 
-// goldenController records the load reports it is given.
-type goldenController struct {
+// recordingController records the load reports that it receives.
+type recordingController struct {
 	Controller
 	proxy   string
 	reports map[string]loadreport.Report
 }
 
-func (h *goldenController) ZoneIndex(string) int { return 0 }
+func (c *recordingController) ZoneIndex(string) int { return 0 }
 
-func (h *goldenController) AddLoadReports(proxy string, reports map[string]loadreport.Report) {
-	h.proxy, h.reports = proxy, reports
+func (c *recordingController) AddLoadReports(proxy string, reports map[string]loadreport.Report) {
+	c.proxy, c.reports = proxy, reports
 }
 
-// TestGoldenLoadReport reads a load report that an earlier build wrote, and compares the load reports that the server requests.
+// TestGoldenLoadReport decodes a load report that an earlier build wrote, and compares the response that requests load reports.
 func TestGoldenLoadReport(t *testing.T) {
-	b := goldentest.Read(t, "load-stats-request.pb")
-	g := &goldenStream[lrs.LoadStatsRequest, lrs.LoadStatsResponse]{request: &lrs.LoadStatsRequest{}}
-	if err := proto.Unmarshal(b, g.request); err != nil {
+	encoded := goldentest.Read(t, "load-stats-request.pb")
+	grpcStream := &goldenStream[lrs.LoadStatsRequest, lrs.LoadStatsResponse]{request: &lrs.LoadStatsRequest{}}
+	if err := proto.Unmarshal(encoded, grpcStream.request); err != nil {
 		t.Fatal(err)
 	}
-	controller := &goldenController{}
+	controller := &recordingController{}
 	s := New(logrus.New(), controller, Config{MaxStreams: 1, MaxConnections: 1, MaxStreamsPerConnection: 1, MaxRequestBytes: 1 << 20, LoadReportInterval: 1500 * time.Millisecond}, nil)
-	if err := (loadReportService{server: s}).StreamLoadStats(g); err != nil {
+	if err := (loadReportService{server: s}).StreamLoadStats(grpcStream); err != nil {
 		t.Fatal(err)
 	}
-	goldentest.CheckProto(t, "load-stats-response.pb", g.sent)
+	goldentest.CheckProto(t, "load-stats-response.pb", grpcStream.sent)
 	if want := map[string]loadreport.Report{"127.0.0.1:1000": {Utilization: 0.5, QueueLength: 2, HitRate: 0.75, Responses: 8}}; controller.proxy != "p1" || !reflect.DeepEqual(controller.reports, want) {
 		t.Errorf("%q reports %v, want %v", controller.proxy, controller.reports, want)
 	}
--- a/internal/controlplane/server/heartbeat_test.go
+++ b/internal/controlplane/server/heartbeat_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// Endpoints with a TTL are renewed in time, in both variants of the protocol, and the proxy takes the renewals for what they are.
+// TestHeartbeatsReachWeightedProxies checks in both variants that heartbeats renew endpoints with a TTL, and that the proxy accepts them
+// without replacing its endpoints.
 func TestHeartbeatsReachWeightedProxies(t *testing.T) {
-	const observed = 400 * time.Millisecond
+	const observationPeriod = 400 * time.Millisecond
 	bed := newTestbed(t, 4, nil, func(config *Config) { config.StreamLimits.TTLMs = 150 })
 	for _, incremental := range []bool{false, true} {
 		config := bed.clientConfig("p", "a")
@@ -18,9 +19,9 @@
 			return bed.server.Counters().Responses.Load() - bed.server.Counters().Leases.Load()
 		}
 		before := heartbeats()
-		time.Sleep(observed)
+		time.Sleep(observationPeriod)
 		if n := heartbeats() - before; n < 3 {
-			t.Errorf("incremental %v: %d renewals in %v", incremental, n, observed)
+			t.Errorf("incremental %v: %d renewals in %v", incremental, n, observationPeriod)
 		}
 		if proxy.StreamsOpened() != 1 || proxy.ResponsesRejected() > 0 || len(proxy.Endpoints().Endpoints) != 2 {
 			t.Errorf("incremental %v: %d streams, %d rejections, %v", incremental, proxy.StreamsOpened(), proxy.ResponsesRejected(), proxy.Endpoints())
--- a/internal/controlplane/server/server_test.go
+++ b/internal/controlplane/server/server_test.go
@@ -20,56 +20,56 @@
 	"mintspring/internal/testbed/faultrounds"
 )
 
-// TestDrainOverAStalledStream has two proxies, one of them on a stalled link, in both variants. Neither begins a request at a draining
-// server after 500 ms, the one that is not stalled does not after a few, and when the link is back so is the proxy, with the newest
-// snapshot.
+// TestDrainOverAStalledStream checks that a proxy on a stalled link stops sending to a draining server within 500 ms, that a proxy on a
+// healthy link stops within 200 ms, and that the stalled proxy gets the newest snapshot once its link works again. It runs with each
+// variant on the stalled link.
 func TestDrainOverAStalledStream(t *testing.T) {
 	for _, incremental := range []bool{false, true} {
 		delay := faultrounds.MeasureSchedulingDelay()
-		w := newTestbed(t, 6, nil)
-		a, b := w.clientConfig("a", "a"), w.clientConfig("b", "b")
-		a.Incremental, b.Incremental = incremental, !incremental
-		good, stalled := w.startProxy(a), w.startProxy(b)
+		bed := newTestbed(t, 6, nil)
+		configA, configB := bed.clientConfig("a", "a"), bed.clientConfig("b", "b")
+		configA.Incremental, configB.Incremental = incremental, !incremental
+		healthy, stalled := bed.startProxy(configA), bed.startProxy(configB)
 		stalled.Link.SetStalled(true)
-		known := w.announce(catalogEntry(1, "terminating"))
+		appliedAt := bed.publish(endpointJSON(1, "terminating"))
 		time.Sleep(700 * time.Millisecond)
-		if d := good.LastSent("s1").Sub(known); d > 200*time.Millisecond {
-			t.Errorf("the other proxy still sends there after %v", d)
+		if d := healthy.LastSent("s1").Sub(appliedAt); d > 200*time.Millisecond {
+			t.Errorf("the healthy proxy sent a request to the draining server after %v", d)
 		}
-		if d := stalled.LastSent("s1").Sub(known); d > 500*time.Millisecond {
-			t.Errorf("the stalled proxy still sends there after %v", d)
+		if d := stalled.LastSent("s1").Sub(appliedAt); d > 500*time.Millisecond {
+			t.Errorf("the stalled proxy sent a request to the draining server after %v", d)
 		}
-		if !usable(good.Client) || usable(stalled.Client) {
-			t.Errorf("leases: the other's %v, the stalled one's %v", usable(good.Client), usable(stalled.Client))
+		if !usable(healthy.Client) || usable(stalled.Client) {
+			t.Errorf("usable snapshot: healthy proxy %v, stalled proxy %v", usable(healthy.Client), usable(stalled.Client))
 		}
 		stalled.Link.SetStalled(false)
-		w.waitFor("the stalled proxy", func() bool { return usable(stalled.Client) })
+		bed.waitFor("the stalled proxy", func() bool { return usable(stalled.Client) })
 		before := stalled.StreamsOpened()
 		stalled.Link.SetStalled(true)
-		w.announce(catalogEntry(1, nodediscovery.PhaseTerminated))
+		bed.publish(endpointJSON(1, nodediscovery.PhaseTerminated))
 		time.Sleep(100 * time.Millisecond)
 		stalled.Link.Break()
 		stalled.Link.SetStalled(false)
-		w.waitFor("the disconnected proxy", func() bool { return usable(stalled.Client) && stalled.StreamsOpened() > before })
-		for zone, p := range []*fakeproxy.Proxy{good, stalled} {
-			w.waitFor("the newest snapshot", func() (newest bool) {
+		bed.waitFor("the disconnected proxy", func() bool { return usable(stalled.Client) && stalled.StreamsOpened() > before })
+		for zone, p := range []*fakeproxy.Proxy{healthy, stalled} {
+			bed.waitFor("the newest snapshot", func() (newest bool) {
 				p.WithCache(func(cache *ringcache.Cache, _ bool) {
-					newest = cache.Digest() == w.controller.Snapshot(zone).Digest && len(cache.Servers()) == 5
+					newest = cache.Digest() == bed.controller.Snapshot(zone).Digest && len(cache.Servers()) == 5
 				})
 				return newest
 			})
 		}
-		checkMostlyUsable(t, good, delay())
+		checkMostlyUsable(t, healthy, delay())
 	}
 }
 
-// TestRejectedResponse checks that a proxy which rejects a response keeps what it holds, is logged, gets the next snapshot, and is not
-// sent the same again and again.
+// TestRejectedResponse checks that a rejection is logged, that the rejected response is not sent again, and that the proxy gets the next
+// snapshot.
 func TestRejectedResponse(t *testing.T) {
-	w := newTestbed(t, 4, nil)
+	bed := newTestbed(t, 4, nil)
 	var mu sync.Mutex
 	reject := false
-	config := w.clientConfig("p", "a")
+	config := bed.clientConfig("p", "a")
 	config.Incremental = true
 	config.Validate = func(typeURL snapshot.TypeURL) error {
 		mu.Lock()
@@ -79,21 +79,21 @@
 		}
 		return nil
 	}
-	p := w.startProxy(config)
+	p := bed.startProxy(config)
 	mu.Lock()
 	reject = true
 	mu.Unlock()
-	w.announce(catalogEntry(0, "terminating"))
-	w.waitFor("the rejection", func() bool { return strings.Contains(w.log.String(), "not now") })
+	bed.publish(endpointJSON(0, "terminating"))
+	bed.waitFor("the rejection", func() bool { return strings.Contains(bed.log.String(), "not now") })
 	time.Sleep(100 * time.Millisecond)
 	if n := p.ResponsesRejected(); n != 1 {
-		t.Errorf("%d responses rejected, where one was sent", n)
+		t.Errorf("%d responses rejected, want 1", n)
 	}
 	mu.Lock()
 	reject = false
 	mu.Unlock()
-	w.announce(catalogEntry(1, "terminating"))
-	w.waitFor("the next snapshot", func() bool {
+	bed.publish(endpointJSON(1, "terminating"))
+	bed.waitFor("the next snapshot", func() bool {
 		ready := 0
 		p.WithCache(func(cache *ringcache.Cache, usable bool) {
 			for _, server := range cache.Servers() {
@@ -106,11 +106,12 @@
 	})
 }
 
-// maxSchedulingDelayMs is the delay of the machine's scheduler up to which the leases of a proxy with a good link have to hold.
+// maxSchedulingDelayMs is the scheduling delay below which the leases of a proxy with a healthy link must hold.
 const maxSchedulingDelayMs = 100
 
-// checkMostlyUsable checks that a proxy with a good link found a usable snapshot nearly always; one that waited for another's stalled
-// link would find none half of the time. Where the machine delays processes for a good part of a lease, leases end on good links too.
+// checkMostlyUsable checks that a proxy with a healthy link nearly always had a usable snapshot. If the stalled link of another proxy
+// delayed it, it would have none half of the time. A scheduling delay of a quarter of a lease or more can end leases on healthy links
+// too, and is only logged.
 func checkMostlyUsable(t *testing.T, p *fakeproxy.Proxy, delayMs float64) {
 	t.Helper()
 	sent, unusable := p.Counts()
@@ -121,10 +122,10 @@
 	if delayMs >= maxSchedulingDelayMs {
 		report = t.Logf
 	}
-	report("the proxy with a good link found no usable snapshot %d times in %d, the machine %.0f ms late", unusable, sent, delayMs)
+	report("the proxy with a healthy link found no usable snapshot %d times, and sent %d requests; scheduling delay %.0f ms", unusable, sent, delayMs)
 }
 
-// loadStats is a load report of four servers, of which one has another utilization; an increment is added to all of them.
+// loadStats returns a load report on four servers. Server 1 has the given utilization, the others 0.5; the increment is added to all.
 func loadStats(t *testing.T, proxy string, utilization, increment float64) *lrs.LoadStatsRequest {
 	t.Helper()
 	var endpoints []string
@@ -145,7 +146,7 @@
 	return message
 }
 
-// reportLoads sends three load reports of a proxy.
+// reportLoads sends three load reports on behalf of a proxy, with slightly increasing utilizations.
 func (b *testbed) reportLoads(proxy string, utilization float64) {
 	b.t.Helper()
 	s, err := lrs.NewLoadReportingServiceClient(dial(b.t, b.addr, nil)).StreamLoadStats(context.Background())
@@ -157,37 +158,38 @@
 			b.t.Fatal(err)
 		}
 	}
-	r, err := s.Recv()
-	if err != nil || !r.SendAllClusters || r.LoadReportingInterval.AsDuration() != testConfig.LoadReportInterval {
-		b.t.Errorf("%v, %v", r, err)
+	response, err := s.Recv()
+	if err != nil || !response.SendAllClusters || response.LoadReportingInterval.AsDuration() != testConfig.LoadReportInterval {
+		b.t.Errorf("%v, %v", response, err)
 	}
 }
 
-// TestLoadReports checks that the load reports of two proxies adjust points, and those of one do not.
+// TestLoadReports checks that points are adjusted by the load reports of two proxies, the required minimum, but not by those of one.
 func TestLoadReports(t *testing.T) {
-	w := newTestbed(t, 4, nil)
-	before := w.controller.Snapshot(0).Digest
-	w.reportLoads("p1", 0.95)
+	bed := newTestbed(t, 4, nil)
+	before := bed.controller.Snapshot(0).Digest
+	bed.reportLoads("p1", 0.95)
 	time.Sleep(600 * time.Millisecond)
-	if w.controller.Snapshot(0).Digest != before {
+	if bed.controller.Snapshot(0).Digest != before {
 		t.Error("the reports of one proxy have adjusted points")
 	}
-	w.reportLoads("p2", 0.93)
-	w.waitFor("an adjustment", func() bool { return w.controller.Snapshot(0).Digest != before })
+	bed.reportLoads("p2", 0.93)
+	bed.waitFor("an adjustment", func() bool { return bed.controller.Snapshot(0).Digest != before })
 }
 
-// TestDiscoveryIsLost checks that leases go on while discovery is unavailable, and say how old the endpoint list is.
+// TestDiscoveryIsLost checks that leases are still granted while discovery is unavailable, and that they contain the age of the endpoint
+// list.
 func TestDiscoveryIsLost(t *testing.T) {
-	w := newTestbed(t, 3, nil)
-	p := w.startProxy(w.clientConfig("p", "a"))
-	before := w.controller.Snapshot(0)
-	w.catalog.Close()
-	w.waitFor("the age of the list", func() bool {
+	bed := newTestbed(t, 3, nil)
+	p := bed.startProxy(bed.clientConfig("p", "a"))
+	before := bed.controller.Snapshot(0)
+	bed.discovery.Close()
+	bed.waitFor("the age of the list", func() bool {
 		age := 0.0
 		p.WithCache(func(cache *ringcache.Cache, _ bool) { age = cache.ListAgeMs() })
 		return age > 600
 	})
-	if !usable(p.Client) || w.controller.Snapshot(0) != before || !strings.Contains(w.log.String(), "keeping the last endpoint list") {
-		t.Errorf("usable %v; %s", usable(p.Client), w.log)
+	if !usable(p.Client) || bed.controller.Snapshot(0) != before || !strings.Contains(bed.log.String(), "keeping the last endpoint list") {
+		t.Errorf("usable %v; %s", usable(p.Client), bed.log)
 	}
 }
--- a/internal/controlplane/stream/model_test.go
+++ b/internal/controlplane/stream/model_test.go
@@ -10,27 +10,27 @@
 	"mintspring/internal/controlplane/snapshot"
 )
 
-// resourceNames are names that a modelled proxy subscribes to; one of them never exists.
+// resourceNames are names that a model proxy subscribes to; "none" never exists.
 var resourceNames = []string{"boxes", "boxes/head", "boxes/servers/0000", "boxes/servers/0002", "boxes/whole/0000", "boxes/whole/0001", "none"}
 
-// modelTypes are the types that a modelled proxy subscribes to.
+// modelTypes are the types that a model proxy subscribes to.
 var modelTypes = []snapshot.TypeURL{snapshot.ClusterType, snapshot.EndpointType, snapshot.RingPartType}
 
-// modelSubscription is what a modelled proxy wants and holds of one type.
+// modelSubscription is the state of one resource type at a model proxy: what it subscribes to and what it holds.
 type modelSubscription struct {
 	started  bool
 	wildcard bool
 	names    map[string]bool
 	held     map[string]string // version by name
 	nonce    string            // of the last response
-	pending  *Response         // not acknowledged yet
+	pending  *Response         // response that is not acknowledged yet
 	rejected string            // version of the set rejected last
 }
 
-func (m *modelSubscription) wants(name string) bool { return m.wildcard || m.names[name] }
+func (m *modelSubscription) includes(name string) bool { return m.wildcard || m.names[name] }
 
-func (m *modelSubscription) dropUnwanted() {
-	maps.DeleteFunc(m.held, func(name, _ string) bool { return !m.wants(name) })
+func (m *modelSubscription) dropUnsubscribed() {
+	maps.DeleteFunc(m.held, func(name, _ string) bool { return !m.includes(name) })
 }
 
 // modelProxy is a proxy that subscribes, acknowledges and rejects at random, and checks each response.
@@ -49,16 +49,16 @@
 	return p
 }
 
-// subscribe changes the names that the proxy subscribes to; none means all, where that is possible.
+// subscribe changes the names that the proxy subscribes to. An empty list subscribes to all resources, if the type has a wildcard.
 func (p *modelProxy) subscribe(typeURL snapshot.TypeURL, names []string) {
 	if p.variant == StateOfTheWorld {
-		p.subscribeWorld(typeURL, names)
+		p.subscribeSotw(typeURL, names)
 	} else {
 		p.subscribeDelta(typeURL, names)
 	}
 }
 
-func (p *modelProxy) subscribeWorld(typeURL snapshot.TypeURL, names []string) {
+func (p *modelProxy) subscribeSotw(typeURL snapshot.TypeURL, names []string) {
 	sub := p.types[typeURL]
 	r := &Request{TypeURL: typeURL, ResponseNonce: sub.nonce, ResourceNames: names}
 	if len(names) == 0 {
@@ -66,9 +66,9 @@
 	}
 	sub.wildcard = len(names) == 0
 	sub.setNames(names)
-	sub.dropUnwanted()
-	handle(p.t, p.stream, r)
-	sub.pending = nil // with its nonce the request has acknowledged it
+	sub.dropUnsubscribed()
+	mustHandle(p.t, p.stream, r)
+	sub.pending = nil // the nonce in the request acknowledges the response
 }
 
 func (p *modelProxy) subscribeDelta(typeURL snapshot.TypeURL, names []string) {
@@ -83,8 +83,8 @@
 		sub.wildcard = len(names) == 0 && typeURL != snapshot.EndpointType
 	}
 	sub.setNames(names)
-	sub.dropUnwanted()
-	handle(p.t, p.stream, r)
+	sub.dropUnsubscribed()
+	mustHandle(p.t, p.stream, r)
 }
 
 func (m *modelSubscription) setNames(names []string) {
@@ -95,7 +95,7 @@
 	}
 }
 
-// receive takes all responses that are due.
+// receive receives and checks all responses that are due.
 func (p *modelProxy) receive() {
 	for {
 		r, due := p.stream.Next(0)
@@ -104,10 +104,10 @@
 		}
 		sub := p.types[r.TypeURL]
 		if sub.pending != nil {
-			p.t.Fatalf("a second response of %s while the first is not acknowledged", r.TypeURL)
+			p.t.Fatalf("a second response of %s before the first was acknowledged", r.TypeURL)
 		}
 		for _, resource := range r.Resources {
-			if !sub.wants(resource.Name) {
+			if !sub.includes(resource.Name) {
 				p.t.Fatalf("%s %s was not subscribed to", r.TypeURL, resource.Name)
 			}
 		}
@@ -115,8 +115,8 @@
 	}
 }
 
-// answer acknowledges or rejects the last response of a type.
-func (p *modelProxy) answer(typeURL snapshot.TypeURL, reject bool) {
+// respond acknowledges or rejects the last response of a type.
+func (p *modelProxy) respond(typeURL snapshot.TypeURL, reject bool) {
 	sub := p.types[typeURL]
 	response := sub.pending
 	if response == nil {
@@ -136,7 +136,7 @@
 		sub.apply(p.variant, response)
 	}
 	sub.pending = nil
-	handle(p.t, p.stream, r)
+	mustHandle(p.t, p.stream, r)
 }
 
 func (m *modelSubscription) apply(variant Variant, response *Response) {
@@ -144,7 +144,7 @@
 		clear(m.held)
 	}
 	for _, resource := range response.Resources {
-		if m.wants(resource.Name) {
+		if m.includes(resource.Name) {
 			m.held[resource.Name] = resource.Version
 		}
 	}
@@ -153,8 +153,8 @@
 	}
 }
 
-// check compares what the proxy holds with what it wants of a snapshot.
-func (p *modelProxy) check(newest *snapshot.Snapshot) {
+// checkHeld checks that the proxy holds the subscribed resources of a snapshot, except in sets that it rejected.
+func (p *modelProxy) checkHeld(newest *snapshot.Snapshot) {
 	for _, typeURL := range modelTypes {
 		sub, set := p.types[typeURL], newest.Resources(typeURL)
 		if !sub.started || sub.rejected == set.Version {
@@ -162,7 +162,7 @@
 		}
 		want := map[string]string{}
 		for _, resource := range set.Items {
-			if sub.wants(resource.Name) {
+			if sub.includes(resource.Name) {
 				want[resource.Name] = resource.Version
 			}
 		}
@@ -172,10 +172,10 @@
 	}
 }
 
-// TestProxyEndsWithWhatItWants checks, for whatever a proxy subscribes to and rejects and however snapshots follow one another, that no
-// response has what is not wanted, that none is sent before the last one of its type is acknowledged, and that the proxy ends with
-// what it wants of the newest snapshot, unless it has rejected that.
-func TestProxyEndsWithWhatItWants(t *testing.T) {
+// TestProxyConverges checks, for random subscriptions, rejections and snapshots, that responses contain only subscribed resources, that
+// no response is sent before the previous one of its type is acknowledged, and that the proxy finally holds the subscribed resources of
+// the newest snapshot, unless it rejected that snapshot.
+func TestProxyConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		variant := Variant(rapid.IntRange(0, 1).Draw(t, "variant"))
 		maker := &snapshotMaker{}
@@ -187,7 +187,7 @@
 			sub := p.types[typeURL]
 			switch rapid.IntRange(0, 5).Draw(t, "action") {
 			case 0:
-				if variant == Incremental || sub.pending == nil { // in the other variant it would reject what is on its way
+				if variant == Incremental || sub.pending == nil { // a state-of-the-world request would acknowledge the pending response unapplied
 					p.subscribe(typeURL, rapid.SliceOfNDistinct(rapid.SampledFrom(resourceNames), 0, 3, rapid.ID[string]).Draw(t, "names"))
 				}
 			case 1:
@@ -196,10 +196,10 @@
 			case 2:
 				s.SetSnapshot(maker.next(t, servers, rapid.Float64Range(0, 0.9).Draw(t, "adjusted")))
 			case 3:
-				p.answer(typeURL, rapid.Bool().Draw(t, "reject"))
+				p.respond(typeURL, rapid.Bool().Draw(t, "reject"))
 			case 4:
 				if sub.started {
-					handle(t, s, &Request{TypeURL: typeURL, ResponseNonce: "stale"})
+					mustHandle(t, s, &Request{TypeURL: typeURL, ResponseNonce: "stale"})
 				}
 			}
 			p.receive()
@@ -209,9 +209,9 @@
 		for range 4 {
 			p.receive()
 			for _, typeURL := range modelTypes {
-				p.answer(typeURL, false)
+				p.respond(typeURL, false)
 			}
 		}
-		p.check(newest)
+		p.checkHeld(newest)
 	})
 }
--- a/internal/controlplane/stream/stream_test.go
+++ b/internal/controlplane/stream/stream_test.go
@@ -23,19 +23,20 @@
 
 func (testSource) ListAgeMs() float64 { return 7 }
 
-// fatal is what helpers of tests and of rapid's checks need.
-type fatal interface {
+// testingT is the part of *testing.T and *rapid.T that test helpers use.
+type testingT interface {
 	Helper()
 	Fatal(args ...any)
 }
 
-// snapshotMaker makes snapshots of a number of servers, whose ring points are adjusted.
+// snapshotMaker builds successive snapshots of one zone.
 type snapshotMaker struct {
 	builder  snapshot.Builder
 	sequence uint64
 }
 
-func (m *snapshotMaker) next(t fatal, servers int, adjusted float64) *snapshot.Snapshot {
+// next returns the next snapshot, with a number of servers whose ring points are moved by the adjustment, a fraction of their distance.
+func (m *snapshotMaker) next(t testingT, servers int, adjusted float64) *snapshot.Snapshot {
 	t.Helper()
 	m.sequence++
 	input := &snapshot.Input{Cluster: "boxes", Zones: []string{"a"}, Zone: "a"}
@@ -56,140 +57,140 @@
 	return built
 }
 
-// handle lets a stream handle a request that it has to accept.
-func handle(t fatal, s *Stream, r *Request) {
+// mustHandle passes a request to a stream, and fails the test if the stream returns an error.
+func mustHandle(t testingT, s *Stream, r *Request) {
 	t.Helper()
 	if err := s.HandleRequest(r); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// TestReconnectWithVersions checks that a proxy which reconnects and states what it holds gets what has changed since, nothing else, and
-// is notified of what is gone.
+// TestReconnectWithVersions checks that a proxy that reconnects with the versions it holds gets only the changed resources and the names
+// of the removed ones.
 func TestReconnectWithVersions(t *testing.T) {
-	mk := &snapshotMaker{}
-	current := mk.next(t, 150, 0)
+	maker := &snapshotMaker{}
+	current := maker.next(t, 150, 0)
 	s := New(Incremental, testLimits, testSource{}, current)
-	handle(t, s, &Request{TypeURL: snapshot.RingPartType})
+	mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType})
 	first, _ := s.Next(0)
 	held := map[string]string{}
-	for _, x := range first.Resources {
-		held[x.Name] = x.Version
+	for _, resource := range first.Resources {
+		held[resource.Name] = resource.Version
 	}
 	if len(held) != 1+3+3 {
 		t.Fatalf("%d parts of 150 servers", len(held))
 	}
-	again := New(Incremental, testLimits, testSource{}, current)
-	handle(t, again, &Request{TypeURL: snapshot.RingPartType, InitialVersions: held})
-	if r, due := again.Next(0); !due || len(r.Resources) > 0 || len(r.Removed) > 0 {
+	unchanged := New(Incremental, testLimits, testSource{}, current)
+	mustHandle(t, unchanged, &Request{TypeURL: snapshot.RingPartType, InitialVersions: held})
+	if r, due := unchanged.Next(0); !due || len(r.Resources) > 0 || len(r.Removed) > 0 {
 		t.Errorf("a proxy that holds everything gets %d parts", len(r.Resources))
 	}
-	less := New(Incremental, testLimits, testSource{}, mk.next(t, 100, 0))
-	handle(t, less, &Request{TypeURL: snapshot.RingPartType, InitialVersions: held})
-	r, _ := less.Next(0)
+	fewer := New(Incremental, testLimits, testSource{}, maker.next(t, 100, 0))
+	mustHandle(t, fewer, &Request{TypeURL: snapshot.RingPartType, InitialVersions: held})
+	r, _ := fewer.Next(0)
 	var got []string
-	for _, x := range r.Resources {
-		got = append(got, x.Name)
+	for _, resource := range r.Resources {
+		got = append(got, resource.Name)
 	}
 	if fmt.Sprint(r.Removed) != "[boxes/servers/0002 boxes/whole/0002]" || slices.Contains(got, "boxes/servers/0000") || !slices.Contains(got, "boxes/head") {
 		t.Errorf("removed %v, sent %v", r.Removed, got)
 	}
 }
 
-// TestRemovalAfterResubscription checks that a proxy with a subscription to all is notified of the removal of a resource that it
-// subscribes to by name, and unsubscribes from, before the next response, whether it accepts or rejects the response before.
+// TestRemovalAfterResubscription checks that a proxy with a wildcard subscription is told about the removal of a resource after it has
+// subscribed to the resource by name and unsubscribed again, whether it acknowledges or rejects the response sent before that.
 func TestRemovalAfterResubscription(t *testing.T) {
 	const removed = "boxes/servers/0000"
 	for _, errorDetail := range []string{"", "no"} {
-		mk := &snapshotMaker{}
-		s := New(Incremental, testLimits, testSource{}, mk.next(t, 1, 0))
-		handle(t, s, &Request{TypeURL: snapshot.RingPartType})
+		maker := &snapshotMaker{}
+		s := New(Incremental, testLimits, testSource{}, maker.next(t, 1, 0))
+		mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType})
 		first, _ := s.Next(0)
-		handle(t, s, &Request{TypeURL: snapshot.RingPartType, ResponseNonce: first.Nonce})
-		s.SetSnapshot(mk.next(t, 2, 0.5)) // it replaces the resource
+		mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType, ResponseNonce: first.Nonce})
+		s.SetSnapshot(maker.next(t, 2, 0.5)) // a new version of the resource
 		second, _ := s.Next(0)
-		handle(t, s, &Request{TypeURL: snapshot.RingPartType, Subscribe: []string{removed}})
-		handle(t, s, &Request{TypeURL: snapshot.RingPartType, Unsubscribe: []string{removed}})
-		handle(t, s, &Request{TypeURL: snapshot.RingPartType, ResponseNonce: second.Nonce, ErrorDetail: errorDetail})
-		s.SetSnapshot(mk.next(t, 0, 0))
+		mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType, Subscribe: []string{removed}})
+		mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType, Unsubscribe: []string{removed}})
+		mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType, ResponseNonce: second.Nonce, ErrorDetail: errorDetail})
+		s.SetSnapshot(maker.next(t, 0, 0))
 		if third, due := s.Next(0); !due || !slices.Contains(third.Removed, removed) {
-			t.Errorf("after an answer of %q: a response is due: %v, removed %v", errorDetail, due, third.Removed)
+			t.Errorf("error detail %q: due: %v, removed %v", errorDetail, due, third.Removed)
 		}
 	}
 }
 
-// TestResourceOfRejectedResponse checks that a resource which a proxy has rejected with a response is sent again with the next set,
-// though it is the same there.
+// TestResourceOfRejectedResponse checks that a resource in a rejected response is sent again with the next set, even though it did not
+// change.
 func TestResourceOfRejectedResponse(t *testing.T) {
 	const name = "boxes/servers/0000"
 	for _, variant := range []Variant{StateOfTheWorld, Incremental} {
-		mk := &snapshotMaker{}
-		s := New(variant, testLimits, testSource{}, mk.next(t, 0, 0))
+		maker := &snapshotMaker{}
+		s := New(variant, testLimits, testSource{}, maker.next(t, 0, 0))
 		request := &Request{TypeURL: snapshot.RingPartType, ResourceNames: []string{name}, Subscribe: []string{name}}
-		handle(t, s, request)
+		mustHandle(t, s, request)
 		first, _ := s.Next(0)
 		request.ResponseNonce = first.Nonce
-		handle(t, s, request)
-		s.SetSnapshot(mk.next(t, 1, 0))
+		mustHandle(t, s, request)
+		s.SetSnapshot(maker.next(t, 1, 0))
 		rejected, due := s.Next(0)
 		if !due || len(rejected.Resources) != 1 {
 			t.Fatalf("variant %v: due: %v, %d resources", variant, due, len(rejected.Resources))
 		}
-		handle(t, s, &Request{TypeURL: snapshot.RingPartType, ResourceNames: []string{name}, ResponseNonce: rejected.Nonce, ErrorDetail: "no"})
-		s.SetSnapshot(mk.next(t, 1, 0.5))
+		mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType, ResourceNames: []string{name}, ResponseNonce: rejected.Nonce, ErrorDetail: "no"})
+		s.SetSnapshot(maker.next(t, 1, 0.5))
 		next, due := s.Next(0)
 		if !due || len(next.Resources) != 1 || next.Resources[0].Version != rejected.Resources[0].Version {
-			t.Errorf("variant %v: a response is due: %v, resources %v", variant, due, next.Resources)
+			t.Errorf("variant %v: due: %v, resources %v", variant, due, next.Resources)
 		}
 	}
 }
 
-// TestSlowProxyGetsNewestSnapshot checks that a proxy gets the newest snapshot when it has acknowledged the one before, and none of
-// those between.
+// TestSlowProxyGetsNewestSnapshot checks that a proxy gets the newest snapshot after it acknowledges a response, and none of the
+// snapshots in between.
 func TestSlowProxyGetsNewestSnapshot(t *testing.T) {
 	for _, variant := range []Variant{StateOfTheWorld, Incremental} {
-		mk := &snapshotMaker{}
-		s := New(variant, testLimits, testSource{}, mk.next(t, 10, 0))
-		handle(t, s, &Request{TypeURL: snapshot.RingPartType})
+		maker := &snapshotMaker{}
+		s := New(variant, testLimits, testSource{}, maker.next(t, 10, 0))
+		mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType})
 		r, _ := s.Next(0)
 		for i := range 50 {
-			s.SetSnapshot(mk.next(t, 10, float64(i)/60))
+			s.SetSnapshot(maker.next(t, 10, float64(i)/60))
 			if _, due := s.Next(0); due {
-				t.Fatal("a second response while the first is not acknowledged")
+				t.Fatal("a second response before the first was acknowledged")
 			}
 		}
-		handle(t, s, &Request{TypeURL: snapshot.RingPartType, ResponseNonce: r.Nonce, Version: r.Version})
+		mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType, ResponseNonce: r.Nonce, Version: r.Version})
 		r, due := s.Next(0)
 		if !due || r.Version != "5.51" {
-			t.Errorf("after the acknowledgement it gets %q", r.Version)
+			t.Errorf("after the acknowledgement: got version %q, want 5.51", r.Version)
 		}
 	}
 }
 
-// TestLeases checks that a lease answers the last request, names the oldest usable snapshot, and that its acknowledgement is not taken for
-// a request.
+// TestLeases checks that a lease answers the last request and names the oldest usable snapshot, and that its acknowledgement does not
+// request another lease.
 func TestLeases(t *testing.T) {
 	for _, variant := range []Variant{StateOfTheWorld, Incremental} {
-		mk := &snapshotMaker{}
+		maker := &snapshotMaker{}
 		s := New(variant, testLimits, testSource{}, nil)
 		request := func(name string) {
 			t.Helper()
-			handle(t, s, &Request{TypeURL: snapshot.LeaseType, ResourceNames: []string{name}, Subscribe: []string{name}})
+			mustHandle(t, s, &Request{TypeURL: snapshot.LeaseType, ResourceNames: []string{name}, Subscribe: []string{name}})
 		}
 		request("q1")
 		if _, due := s.Next(0); due {
 			t.Error("a lease without a snapshot")
 		}
-		s.SetSnapshot(mk.next(t, 3, 0))
+		s.SetSnapshot(maker.next(t, 3, 0))
 		request("q2")
 		r, due := s.Next(0)
-		var l wire.Lease
-		if !due || r.TypeURL != snapshot.LeaseType || proto.Unmarshal(r.Resources[0].Body.Value, &l) != nil || l.Asked != "q2" || l.Out != 1 || l.LengthMs != 400 || l.ListAgeMs != 7 {
-			t.Errorf("%v %+v", due, &l)
+		var lease wire.Lease
+		if !due || r.TypeURL != snapshot.LeaseType || proto.Unmarshal(r.Resources[0].Body.Value, &lease) != nil || lease.Asked != "q2" || lease.Out != 1 || lease.LengthMs != 400 || lease.ListAgeMs != 7 {
+			t.Errorf("%v %+v", due, &lease)
 		}
-		handle(t, s, &Request{TypeURL: snapshot.LeaseType, ResponseNonce: r.Nonce, ResourceNames: []string{"q2"}})
+		mustHandle(t, s, &Request{TypeURL: snapshot.LeaseType, ResponseNonce: r.Nonce, ResourceNames: []string{"q2"}})
 		if _, due := s.Next(0); due {
-			t.Error("an acknowledgement is taken for a request")
+			t.Error("an acknowledgement requested another lease")
 		}
 	}
 }
@@ -198,16 +199,16 @@
 func TestTimeToLive(t *testing.T) {
 	limits := testLimits
 	limits.TTLMs = 300
-	mk := &snapshotMaker{}
-	s := New(StateOfTheWorld, limits, testSource{}, mk.next(t, 3, 0))
-	handle(t, s, &Request{TypeURL: snapshot.EndpointType, ResourceNames: []string{"boxes"}})
+	maker := &snapshotMaker{}
+	s := New(StateOfTheWorld, limits, testSource{}, maker.next(t, 3, 0))
+	mustHandle(t, s, &Request{TypeURL: snapshot.EndpointType, ResourceNames: []string{"boxes"}})
 	r, _ := s.Next(0)
 	if r.TTLMs != 300 || r.Heartbeat || r.Resources[0].Body == nil {
 		t.Errorf("%+v", r)
 	}
-	handle(t, s, &Request{TypeURL: snapshot.EndpointType, ResourceNames: []string{"boxes"}, ResponseNonce: r.Nonce})
-	if w := s.WaitMs(40); w != 60 {
-		t.Errorf("wait of %v ms", w)
+	mustHandle(t, s, &Request{TypeURL: snapshot.EndpointType, ResourceNames: []string{"boxes"}, ResponseNonce: r.Nonce})
+	if waitMs := s.WaitMs(40); waitMs != 60 {
+		t.Errorf("wait of %v ms", waitMs)
 	}
 	if _, due := s.Next(99); due {
 		t.Error("a heartbeat too early")
@@ -217,15 +218,15 @@
 	}
 }
 
-// TestLimits checks that what a stream holds for a proxy is bounded.
+// TestLimits checks that a stream rejects requests that exceed the limits on names.
 func TestLimits(t *testing.T) {
-	many := make([]string, 1001)
-	for i := range many {
-		many[i] = fmt.Sprint("n", i)
+	names := make([]string, 1001)
+	for i := range names {
+		names[i] = fmt.Sprint("n", i)
 	}
 	for _, variant := range []Variant{StateOfTheWorld, Incremental} {
 		for _, r := range []*Request{
-			{TypeURL: snapshot.RingPartType, ResourceNames: many, Subscribe: many},
+			{TypeURL: snapshot.RingPartType, ResourceNames: names, Subscribe: names},
 			{TypeURL: snapshot.RingPartType, ResourceNames: []string{strings.Repeat("x", 101)}, Subscribe: []string{strings.Repeat("x", 101)}},
 			{TypeURL: snapshot.LeaseType, ResourceNames: []string{strings.Repeat("x", 101)}, Subscribe: []string{strings.Repeat("x", 101)}},
 		} {
@@ -238,7 +239,7 @@
 		}
 	}
 	initial := map[string]string{}
-	for _, n := range many {
+	for _, n := range names {
 		initial[n] = "1"
 	}
 	if err := New(Incremental, testLimits, testSource{}, nil).HandleRequest(&Request{TypeURL: snapshot.RingPartType, InitialVersions: initial}); !errors.Is(err, ErrNameLimit) {
--- a/internal/controlplane/wire/golden_test.go
+++ b/internal/controlplane/wire/golden_test.go
@@ -8,8 +8,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// TestGolden compares every message that the control service and proxies exchange with bytes written by an earlier build,
-// in both directions.
+// TestGolden compares the encoding and the decoding of every message with bytes written by an earlier build.
 func TestGolden(t *testing.T) {
 	head := &Head{Epoch: 1_700_000_000_123, Number: 42, Out: 40, NearShare: 0.375, Zone: "north", Parts: []*Digest{
 		{Name: "boxes/servers/0000", Digest: 0x0123456789abcdef}, {Name: "boxes/whole/0000", Digest: 0xfedcba9876543210},
