--- a/cmd/mintspring-xds/controlplane.go
+++ b/cmd/mintspring-xds/controlplane.go
@@ -16,17 +16,17 @@
 	"mintspring/internal/node"
 )
 
-// controlPlane is a control plane that runs. It owns its goroutines, which stop ends.
+// controlPlane is a running control plane. It owns its goroutines, which end when stop is called.
 type controlPlane struct {
 	controller *controller.Controller
 	server     *server.Server
-	addr       string     // that it listens on
+	addr       string     // listen address
 	serveErr   chan error // receives the result of serving
 	stopping   chan struct{}
-	traffic    sync.WaitGroup
+	background sync.WaitGroup
 }
 
-// startControlPlane starts a control plane.
+// startControlPlane starts a control plane: the controller, the server, and the traffic log.
 func startControlPlane(configuration *platform.Config, operator *config.File, log *logrus.Logger) (*controlPlane, error) {
 	var creds credentials.TransportCredentials
 	if operator.TLS != nil {
@@ -46,7 +46,7 @@
 		LoadReports:     operator.LoadReportConfig(),
 	}
 	p := &controlPlane{
-		controller: controller.New(log, controllerConfig, configuration.Discovery, persistence(configuration, operator)),
+		controller: controller.New(log, controllerConfig, configuration.Discovery, newPersistence(configuration, operator)),
 		addr:       listener.Addr().String(),
 		serveErr:   make(chan error, 1),
 		stopping:   make(chan struct{}),
@@ -54,12 +54,12 @@
 	p.server = server.New(log, p.controller, operator.ServerConfig(), creds)
 	go p.controller.Run()
 	go func() { p.serveErr <- p.server.Serve(listener) }()
-	p.traffic.Go(func() { p.logTraffic(log) })
+	p.background.Go(func() { p.logTraffic(log) })
 	return p, nil
 }
 
-// persistence returns how learned state is kept across restarts, nil if it is not.
-func persistence(configuration *platform.Config, operator *config.File) *controller.Persistence {
+// newPersistence returns the settings for storing learned state across restarts, or nil if it is not stored.
+func newPersistence(configuration *platform.Config, operator *config.File) *controller.Persistence {
 	if operator.Snapshot == nil {
 		return nil
 	}
@@ -70,10 +70,10 @@
 	}
 }
 
-// stop ends the control plane. The leases of proxies run out by themselves.
+// stop ends the control plane. The leases of proxies expire on their own.
 func (p *controlPlane) stop() {
 	close(p.stopping)
-	p.traffic.Wait()
+	p.background.Wait()
 	p.server.Stop()
 	p.controller.Stop()
 }
