--- a/cmd/mintspring-bench/sweep.go
+++ b/cmd/mintspring-bench/sweep.go
@@ -82,7 +82,7 @@
 		if step.HasHysteresis() {
 			note = "  the way down serves less: the state keeps itself"
 		}
-		fmt.Printf("%8.0f  %8.3f %10.3f  %8.3f %10.3f  %8.3f %10.3f  %8.3f %10.3f%s\n", step.Rate, step.Up.Served, step.Down.Served,
+		fmt.Printf("%8.0f  %8.3f %10.3f  %8.3f %10.3f  %8.3f %10.3f  %8.3f %10.3f%s\n", step.Rate, step.Up.ObjectiveShare, step.Down.ObjectiveShare,
 			step.Up.HitShare, step.Down.HitShare, step.Up.OriginUtilization, step.Down.OriginUtilization, step.Up.Rejected, step.Down.Rejected, note)
 	}
 }
--- a/internal/testbed/experiment/defaults.go
+++ b/internal/testbed/experiment/defaults.go
@@ -11,7 +11,7 @@
 func defaultExperiment() *Experiment {
 	return &Experiment{
 		Seed: 1, Settle: 5 * second, Length: 15 * second,
-		Nodes: NodesConfig{Count: 2, MemoryMB: 192, Sockets: 1024, Cores: 1, Quantum: 5 * millisecond, FailureNotice: second},
+		Nodes: NodesConfig{Count: 2, MemoryMB: 192, Sockets: 1024, Cores: 1, Quantum: 5 * millisecond, FailureDetectionDelay: second},
 		Rules: RulesConfig{
 			DrainGrace: 500 * millisecond, AnswerSlack: 20 * millisecond, MaxAttempts: 4, Hedging: true, MaxRetryAfter: second,
 			MaxListAge: 10 * second, ConnectionIdleTimeout: 30 * second, ConnectTimeout: 250 * millisecond,
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -86,17 +86,17 @@
 
 // NodesConfig describes the nodes.
 type NodesConfig struct {
-	Count          int               `toml:"count"`
-	MemoryMB       int               `toml:"memory_mb"`
-	Sockets        int               `toml:"sockets"`
-	Cores          float64           `toml:"cores"`
-	OperatorFile   string            `toml:"operator"` // beside the experiment
-	Quantum        tomlfile.Duration `toml:"quantum"`
-	ClockSkew      tomlfile.Duration `toml:"clock_skew"`   // clocks are off by up to this much, either way; simulated only
-	ClockDrift     float64           `toml:"clock_drift"`  // clocks run up to this share fast or slow; simulated only
-	RequestCost    tomlfile.Duration `toml:"query_cost"`   // processor time that a request costs a node; simulated only
-	TrafficWeights []int             `toml:"traffic"`      // shares of the load by node, again and again; left out: equal ones
-	FailureNotice  tomlfile.Duration `toml:"front_notice"` // how long clients go on to a node that has died
+	Count                 int               `toml:"count"`
+	MemoryMB              int               `toml:"memory_mb"`
+	Sockets               int               `toml:"sockets"`
+	Cores                 float64           `toml:"cores"`
+	OperatorFile          string            `toml:"operator"` // beside the experiment
+	Quantum               tomlfile.Duration `toml:"quantum"`
+	ClockSkew             tomlfile.Duration `toml:"clock_skew"`   // clocks are off by up to this much, either way; simulated only
+	ClockDrift            float64           `toml:"clock_drift"`  // clocks run up to this share fast or slow; simulated only
+	RequestCost           tomlfile.Duration `toml:"query_cost"`   // processor time that a request costs a node; simulated only
+	TrafficWeights        []int             `toml:"traffic"`      // shares of the load by node, again and again; left out: equal ones
+	FailureDetectionDelay tomlfile.Duration `toml:"front_notice"` // how long clients go on to a node that has died
 }
 
 // RulesConfig is the platform's rules as nodes find them in their settings.
@@ -149,7 +149,7 @@
 	FlagRetries         bool              `toml:"mark_retries"`
 	RetryAlways         bool              `toml:"insist"`     // deduplicated requests are retried whatever came back, also after their window
 	PersistentClients   int               `toml:"persistent"` // beside the rate, for each node: clients that go on using one connection while it is open
-	LeaveShare          float64           `toml:"leave"`      // share of the persistent clients' requests whose client closes its connection early
+	EarlyCloseShare     float64           `toml:"leave"`      // share of the persistent clients' requests whose client closes its connection early
 	WarmCaches          bool              `toml:"warm"`       // each cache holds the most popular keys at the start
 }
 
--- a/internal/testbed/experiment/golden_test.go
+++ b/internal/testbed/experiment/golden_test.go
@@ -17,7 +17,7 @@
 		Fleet: goldenFleet(),
 		Nodes: NodesConfig{
 			Count: 3, MemoryMB: 193, Sockets: 1025, Cores: 1.5, OperatorFile: "operator.toml", Quantum: 6 * millisecond,
-			ClockSkew: 7 * millisecond, ClockDrift: 0.01, RequestCost: millisecond, TrafficWeights: []int{1, 5, 20}, FailureNotice: 1100 * millisecond,
+			ClockSkew: 7 * millisecond, ClockDrift: 0.01, RequestCost: millisecond, TrafficWeights: []int{1, 5, 20}, FailureDetectionDelay: 1100 * millisecond,
 		},
 		Rules: RulesConfig{
 			DrainGrace: 510 * millisecond, AnswerSlack: 21 * millisecond, MaxAttempts: 5, Hedging: false,
@@ -104,7 +104,7 @@
 			},
 			DiscoveryDelay: 200 * millisecond,
 		},
-		Nodes: NodesConfig{Count: 2, MemoryMB: 192, Sockets: 1024, Cores: 1, Quantum: 5 * millisecond, FailureNotice: second},
+		Nodes: NodesConfig{Count: 2, MemoryMB: 192, Sockets: 1024, Cores: 1, Quantum: 5 * millisecond, FailureDetectionDelay: second},
 		Rules: RulesConfig{
 			DrainGrace: 500 * millisecond, AnswerSlack: 20 * millisecond, MaxAttempts: 4, Hedging: true, MaxRetryAfter: second,
 			MaxListAge: 10 * second, ConnectionIdleTimeout: 30 * second, ConnectTimeout: 250 * millisecond,
--- a/internal/testbed/experiment/nodebalancer.go
+++ b/internal/testbed/experiment/nodebalancer.go
@@ -77,8 +77,8 @@
 // OnStandby reports whether a node takes no new connections.
 func (b *NodeBalancer) OnStandby(node int) bool { return b.nodes[node].standby }
 
-// Probed records whether a node that was probed is back.
-func (b *NodeBalancer) Probed(node int, isBack bool) {
+// RecordProbe records whether a node that was probed is back.
+func (b *NodeBalancer) RecordProbe(node int, isBack bool) {
 	state := &b.nodes[node]
 	if state.probing = false; isBack {
 		state.dead = false
--- a/internal/testbed/experiment/nodebalancer_test.go
+++ b/internal/testbed/experiment/nodebalancer_test.go
@@ -23,11 +23,11 @@
 	if picks, probes := pickSix(b, 1000, noConnections); picks[1] != 0 || probes != 1 {
 		t.Errorf("once it is: picks %v, %d probes", picks, probes)
 	}
-	b.Probed(1, false)
+	b.RecordProbe(1, false)
 	if _, probes := pickSix(b, 1100, noConnections); probes != 1 {
 		t.Errorf("after a probe that failed: %d probes", probes)
 	}
-	b.Probed(1, true)
+	b.RecordProbe(1, true)
 	if picks, _ := pickSix(b, 1200, noConnections); picks[1] != 2 {
 		t.Errorf("once the node is back: picks %v", picks)
 	}
--- a/internal/testbed/experiment/recovery_test.go
+++ b/internal/testbed/experiment/recovery_test.go
@@ -37,7 +37,7 @@
 		r.Requests = append(r.Requests, Request{DueMs: float64(i), MetObjective: i < 12000 || i%2 == 0}) // half of it is lost from the way down on
 	}
 	steps := r.SweepSteps()
-	if len(steps) != 3 || steps[0].Rate != 100 || steps[2].Rate != 300 || steps[0].Up.Served != 1 || !steps[0].HasHysteresis() || !steps[1].HasHysteresis() || steps[2].HasHysteresis() {
+	if len(steps) != 3 || steps[0].Rate != 100 || steps[2].Rate != 300 || steps[0].Up.ObjectiveShare != 1 || !steps[0].HasHysteresis() || !steps[1].HasHysteresis() || steps[2].HasHysteresis() {
 		t.Errorf("%+v", steps)
 	}
 	if _, err := x.SaturationSweep(300, 100, 3, time.Second); err == nil {
--- a/internal/testbed/experiment/sweep.go
+++ b/internal/testbed/experiment/sweep.go
@@ -33,7 +33,7 @@
 
 // SweepFigures are what a fleet does at one rate, on the way up or on the way down.
 type SweepFigures struct {
-	Served            float64 // share of the priority weight within its latency objective
+	ObjectiveShare    float64 // share of the priority weight within its latency objective
 	HitShare          float64
 	OriginUtilization float64
 	Rejected          float64 // share of requests
@@ -46,7 +46,9 @@
 }
 
 // HasHysteresis reports whether the way down serves less by more than chance makes of it.
-func (s *SweepStep) HasHysteresis() bool { return s.Down.Served < s.Up.Served-hysteresisMargin }
+func (s *SweepStep) HasHysteresis() bool {
+	return s.Down.ObjectiveShare < s.Up.ObjectiveShare-hysteresisMargin
+}
 
 // SweepSteps returns those of a run of a sweep. Of each step the second half counts, when what the step before has left is over.
 func (r *Run) SweepSteps() []SweepStep {
@@ -56,7 +58,7 @@
 	for i, step := range r.Experiment.Steps {
 		w := window(r.FromMs+holdMs*(float64(i)+0.5), r.FromMs+holdMs*float64(i+1))
 		figures := SweepFigures{
-			Served: r.objectiveShare(w), HitShare: r.hitShare(w), OriginUtilization: r.originUtilization(w),
+			ObjectiveShare: r.objectiveShare(w), HitShare: r.hitShare(w), OriginUtilization: r.originUtilization(w),
 			Rejected: outcomeShare(invariants.Rejected)(r, w),
 		}
 		s := &steps[min(i, count-1-i)]
@@ -90,7 +92,7 @@
 
 // add adds the part of other figures that one of so many has in a mean.
 func (f *SweepFigures) add(o *SweepFigures, count float64) {
-	f.Served += o.Served / count
+	f.ObjectiveShare += o.ObjectiveShare / count
 	f.HitShare += o.HitShare / count
 	f.OriginUtilization += o.OriginUtilization / count
 	f.Rejected += o.Rejected / count
--- a/internal/testbed/experiment/system.go
+++ b/internal/testbed/experiment/system.go
@@ -46,12 +46,12 @@
 	Start() // once it has ended
 	Reload() error
 	SetFrozen(frozen bool)
-	Hold(duration time.Duration) error                   // it stands still, and counts as running
-	ReloadTruncated() error                              // of a configuration that is cut short
-	Crowd(connections int, duration time.Duration) error // clients connect and say nothing
+	PauseFor(duration time.Duration) error                             // it stands still, and counts as running
+	ReloadTruncated() error                                            // of a configuration that is cut short
+	OpenIdleConnections(connections int, duration time.Duration) error // clients connect and say nothing
 	SetStandby(standby bool) error
-	Exclude(server string, excluded bool) error // as its operators call it; the server is one of the experiment's file
-	Retune(stricter bool) error                 // settings with other classes and limits, as RetunedSettings has them
+	SetExcluded(server string, excluded bool) error // as its operators call it; the server is one of the experiment's file
+	SetRetuned(stricter bool) error                 // settings with other classes and limits, as RetunedSettings has them
 	HotRestart() error
 	ReplaceMachine() // it loses its disk, and another one begins under its name
 }
--- a/internal/testbed/experiment/traffic.go
+++ b/internal/testbed/experiment/traffic.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// MaxConnects is how many nodes a client tries to reach for one attempt.
-	MaxConnects = 4
+	// MaxConnectsPerAttempt is how many nodes a client tries to reach for one attempt.
+	MaxConnectsPerAttempt = 4
 	// ClientGraceMs is how long after the deadline of an attempt a client goes away, in ms.
 	ClientGraceMs = 300
 )
--- a/internal/testbed/experiment/validate.go
+++ b/internal/testbed/experiment/validate.go
@@ -104,7 +104,7 @@
 		return x.FieldErrorf("load.keys", "must be above 0")
 	case x.Load.Connections != keepConnections && x.Load.Connections != dropConnections:
 		return x.FieldErrorf("load.connections", "%q is neither %s nor %s", x.Load.Connections, keepConnections, dropConnections)
-	case x.Load.PersistentClients < 0 || !isShare(x.Load.LeaveShare):
+	case x.Load.PersistentClients < 0 || !isShare(x.Load.EarlyCloseShare):
 		return x.FieldErrorf("load", "persistent is a number of clients, leave a share")
 	case x.Load.AttemptTimeoutShare <= 0 || x.Load.AttemptTimeoutShare > 1:
 		return x.FieldErrorf("load.try_share", "%v is not a share above 0", x.Load.AttemptTimeoutShare)
--- a/internal/testbed/faultsearch/soak.go
+++ b/internal/testbed/faultsearch/soak.go
@@ -117,7 +117,7 @@
 	x.Load.Rate, x.Load.Keys, x.Load.ValueBytes, x.Load.Retries = 60+s.Float64()*120, soakKeys, soakValueBytes, s.IntN(3)
 	x.Load.WarmCaches = true
 	x.Load.PersistentClients = 4 + s.IntN(12)
-	x.Load.LeaveShare = roundToMilli(0.4 * s.Float64())
+	x.Load.EarlyCloseShare = roundToMilli(0.4 * s.Float64())
 	x.Classes = s.soakClasses()
 }
 
--- a/internal/testbed/processrunner/clientpool.go
+++ b/internal/testbed/processrunner/clientpool.go
@@ -114,7 +114,7 @@
 		time.Sleep(probeInterval)
 	}
 	p.mu.Lock()
-	p.balancer.Probed(node, isBack)
+	p.balancer.RecordProbe(node, isBack)
 	p.mu.Unlock()
 }
 
--- a/internal/testbed/processrunner/loadgenerator.go
+++ b/internal/testbed/processrunner/loadgenerator.go
@@ -121,7 +121,7 @@
 	attempt := l.traffic.NewAttempt(r, fakes.NowMs())
 	cmd := l.command(r, attempt.ID)
 	var answer response
-	for connects, sendAgain := 0, true; sendAgain && connects < experiment.MaxConnects; connects++ {
+	for connects, sendAgain := 0, true; sendAgain && connects < experiment.MaxConnectsPerAttempt; connects++ {
 		answer, sendAgain = l.sendOnce(r, &attempt, cmd, connects == 0)
 	}
 	if attempt.Sent > 0 {
--- a/internal/testbed/processrunner/persistentclient.go
+++ b/internal/testbed/processrunner/persistentclient.go
@@ -83,7 +83,7 @@
 	batch, longestMs := p.nextBatch()
 	pausesMs := float64(len(batch)-1) * float64(maxPipelinePause/time.Millisecond)
 	stayMs := longestMs + clientGraceMs(p.load.experiment) + pausesMs
-	leaves := p.random.Float64() < p.load.experiment.Load.LeaveShare
+	leaves := p.random.Float64() < p.load.experiment.Load.EarlyCloseShare
 	if leaves {
 		stayMs = p.random.Float64() * longestMs / 4
 	}
--- a/internal/testbed/processrunner/run.go
+++ b/internal/testbed/processrunner/run.go
@@ -63,7 +63,7 @@
 	if err != nil {
 		return nil, err
 	}
-	clients := newClientPool(nodes.addrs(), x.Nodes.FailureNotice.Duration(), x.Nodes.TrafficWeights)
+	clients := newClientPool(nodes.addrs(), x.Nodes.FailureDetectionDelay.Duration(), x.Nodes.TrafficWeights)
 	defer clients.close()
 	if x.Load.PersistentClients > 0 {
 		clients.limitInUse(x.Nodes.Sockets, x.Load.PersistentClients)
--- a/internal/testbed/processrunner/scenario.go
+++ b/internal/testbed/processrunner/scenario.go
@@ -123,8 +123,8 @@
 // SetFrozen implements NodeControl.
 func (c nodeControl) SetFrozen(frozen bool) { c.node.setFrozen(frozen) }
 
-// Hold implements NodeControl.
-func (c nodeControl) Hold(duration time.Duration) error {
+// PauseFor implements NodeControl.
+func (c nodeControl) PauseFor(duration time.Duration) error {
 	c.scenario.background.Go(func() { c.node.hold(duration) })
 	return nil
 }
@@ -135,8 +135,8 @@
 	return nil
 }
 
-// Crowd implements NodeControl.
-func (c nodeControl) Crowd(connections int, duration time.Duration) error {
+// OpenIdleConnections implements NodeControl.
+func (c nodeControl) OpenIdleConnections(connections int, duration time.Duration) error {
 	c.scenario.background.Go(func() { c.node.crowd(connections, duration) })
 	return nil
 }
@@ -150,8 +150,8 @@
 	return err
 }
 
-// Exclude implements NodeControl.
-func (c nodeControl) Exclude(server string, excluded bool) error {
+// SetExcluded implements NodeControl.
+func (c nodeControl) SetExcluded(server string, excluded bool) error {
 	for _, s := range c.scenario.fleet.Servers() {
 		if s.Name == server {
 			return c.node.exclude(s.ID(), s.ListedID(), excluded)
@@ -160,8 +160,8 @@
 	return fmt.Errorf("no server is called %q", server)
 }
 
-// Retune implements NodeControl.
-func (c nodeControl) Retune(stricter bool) error {
+// SetRetuned implements NodeControl.
+func (c nodeControl) SetRetuned(stricter bool) error {
 	settings, err := c.scenario.experiment.NodeSettings(c.node.index)
 	if stricter {
 		settings, err = c.scenario.experiment.RetunedSettings(c.node.index)
--- a/internal/testbed/simulator/clientattempt.go
+++ b/internal/testbed/simulator/clientattempt.go
@@ -29,7 +29,7 @@
 // send sends the attempt to the first node that can be reached.
 func (a *clientAttempt) send() {
 	s, c := a.sim, a.sim.clients
-	for ; a.connects < experiment.MaxConnects; a.connects++ {
+	for ; a.connects < experiment.MaxConnectsPerAttempt; a.connects++ {
 		index, probe := c.balancer.Pick(s.nowMs(), func(int) bool { return false })
 		for _, dead := range probe {
 			c.probeNode(dead)
--- a/internal/testbed/simulator/clients.go
+++ b/internal/testbed/simulator/clients.go
@@ -36,7 +36,7 @@
 	nodes := &s.experiment.Nodes
 	return &clientPopulation{
 		sim: s, traffic: experiment.NewTrafficGenerator(s.experiment, s.seed),
-		balancer: experiment.NewNodeBalancer(nodes.Count, nodes.FailureNotice.Milliseconds(), nodes.TrafficWeights),
+		balancer: experiment.NewNodeBalancer(nodes.Count, nodes.FailureDetectionDelay.Milliseconds(), nodes.TrafficWeights),
 		from:     from, to: to, nextDue: from, rateFactor: 1, unchecked: map[*clientAttempt]bool{},
 	}
 }
@@ -86,10 +86,10 @@
 func (c *clientPopulation) probeNode(index int) {
 	n := c.sim.nodes[index]
 	if p := n.process; !p.exited && p.serving && !p.draining && !n.frozen {
-		c.sim.scheduleAfter(2*clientHop, actionFunc(func() { c.balancer.Probed(index, true) }))
+		c.sim.scheduleAfter(2*clientHop, actionFunc(func() { c.balancer.RecordProbe(index, true) }))
 		return
 	}
-	c.sim.scheduleAfter(probeInterval, actionFunc(func() { c.balancer.Probed(index, false) }))
+	c.sim.scheduleAfter(probeInterval, actionFunc(func() { c.balancer.RecordProbe(index, false) }))
 }
 
 // checkRemaining checks the rules for attempts of which something is in flight.
--- a/internal/testbed/simulator/system.go
+++ b/internal/testbed/simulator/system.go
@@ -75,23 +75,25 @@
 // Reload implements experiment.NodeControl. It cannot be simulated.
 func (c nodeControl) Reload() error { return unsupported("a reload of settings") }
 
-// Hold implements experiment.NodeControl. It cannot be simulated.
-func (c nodeControl) Hold(time.Duration) error { return unsupported("a node that is held up") }
+// PauseFor implements experiment.NodeControl. It cannot be simulated.
+func (c nodeControl) PauseFor(time.Duration) error { return unsupported("a node that is held up") }
 
 // ReloadTruncated implements experiment.NodeControl. It cannot be simulated.
 func (c nodeControl) ReloadTruncated() error { return unsupported("a reload of settings") }
 
-// Crowd implements experiment.NodeControl. It cannot be simulated.
-func (c nodeControl) Crowd(int, time.Duration) error { return unsupported("a crowd of connections") }
+// OpenIdleConnections implements experiment.NodeControl. It cannot be simulated.
+func (c nodeControl) OpenIdleConnections(int, time.Duration) error {
+	return unsupported("a crowd of connections")
+}
 
 // SetStandby implements experiment.NodeControl. It cannot be simulated.
 func (c nodeControl) SetStandby(bool) error { return unsupported("standby") }
 
-// Exclude implements experiment.NodeControl. It cannot be simulated.
-func (c nodeControl) Exclude(string, bool) error { return unsupported("a call of operators") }
+// SetExcluded implements experiment.NodeControl. It cannot be simulated.
+func (c nodeControl) SetExcluded(string, bool) error { return unsupported("a call of operators") }
 
-// Retune implements experiment.NodeControl. It cannot be simulated.
-func (c nodeControl) Retune(bool) error { return unsupported("a reload of settings") }
+// SetRetuned implements experiment.NodeControl. It cannot be simulated.
+func (c nodeControl) SetRetuned(bool) error { return unsupported("a reload of settings") }
 
 // HotRestart implements experiment.NodeControl. It cannot be simulated.
 func (c nodeControl) HotRestart() error { return unsupported("a hot restart") }
