--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -11,13 +11,13 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// action is what a step can do. One of its functions is set, for what it acts on.
+// action is something a step can do. Exactly one of its functions is set, depending on what the action acts on.
 type action struct {
-	inverse      string  // the action that undoes it; "" for none
-	inverseValue float64 // the value of the inverse
-	needsValue   bool    // its value has to be above 0
+	inverse      string  // name of the action that undoes it; "" for none
+	inverseValue float64 // Step.Value of the inverse
+	needsValue   bool    // Step.Value must be above 0
 
-	namesServer bool // it acts on a node, and names a server
+	needsServer bool // it acts on a node with the server of the step as an argument
 
 	onServer func(ServerControl, *Step) error
 	onNode   func(NodeControl, *Step) error
@@ -25,7 +25,7 @@
 	onSystem func(*Experiment, System, *Step) error
 }
 
-// actions are all of them, by the names that files use.
+// actions holds all actions by their names in experiment files.
 var actions = map[string]action{
 	"kill":    {inverse: "return", onServer: killServer},
 	"return":  {onServer: restartServer},
@@ -78,8 +78,8 @@
 	"replace_node": {onNode: func(n NodeControl, _ *Step) error { return n.HotRestart() }},
 	"standby_node": {inverse: "active_node", onNode: func(n NodeControl, _ *Step) error { return n.SetStandby(true) }},
 	"active_node":  {onNode: func(n NodeControl, _ *Step) error { return n.SetStandby(false) }},
-	"exclude":      {inverse: "readmit", namesServer: true, onNode: func(n NodeControl, s *Step) error { return n.SetExcluded(s.Server, true) }},
-	"readmit":      {namesServer: true, onNode: func(n NodeControl, s *Step) error { return n.SetExcluded(s.Server, false) }},
+	"exclude":      {inverse: "readmit", needsServer: true, onNode: func(n NodeControl, s *Step) error { return n.SetExcluded(s.Server, true) }},
+	"readmit":      {needsServer: true, onNode: func(n NodeControl, s *Step) error { return n.SetExcluded(s.Server, false) }},
 	"retune_node":  {inverse: "restore_node", onNode: func(n NodeControl, _ *Step) error { return n.SetRetuned(true) }},
 	"restore_node": {onNode: func(n NodeControl, _ *Step) error { return n.SetRetuned(false) }},
 
@@ -106,12 +106,12 @@
 	"discovery_moves": {onSystem: func(_ *Experiment, system System, _ *Step) error { return system.RelocateDiscovery() }},
 }
 
-// Apply does what a step says. The seed selects the servers of a step that acts on a share of them.
+// Apply carries out a step. The seed selects the servers if the step acts on a share of them.
 func (x *Experiment) Apply(s Step, system System, seed uint64) error {
 	a, known := actions[s.Action]
 	switch {
 	case !known:
-		return fmt.Errorf("no action is called %q", s.Action)
+		return fmt.Errorf("unknown action %q", s.Action)
 	case a.onSystem != nil:
 		return a.onSystem(x, system, &s)
 	case a.onNode != nil:
@@ -119,8 +119,8 @@
 	case a.onLink != nil:
 		return system.UpdateLinks(func(links *faultrelay.Links) { x.updateLinks(links, &s, a.onLink) })
 	}
-	for _, place := range x.targets(s, seed) {
-		if err := a.onServer(system.Server(place), &s); err != nil {
+	for _, index := range x.targets(s, seed) {
+		if err := a.onServer(system.Server(index), &s); err != nil {
 			return err
 		}
 	}
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// restartServer starts a server again, warm if the step has a value.
+// restartServer starts a server again, with a warm cache if the step has a value.
 func restartServer(server ServerControl, s *Step) error {
 	if err := server.Restart(s.Value > 0); err != nil {
 		return err
@@ -142,7 +142,7 @@
 	return nil
 }
 
-// replaceServer has another server begin in place of one, under an id that was never there.
+// replaceServer kills a server and starts another one in its place, under an id that was never listed.
 func replaceServer(server ServerControl, s *Step) error {
 	server.Kill()
 	server.SetPhase(fakes.Terminated)
@@ -172,7 +172,7 @@
 	return nil
 }
 
-// setBlackholed makes a server silent, or not any more, for the node of the step or for all.
+// setBlackholed makes a server unreachable or reachable again, for the node of the step or, if it names none, for all nodes.
 func setBlackholed(blackholed bool) func(ServerControl, *Step) error {
 	return func(server ServerControl, s *Step) error {
 		var nodes []servermodel.NodeID
@@ -184,7 +184,8 @@
 	}
 }
 
-// setFaults injects faults, in place of those that there were, into the step's share of executions; without one into all.
+// setFaults injects faults into a share of executions, and replaces the faults injected before. The share is the step's value; without one it
+// is 1.
 func setFaults(faults func(share float64, s *Step) fakes.Faults) func(ServerControl, *Step) error {
 	return func(server ServerControl, s *Step) error {
 		server.SetFaults(faults(cmp.Or(s.Value, 1), s))
@@ -198,13 +199,13 @@
 }
 
 func slowDownCaches(x *Experiment, system System, s *Step) error {
-	for place := range x.CacheCount() {
-		system.Server(place).SetSlowdown(s.Value)
+	for index := range x.CacheCount() {
+		system.Server(index).SetSlowdown(s.Value)
 	}
 	return nil
 }
 
-// delayDiscovery delays discovery's changes by a number of ms; without a value by the experiment's own delay.
+// delayDiscovery sets the delay of discovery's updates to the step's value in ms; without one, to the experiment's own delay.
 func delayDiscovery(x *Experiment, system System, s *Step) error {
 	delay := x.Fleet.DiscoveryDelay.Duration()
 	if s.Value > 0 {
@@ -228,7 +229,7 @@
 	}
 }
 
-// degradeLink gives a link the faults of a step. Whether it is cut stays as it is.
+// degradeLink replaces the faults of a link by those of a step. A cut link stays cut.
 func degradeLink(l *faultrelay.Link, s *Step) {
 	*l = faultrelay.Link{
 		Cut: l.Cut, LossRate: s.LossRate, DelayMs: s.Delay.Milliseconds(), JitterMs: s.Jitter.Milliseconds(),
@@ -239,15 +240,15 @@
 
 // updateLinks changes the links between the nodes that a step names.
 func (x *Experiment) updateLinks(links *faultrelay.Links, s *Step, change func(*faultrelay.Link, *Step)) {
-	changeLink := func(l *faultrelay.Link) { change(l, s) }
+	applyChange := func(l *faultrelay.Link) { change(l, s) }
 	from, to := x.nodesOrAll(s.Nodes), x.nodesOrAll(s.Peers)
-	links.Set(from, to, changeLink)
+	links.Set(from, to, applyChange)
 	if !s.OneWay {
-		links.Set(to, from, changeLink)
+		links.Set(to, from, applyChange)
 	}
 }
 
-// nodesOrAll returns the nodes that are named, or all where none is.
+// nodesOrAll returns the given nodes, or all nodes if none is given.
 func (x *Experiment) nodesOrAll(named []int) []int {
 	if len(named) > 0 {
 		return named
--- a/internal/testbed/experiment/defaults.go
+++ b/internal/testbed/experiment/defaults.go
@@ -7,7 +7,7 @@
 	second      = 1000 * millisecond
 )
 
-// defaultExperiment is what holds where a file says nothing. Servers and classes have defaults of their own.
+// defaultExperiment returns the defaults of an experiment file. The defaults of servers and classes are set by finalize.
 func defaultExperiment() *Experiment {
 	return &Experiment{
 		Seed: 1, Settle: 5 * second, Length: 15 * second,
@@ -39,10 +39,10 @@
 	}
 )
 
-// defaultTenant is the only tenant where none is named.
+// defaultTenant is the name of the only tenant if the file defines none.
 const defaultTenant = "all"
 
-// finalize fills in what the file leaves out, and checks the experiment.
+// finalize sets the defaults that depend on the file, and checks the experiment.
 func (x *Experiment) finalize(file *tomlfile.File) (*Experiment, error) {
 	x.file = file
 	x.Fleet.Origin.applyDefaults(&defaultOrigin)
@@ -61,7 +61,7 @@
 	return x, x.validate()
 }
 
-// applyDefaults fills in what a server's configuration leaves out.
+// applyDefaults sets the defaults of a server's missing fields.
 func (c *ServerConfig) applyDefaults(defaults *ServerConfig) {
 	setDefault(&c.Cores, defaults.Cores)
 	setDefault(&c.Speed, defaults.Speed)
@@ -78,7 +78,7 @@
 	setDefault(&c.ReportNoise, defaults.ReportNoise)
 }
 
-// applyDefaults fills in what a class leaves out.
+// applyDefaults sets the defaults of a class's missing fields.
 func (c *ClassConfig) applyDefaults(defaults *ClassConfig) {
 	setDefault(&c.PriorityWeight, defaults.PriorityWeight)
 	setDefault(&c.Effect, defaults.Effect)
@@ -88,7 +88,7 @@
 	setDefault(&c.OriginWork, defaults.OriginWork)
 }
 
-// setDefault sets a field that is left out.
+// setDefault sets a field that has its zero value.
 func setDefault[T comparable](field *T, value T) {
 	var zero T
 	if *field == zero {
--- a/internal/testbed/experiment/expectations.go
+++ b/internal/testbed/experiment/expectations.go
@@ -5,15 +5,16 @@
 	"math"
 )
 
-// ExpectationResult is an expectation with its figure.
+// ExpectationResult is an expectation with the measured value of its figure.
 type ExpectationResult struct {
 	Expectation string  `json:"Expect"`
 	Value       float64 `json:"Value"`
 	Held        bool    `json:"Held"`
-	Binds       bool    `json:"Binds"` // the run's program is to be judged by it
+	Binds       bool    `json:"Binds"` // it counts for the run's program; see Expectation.BindsBaselines
 }
 
-// evaluateExpectations measures each expectation of the experiment. All of them bind the main program, few bind a baseline.
+// evaluateExpectations evaluates each expectation of the experiment. All of them bind the program under test; a baseline is bound only by
+// those with BindsBaselines.
 func (r *Run) evaluateExpectations(isMain bool) []ExpectationResult {
 	var results []ExpectationResult
 	for _, e := range r.Experiment.Expectations {
@@ -31,12 +32,12 @@
 	return results
 }
 
-// describe says what is expected.
+// describe returns the expectation as text.
 func (e *Expectation) describe(x *Experiment) string {
 	text := e.Figure
-	for _, of := range []string{e.Class, e.Server} {
-		if of != "" {
-			text += " of " + of
+	for _, subject := range []string{e.Class, e.Server} {
+		if subject != "" {
+			text += " of " + subject
 		}
 	}
 	if e.From > 0 || e.To > 0 {
--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -1,8 +1,8 @@
-// Package experiment defines experiments and evaluates them: fake servers, nodes, the load of clients, a timeline of faults, and
-// expectations of what clients and servers see.
+// Package experiment defines experiments and evaluates their runs. An experiment consists of fake servers, nodes, the load of clients, a
+// timeline of faults, and expectations of the figures that clients and servers measure.
 //
-// An experiment is a TOML file (docs/experiments.md). Package processrunner plays it with real processes, package simulator on a virtual
-// clock; its definition, its timeline, the requests that clients generate and the figures of a run are here.
+// An experiment is a TOML file (docs/experiments.md). Package processrunner runs it with real processes, package simulator on a virtual
+// clock. This package contains the definition, the timeline, the generation of requests and the figures of a run.
 package experiment
 
 import (
@@ -18,13 +18,13 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// Experiment is an experiment file as it was read. docs/experiments.md says what each field does.
+// Experiment is the content of an experiment file. docs/experiments.md describes the fields.
 type Experiment struct {
 	Name   string            `toml:"name"`
 	About  string            `toml:"about"`
 	Seed   uint64            `toml:"seed"`
-	Settle tomlfile.Duration `toml:"settle"` // load before the measurement
-	Length tomlfile.Duration `toml:"length"` // of the measurement
+	Settle tomlfile.Duration `toml:"settle"` // duration of the load before the measurement
+	Length tomlfile.Duration `toml:"length"` // duration of the measurement
 
 	Fleet        FleetConfig    `toml:"fleet"`
 	Nodes        NodesConfig    `toml:"nodes"`
@@ -43,11 +43,11 @@
 	Zones          []string          `toml:"zones"`
 	Groups         []ServerGroup     `toml:"boxes"`
 	Origin         ServerConfig      `toml:"origin"`
-	FetchThrough   bool              `toml:"fetch"` // there is no origin: caches do its work; simulated only
+	FetchThrough   bool              `toml:"fetch"` // there is no origin: caches do its work; simulator only
 	DiscoveryDelay tomlfile.Duration `toml:"discovery_late"`
 }
 
-// ServerGroup is a number of caches of one kind, spread over the zones unless they are in one.
+// ServerGroup is a number of identical caches. They are in one zone or, if none is named, spread over all zones.
 type ServerGroup struct {
 	Count      int     `toml:"count"`
 	Zone       string  `toml:"zone"`
@@ -56,7 +56,7 @@
 	ServerConfig
 }
 
-// ServerConfig is what a server is like.
+// ServerConfig describes the capacity and behaviour of a server.
 type ServerConfig struct {
 	Cores            int               `toml:"cores"`
 	Speed            float64           `toml:"speed"`
@@ -73,7 +73,7 @@
 	ReportNoise      float64           `toml:"noise"`
 }
 
-// modelConfig is the configuration in the terms of the server model.
+// modelConfig converts the configuration for the server model.
 func (c *ServerConfig) modelConfig() servermodel.ServerConfig {
 	return servermodel.ServerConfig{
 		Cores: c.Cores, Speed: c.Speed, QueueLimit: c.QueueLimit, MaxConnections: c.MaxConnections,
@@ -90,16 +90,16 @@
 	MemoryMB              int               `toml:"memory_mb"`
 	Sockets               int               `toml:"sockets"`
 	Cores                 float64           `toml:"cores"`
-	OperatorFile          string            `toml:"operator"` // beside the experiment
+	OperatorFile          string            `toml:"operator"` // relative to the experiment file
 	Quantum               tomlfile.Duration `toml:"quantum"`
-	ClockSkew             tomlfile.Duration `toml:"clock_skew"`   // clocks are off by up to this much, either way; simulated only
-	ClockDrift            float64           `toml:"clock_drift"`  // clocks run up to this share fast or slow; simulated only
-	RequestCost           tomlfile.Duration `toml:"query_cost"`   // processor time that a request costs a node; simulated only
-	TrafficWeights        []int             `toml:"traffic"`      // shares of the load by node, again and again; left out: equal ones
-	FailureDetectionDelay tomlfile.Duration `toml:"front_notice"` // how long clients go on to a node that has died
+	ClockSkew             tomlfile.Duration `toml:"clock_skew"`   // greatest offset of a node's clock in either direction; simulator only
+	ClockDrift            float64           `toml:"clock_drift"`  // greatest rate error of a node's clock, as a share in either direction; simulator only
+	RequestCost           tomlfile.Duration `toml:"query_cost"`   // processor time of a node for one request; simulator only
+	TrafficWeights        []int             `toml:"traffic"`      // weights of the nodes' shares of the load, repeated as needed; left out: equal shares
+	FailureDetectionDelay tomlfile.Duration `toml:"front_notice"` // how long clients still send to a node after it has died
 }
 
-// RulesConfig is the platform's rules as nodes find them in their settings.
+// RulesConfig holds the platform's rules, which nodes receive in their settings.
 type RulesConfig struct {
 	DrainGrace            tomlfile.Duration `toml:"drain_grace"`
 	AnswerSlack           tomlfile.Duration `toml:"answer_slack"`
@@ -126,7 +126,7 @@
 	OriginWork       tomlfile.Duration `toml:"origin_work"`
 	CostSpread       float64           `toml:"spread"`
 
-	semantics invariants.WriteSemantics // of Effect
+	semantics invariants.WriteSemantics // from Effect
 }
 
 // TenantConfig is one tenant.
@@ -135,7 +135,7 @@
 	Share float64 `toml:"share"`
 }
 
-// LoadConfig is what clients do. Arrivals are a Poisson process and do not wait for responses.
+// LoadConfig describes the clients. Arrivals are an open-loop Poisson process: they do not wait for responses.
 type LoadConfig struct {
 	Rate                float64           `toml:"rate"` // requests a second, without retries
 	Keys                int               `toml:"keys"`
@@ -145,15 +145,15 @@
 	Retries             int               `toml:"retries"`
 	RetryWait           tomlfile.Duration `toml:"retry_wait"`
 	HonourRetryAfter    bool              `toml:"honour_waits"`
-	AttemptTimeoutShare float64           `toml:"try_share"` // an attempt is given up after this share of the request's timeout
-	FlagRetries         bool              `toml:"mark_retries"`
-	RetryAlways         bool              `toml:"insist"`     // deduplicated requests are retried whatever came back, also after their window
-	PersistentClients   int               `toml:"persistent"` // beside the rate, for each node: clients that go on using one connection while it is open
-	EarlyCloseShare     float64           `toml:"leave"`      // share of the persistent clients' requests whose client closes its connection early
-	WarmCaches          bool              `toml:"warm"`       // each cache holds the most popular keys at the start
+	AttemptTimeoutShare float64           `toml:"try_share"`    // timeout of an attempt as a share of the request's timeout
+	FlagRetries         bool              `toml:"mark_retries"` // retries carry a flag that marks them as retries
+	RetryAlways         bool              `toml:"insist"`       // deduplicated requests are retried after any failure, even after their deduplication window
+	PersistentClients   int               `toml:"persistent"`   // clients for each node, in addition to the rate, that use one connection for as long as it is open
+	EarlyCloseShare     float64           `toml:"leave"`        // share of the persistent clients' requests during which the client closes its connection
+	WarmCaches          bool              `toml:"warm"`         // caches hold the most popular keys at the start, except those with EmptyCache
 }
 
-// What clients do with a connection after a response.
+// Values of LoadConfig.Connections: whether clients keep or close a connection after a response.
 const (
 	keepConnections = "keep"
 	dropConnections = "drop"
@@ -162,7 +162,7 @@
 // DropsConnections reports whether clients close their connections after each response.
 func (l *LoadConfig) DropsConnections() bool { return l.Connections == dropConnections }
 
-// Expectation is something that has to hold.
+// Expectation is a bound on a figure that a run has to meet.
 type Expectation struct {
 	Figure         string            `toml:"what"`
 	AtLeast        *float64          `toml:"at_least"`
@@ -184,7 +184,7 @@
 	return x.finalize(file)
 }
 
-// Parse reads and checks an experiment from text. The name stands in errors.
+// Parse reads and checks an experiment from text. Errors contain the name as the file's name.
 func Parse(name, text string) (*Experiment, error) {
 	x := defaultExperiment()
 	file, err := tomlfile.Parse(name, []byte(text), x)
@@ -194,32 +194,32 @@
 	return x.finalize(file)
 }
 
-// FieldErrorf says what is wrong with a field of the experiment's file, with its line.
+// FieldErrorf returns an error about a field of the experiment file, with the line of the field.
 func (x *Experiment) FieldErrorf(field, format string, args ...any) error {
 	return x.file.FieldErrorf(field, format, args...)
 }
 
-// WithSize returns the experiment at another size: a number of nodes, of caches and of requests a second, 0 for the file's own. Steps go on
-// naming the same caches, so that there cannot be fewer than they name.
+// WithSize returns the experiment with another number of nodes, caches and requests a second; 0 keeps the file's value. It fails if a step
+// names a cache that no longer exists.
 func (x *Experiment) WithSize(nodes, caches int, rate float64) (*Experiment, error) {
-	y := *x
+	resized := *x
 	if nodes > 0 {
-		y.Nodes.Count = nodes
+		resized.Nodes.Count = nodes
 	}
 	if rate > 0 {
-		y.Load.Rate = rate
+		resized.Load.Rate = rate
 	}
 	if caches > 0 {
 		if len(x.Fleet.Groups) != 1 {
-			return nil, x.FieldErrorf("fleet.boxes", "there are %d kinds; their number can be set for one kind only", len(x.Fleet.Groups))
+			return nil, x.FieldErrorf("fleet.boxes", "has %d groups; the number of caches can be set for a single group only", len(x.Fleet.Groups))
 		}
-		y.Fleet.Groups = slices.Clone(x.Fleet.Groups)
-		y.Fleet.Groups[0].Count = caches
+		resized.Fleet.Groups = slices.Clone(x.Fleet.Groups)
+		resized.Fleet.Groups[0].Count = caches
 	}
-	return &y, y.validate()
+	return &resized, resized.validate()
 }
 
-// originName is the name of the origin.
+// originName is the name of the origin server.
 const originName = "origin"
 
 // ServerSpecs returns the servers: the caches box-0, box-1 and so on, and the origin.
@@ -242,7 +242,7 @@
 	})
 }
 
-// CacheCount returns how many servers there are beside the origin.
+// CacheCount returns the number of servers without the origin.
 func (x *Experiment) CacheCount() (count int) {
 	for i := range x.Fleet.Groups {
 		count += x.Fleet.Groups[i].Count
@@ -250,10 +250,10 @@
 	return count
 }
 
-// originID returns the place of the origin: the last one.
+// originID returns the id of the origin: the index of the last server.
 func (x *Experiment) originID() servermodel.ServerID { return servermodel.ServerID(x.CacheCount()) }
 
-// serverNames returns the names of the servers by their places.
+// serverNames returns the names of the servers by index.
 func (x *Experiment) serverNames() []string {
 	var names []string
 	for _, spec := range x.ServerSpecs() {
@@ -262,7 +262,7 @@
 	return names
 }
 
-// ClassCosts returns what requests cost, by class.
+// ClassCosts returns the cost of requests by class.
 func (x *Experiment) ClassCosts() map[string]servermodel.Cost {
 	costs := map[string]servermodel.Cost{}
 	for i := range x.Classes {
@@ -275,12 +275,12 @@
 	return costs
 }
 
-// AttemptTimeoutMs returns the time that an attempt of a class of requests gives its node, in ms.
+// AttemptTimeoutMs returns the timeout of an attempt of a request class, in ms.
 func (x *Experiment) AttemptTimeoutMs(class int) float64 {
 	return x.Classes[class].Timeout.Milliseconds() * x.Load.AttemptTimeoutShare
 }
 
-// LongestTimeout returns the longest timeout of any class of requests.
+// LongestTimeout returns the longest timeout of any request class.
 func (x *Experiment) LongestTimeout() (longest time.Duration) {
 	for i := range x.Classes {
 		longest = max(longest, x.Classes[i].Timeout.Duration())
@@ -288,7 +288,7 @@
 	return longest
 }
 
-// OperatorFile returns where the operator's file of the nodes is, "" for none.
+// OperatorFile returns the path of the nodes' operator file, or "" if they have none.
 func (x *Experiment) OperatorFile() string {
 	if x.Nodes.OperatorFile == "" || filepath.IsAbs(x.Nodes.OperatorFile) {
 		return x.Nodes.OperatorFile
@@ -296,34 +296,34 @@
 	return filepath.Join(filepath.Dir(x.file.Name), x.Nodes.OperatorFile)
 }
 
-// HasPeers reports whether the nodes send messages to one another, by the operator's file.
+// HasPeers reports whether the operator's file configures the nodes as peers, which exchange messages.
 func (x *Experiment) HasPeers() (bool, error) {
 	file, err := operatorfile.Read(x.OperatorFile())
 	return err == nil && file.Fleet != nil, err
 }
 
-// WarmKeys calls store with the keys that each cache holds at the start, for caches that were running before: the most popular ones, the
-// most popular of them last.
-func (x *Experiment) WarmKeys(keys []string, store func(place int, keys []string)) {
+// WarmKeys calls store for each cache that is warm at the start, with the keys that it holds: the most popular ones that fit, the most
+// popular of them last.
+func (x *Experiment) WarmKeys(keys []string, store func(index int, keys []string)) {
 	if !x.Load.WarmCaches {
 		return
 	}
-	place := 0
+	index := 0
 	for i := range x.Fleet.Groups {
 		group := &x.Fleet.Groups[i]
 		for range group.Count {
 			if !group.EmptyCache {
-				held := slices.Clone(keys[:min(len(keys), group.CacheObjects)])
-				slices.Reverse(held)
-				store(place, held)
+				warmKeys := slices.Clone(keys[:min(len(keys), group.CacheObjects)])
+				slices.Reverse(warmKeys)
+				store(index, warmKeys)
 			}
-			place++
+			index++
 		}
 	}
 }
 
-// InvariantSlackMs returns how much later than the rules say something may happen on a machine that is never late, in ms.
+// InvariantSlackMs returns the tolerance for deadlines of the rules, in ms. It does not cover lateness of the machine itself.
 func (x *Experiment) InvariantSlackMs() float64 {
-	const transport = 50 // on the way between processes
-	return transport + x.Rules.AnswerSlack.Milliseconds()
+	const transportMs = 50 // between processes
+	return transportMs + x.Rules.AnswerSlack.Milliseconds()
 }
--- a/internal/testbed/experiment/experiment_test.go
+++ b/internal/testbed/experiment/experiment_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// small is a small experiment, which packages of the test bench share.
+// small is the text of a small valid experiment.
 //
 //go:embed testdata/small.toml
 var small string
@@ -21,15 +21,15 @@
 	return x
 }
 
-// A file that is wrong is refused with the line.
-func TestExperimentsThatCannotBeUsed(t *testing.T) {
+// An invalid file is rejected with a one-line error that names the line and the field.
+func TestInvalidExperiments(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`length = "2s"`, `length = "2 s"`, "small.toml:3: length"},
 		{`length = "2s"`, `length = "20h"`, "small.toml:3: length"},
 		{`count = 2`, `count = 0`, "small.toml:9: nodes.count"},
 		{`count = 3`, "count = 3\nzone = \"c\"", "small.toml:8: fleet.boxes[0].zone: no zone is called \"c\""},
 		{`share = 0.3`, `share = 0.4`, "workloads: shares add up to 1.100"},
-		{`name = "pay"`, `name = "read"`, `workloads[1].name: "read" is there twice`},
+		{`name = "pay"`, `name = "read"`, `workloads[1].name: "read" is listed twice`},
 		{`effect = "non-idempotent"`, `effect = "safe"`, "small.toml:25: workloads[1].effect"},
 		{`effect = "non-idempotent"`, `effect = "deduplicated"`, "workloads[1].dedup_span: missing"},
 		{`rate = 150`, `rat = 150`, "small.toml:13: load.rat: no such field"},
@@ -43,13 +43,13 @@
 	} {
 		_, err := Parse("small.toml", strings.Replace(small, c.old, c.new, 1))
 		if err == nil || !strings.Contains(err.Error(), c.want) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%q in place of %q: error %v, want %s", c.new, c.old, err, c.want)
+			t.Errorf("%q instead of %q: error %v, want %s", c.new, c.old, err, c.want)
 		}
 	}
 }
 
-// Every experiment in the repository can be read.
-func TestExperimentsOfTheRepository(t *testing.T) {
+// All experiment files of the repository are valid.
+func TestRepositoryExperiments(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
--- a/internal/testbed/experiment/figures.go
+++ b/internal/testbed/experiment/figures.go
@@ -14,39 +14,41 @@
 	msPerSec                        = 1000
 )
 
-// measureWindow is what a figure is measured over.
+// measureWindow selects the requests, executions and samples that a figure is measured over.
 type measureWindow struct {
 	class        int                  // or allClasses
 	server       servermodel.ServerID // or anyServer
 	fromMs, toMs float64
 }
 
-// window is a time of the run with all classes and servers.
-func window(fromMs, toMs float64) measureWindow {
+// timeWindow returns a window of time with all classes and servers.
+func timeWindow(fromMs, toMs float64) measureWindow {
 	return measureWindow{class: allClasses, server: anyServer, fromMs: fromMs, toMs: toMs}
 }
 
-// wholeRun is all that is measured.
-func (r *Run) wholeRun() measureWindow { return window(r.FromMs, r.ToMs) }
+// wholeRun returns the window of the whole measurement.
+func (r *Run) wholeRun() measureWindow { return timeWindow(r.FromMs, r.ToMs) }
 
-// hasClass reports whether a class is measured.
-func (w *measureWindow) hasClass(class int) bool { return w.class == allClasses || w.class == class }
+// includesClass reports whether the window includes a class.
+func (w *measureWindow) includesClass(class int) bool {
+	return w.class == allClasses || w.class == class
+}
 
-// hasServer reports whether a server is measured.
-func (w *measureWindow) hasServer(server servermodel.ServerID) bool {
+// includesServer reports whether the window includes a server.
+func (w *measureWindow) includesServer(server servermodel.ServerID) bool {
 	return w.server == anyServer || w.server == server
 }
 
-// hasTime reports whether a time is measured.
-func (w *measureWindow) hasTime(atMs float64) bool { return atMs >= w.fromMs && atMs < w.toMs }
+// includesTime reports whether the window includes a time.
+func (w *measureWindow) includesTime(atMs float64) bool { return atMs >= w.fromMs && atMs < w.toMs }
 
-// figure is one thing that can be measured.
+// figure is a metric of a run.
 type figure struct {
 	unit    string
 	measure func(*Run, measureWindow) float64
 }
 
-// figures are all of them, by the names that files use.
+// figures holds all figures by their names in experiment files.
 var figures = map[string]figure{
 	"in_slo":               {"share of the priority weight of all requests", (*Run).objectiveShare},
 	"completed":            {"share of requests", outcomeShare(invariants.Completed)},
@@ -59,14 +61,14 @@
 	"tries_per_query":      {"attempts of clients for a request", (*Run).attemptsPerRequest},
 	"executions_per_query": {"executions at servers for a request", (*Run).executionsPerRequest},
 	"wrong":                {"responses with the value of another key", func(r *Run, _ measureWindow) float64 { return float64(len(r.WrongKeyResponses)) }},
-	"wrong_after_sign":     {"of these, by executions sent after their node had seen that server respond twice", (*Run).wrongKeysAfterDetection},
+	"wrong_after_sign":     {"of these, by executions sent after their node had detected a duplicate response of that server", (*Run).wrongKeysAfterDetection},
 	"breaches":             {"violations of the rules", func(r *Run, _ measureWindow) float64 { return float64(len(r.Violations)) }},
 
 	"hit_share":      {"share of reads at caches", (*Run).hitShare},
 	"repeats":        {"effects beyond the first under an idempotency key", (*Run).repeatedEffects},
 	"opens":          {"connections opened", connectionCount(false)},
 	"opens_refused":  {"connections beyond a server's limit", connectionCount(true)},
-	"opens_per_s":    {"greatest number at one cache in any second, wherever it begins", (*Run).peakOpensPerSecond},
+	"opens_per_s":    {"greatest number at one cache in any interval of one second", (*Run).peakOpensPerSecond},
 	"box_load":       {"greatest utilization of a cache in one second", peakUtilization(caches)},
 	"box_queue":      {"greatest number waiting at a cache", peakQueue(caches)},
 	"box_per_s":      {"greatest number of executions at one cache in one second", peakExecutionsPerSecond(caches)},
@@ -77,38 +79,38 @@
 	"origin_per_s":   {"greatest number of executions in one second", peakExecutionsPerSecond(origin)},
 	"origin_stops":   {"times that the origin collapsed", func(r *Run, _ measureWindow) float64 { return float64(r.OriginCollapses) }},
 
-	"held_off_s":       {"s from `from` until nine in ten nodes hold off from a cache to which each had sent till then; 1000000: they do not", (*Run).holdOffSeconds},
+	"held_off_s":       {"s from `from` until nine in ten of the nodes that sent to a cache before avoid it; 1000000: they do not", (*Run).avoidanceSeconds},
 	"drain_ms":         {"longest time from the notification of a drain to the last execution sent there", (*Run).longestDrainMs},
 	"node_memory_mb":   {"greatest resident memory of a node", (*Run).peakNodeMemoryMB},
 	"node_descriptors": {"greatest number of open descriptors of a node", (*Run).peakNodeDescriptors},
-	"recovery_s":       {"s from the end of the last fault until service is back to 0.95 of what it was; 1000000: it is not", (*Run).recoverySeconds},
-	"worst_second":     {"the worst second of service from the first fault on, as a share of what it was", (*Run).worstSecond},
+	"recovery_s":       {"s from the end of the last fault until service is back to 0.95 of its level before the faults; 1000000: it does not recover", (*Run).recoverySeconds},
+	"worst_second":     {"service in the worst second from the first fault on, as a share of its level before", (*Run).worstSecond},
 	"list_calls":       {"calls of the discovery service", func(r *Run, _ measureWindow) float64 { return float64(r.DiscoveryCalls) }},
-	"keys_moved":       {"share of keys with another owner at the end; -1 where that is not seen, as of real nodes", func(r *Run, _ measureWindow) float64 { return r.MovedKeyShare }},
+	"keys_moved":       {"share of keys with another owner at the end; -1 if unknown, as with real nodes", func(r *Run, _ measureWindow) float64 { return r.MovedKeyShare }},
 }
 
-// isFigure reports whether a figure has a name.
+// isFigure reports whether a figure of that name exists.
 func isFigure(name string) bool {
 	_, known := figures[name]
 	return known
 }
 
-// FigureDescription says what a figure is.
+// FigureDescription describes a figure.
 type FigureDescription struct {
 	Name, Unit string
 }
 
-// FigureDescriptions lists what can be measured, by name.
+// FigureDescriptions returns the descriptions of all figures, sorted by name.
 func FigureDescriptions() []FigureDescription {
-	var all []FigureDescription
+	var descriptions []FigureDescription
 	for name, f := range figures {
-		all = append(all, FigureDescription{name, f.unit})
+		descriptions = append(descriptions, FigureDescription{name, f.unit})
 	}
-	slices.SortFunc(all, func(a, b FigureDescription) int { return cmp.Compare(a.Name, b.Name) })
-	return all
+	slices.SortFunc(descriptions, func(a, b FigureDescription) int { return cmp.Compare(a.Name, b.Name) })
+	return descriptions
 }
 
-// Figure measures what an expectation is about.
+// Figure measures the figure of an expectation.
 func (r *Run) Figure(e Expectation) float64 {
 	w := r.wholeRun()
 	if e.Class != "" {
@@ -126,7 +128,7 @@
 	return figures[e.Figure].measure(r, w)
 }
 
-// FigureByName measures a figure over the whole run; 0 where none has the name.
+// FigureByName measures a figure over the whole run. It returns 0 if the figure does not exist.
 func (r *Run) FigureByName(name string) float64 {
 	f, known := figures[name]
 	if !known {
@@ -135,10 +137,10 @@
 	return f.measure(r, r.wholeRun())
 }
 
-// ratioOrZero returns a quotient, 0 where there is nothing to divide by.
-func ratioOrZero(a, b float64) float64 {
-	if b == 0 {
+// ratioOrZero returns a quotient, or 0 if the denominator is 0.
+func ratioOrZero(numerator, denominator float64) float64 {
+	if denominator == 0 {
 		return 0
 	}
-	return a / b
+	return numerator / denominator
 }
--- a/internal/testbed/experiment/figures_test.go
+++ b/internal/testbed/experiment/figures_test.go
@@ -8,16 +8,16 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// A client that retries after the deduplication window has a second effect, and one that does within it has none; neither is a node's
-// fault, but both are counted.
+// A retry after the deduplication window has a second effect, which the figure counts although no node is at fault. A retry within the
+// window has none.
 func TestRepeatedEffectsAcrossRetries(t *testing.T) {
 	x := parse(t, small)
 	for name, c := range map[string]struct {
-		second bool // the second one had an effect
-		want   float64
+		secondApplied bool // the retry had an effect
+		want          float64
 	}{"after the window": {true, 1}, "the duplicate was dropped": {false, 0}} {
 		recorder := NewExecutionRecorder(x)
-		for i, applied := range []bool{true, c.second} {
+		for i, applied := range []bool{true, c.secondApplied} {
 			recorder.Add(&servermodel.Execution{
 				Request: servermodel.Request{RequestID: string(rune('1' + i)), IdempotencyKey: "m", Class: x.Classes[0].Name, FirstByte: float64(i)},
 				Outcome: servermodel.Served, Applied: applied,
@@ -26,12 +26,12 @@
 		r := NewRun(x, "test", 1, 0, 1000)
 		r.Executions = recorder.Executions
 		if n := r.Figure(Expectation{Figure: "repeats"}); n != c.want {
-			t.Errorf("%s: %v repeated effects", name, n)
+			t.Errorf("%s: %v repeated effects, want %v", name, n, c.want)
 		}
 	}
 }
 
-// A late response is excused by how late the bench was at that moment, and at no other one.
+// A late response is excused only by lateness of the bench at about the same time, not by lateness elsewhere in the run.
 func TestWorstLateness(t *testing.T) {
 	var requests []Request
 	for at := 0.0; at < 10_000; at += 10 {
@@ -48,17 +48,17 @@
 	}
 }
 
-// Nine in ten nodes hold off from a cache when the last of them has begun to; trial requests are a part of it.
-func TestHoldOffSeconds(t *testing.T) {
+// The figure is the time at which the last of nine in ten nodes begins to avoid a cache. Trial requests to the cache do not prevent that.
+func TestAvoidanceSeconds(t *testing.T) {
 	x := parse(t, small)
 	for _, c := range []struct {
-		goOn     int32 // number of nodes that do not hold off
-		from, to float64
+		sendingNodes int32 // number of nodes that do not avoid the cache
+		from, to     float64
 	}{{1, 0.4, 1.6}, {2, neverSeconds, neverSeconds}, {10, neverSeconds, neverSeconds}} {
 		r := NewRun(x, "p", 1, 0, 20_000)
 		for node := range int32(10) {
 			until := 5000 + 300*float64(node)
-			if node >= 10-c.goOn {
+			if node >= 10-c.sendingNodes {
 				until = 20_000
 			}
 			for at := 0.0; at < until; at += 500 {
@@ -69,8 +69,8 @@
 			}
 		}
 		slices.SortFunc(r.Executions, func(a, b ExecutionRecord) int { return cmp.Compare(a.FirstByteMs, b.FirstByteMs) })
-		if got := r.holdOffSeconds(measureWindow{class: allClasses, server: 1, fromMs: 5000, toMs: 15_000}); got < c.from || got > c.to {
-			t.Errorf("with %d nodes that go on, the others hold off after %.2f s", c.goOn, got)
+		if got := r.avoidanceSeconds(measureWindow{class: allClasses, server: 1, fromMs: 5000, toMs: 15_000}); got < c.from || got > c.to {
+			t.Errorf("with %d nodes that keep sending, the cache is avoided after %.2f s, want %.2f to %.2f", c.sendingNodes, got, c.from, c.to)
 		}
 	}
 }
--- a/internal/testbed/experiment/golden_test.go
+++ b/internal/testbed/experiment/golden_test.go
@@ -10,7 +10,7 @@
 
 func pointerTo[T any](v T) *T { return &v }
 
-// goldenFull is testdata/golden/full.toml: every key of an experiment file, with values that are not defaults.
+// goldenFull returns the content of testdata/golden/full.toml, which sets the keys of an experiment file to values that are not defaults.
 func goldenFull() *Experiment {
 	return &Experiment{
 		Name: "full", About: "every field of an experiment file", Seed: 42, Settle: 1500 * millisecond, Length: 20 * second,
@@ -46,7 +46,7 @@
 	}
 }
 
-// goldenFleet is the section [fleet] of full.toml.
+// goldenFleet returns the section [fleet] of full.toml.
 func goldenFleet() FleetConfig {
 	return FleetConfig{
 		Zones: []string{"a", "b"},
@@ -70,7 +70,7 @@
 	}
 }
 
-// goldenClasses are the classes of full.toml.
+// goldenClasses returns the classes of full.toml.
 func goldenClasses() []ClassConfig {
 	return []ClassConfig{
 		{
@@ -88,7 +88,7 @@
 	}
 }
 
-// goldenMinimal is testdata/golden/minimal.toml: what holds where a file says nothing.
+// goldenMinimal returns the content of testdata/golden/minimal.toml, which leaves all other fields at their defaults.
 func goldenMinimal() *Experiment {
 	return &Experiment{
 		Name: "minimal", Seed: 1, Settle: 5 * second, Length: 15 * second,
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestGoldenExperiments reads experiment files, whose keys and defaults may not change.
+// The keys and defaults of experiment files must not change, since existing files depend on them.
 func TestGoldenExperiments(t *testing.T) {
 	for name, want := range map[string]*Experiment{"full.toml": goldenFull(), "minimal.toml": goldenMinimal()} {
 		text := goldentest.Read(t, name)
@@ -129,9 +129,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.file = nil // lines of fields, for errors
+		x.file = nil // only used for errors
 		if !reflect.DeepEqual(x, want) {
-			t.Errorf("%s reads as\n%+v\nwas\n%+v", name, x, want)
+			t.Errorf("%s reads as\n%+v\nwant\n%+v", name, x, want)
 		}
 	}
 }
--- a/internal/testbed/experiment/latencies.go
+++ b/internal/testbed/experiment/latencies.go
@@ -21,7 +21,7 @@
 
 // Record records a latency in ms.
 func (l *Latencies) Record(ms float64) {
-	_ = l.histogram.RecordValue(int64(max(1, microsPerMs*ms))) // one that is out of range is of a run that is invalid anyway
+	_ = l.histogram.RecordValue(int64(max(1, microsPerMs*ms))) // a latency out of range occurs only in runs that are invalid anyway
 }
 
 // Merge adds the latencies of another histogram.
--- a/internal/testbed/experiment/nodefigures.go
+++ b/internal/testbed/experiment/nodefigures.go
@@ -8,64 +8,65 @@
 	"mintspring/internal/testbed/fakes"
 )
 
-// neverSeconds is the figure of something that does not come while a run lasts: longer than any experiment.
+// neverSeconds is the value of a time figure whose event does not happen before the run ends. It is longer than any experiment.
 const neverSeconds = 1e6
 
-// What counts as holding off from a server.
+// Definition of avoiding a server.
 const (
-	holdOffWindowMs = 3000 // the window
-	holdOffShare    = 0.5  // a node sends at most this share of what it sent before
-	holdOffNodes    = 0.9  // and this share of the nodes does
+	avoidanceWindowMs  = 3000 // executions are counted over this time
+	avoidanceSendShare = 0.5  // a node sends at most this share of the executions that it sent before
+	avoidanceNodeShare = 0.9  // this share of the nodes avoids the server
 )
 
-// holdOffSeconds returns how long after the window's beginning nine in ten of the nodes that sent to a cache before have begun to hold off
-// from it. A node holds off from the last execution on after which it sends there, for three seconds, at most half of what it sent in as
-// long a time before; trial requests to a server that fails are a part of holding off.
-func (r *Run) holdOffSeconds(w measureWindow) float64 {
-	sent := map[int32][]float64{} // by node
+// avoidanceSeconds returns the time from the start of the window until nine in ten of the nodes that sent to a cache before avoid it. A node
+// avoids the cache as soon as it sends at most half of its usual number of executions there over three seconds. The limit is above 0
+// because a node that avoids a failing server still sends it trial requests.
+func (r *Run) avoidanceSeconds(w measureWindow) float64 {
+	sentTimes := map[int32][]float64{} // by node
 	r.eachExecution(measureWindow{class: w.class, server: w.server, fromMs: r.FromMs, toMs: r.ToMs}, func(e *ExecutionRecord) {
-		if r.role(e) == caches {
-			sent[e.Node] = append(sent[e.Node], e.FirstByteMs)
+		if r.executionRole(e) == caches {
+			sentTimes[e.Node] = append(sentTimes[e.Node], e.FirstByteMs)
 		}
 	})
 	var delays []float64
-	for _, times := range sent {
-		if usual := usualCount(times, r.FromMs, w.fromMs); usual >= 1 { // less is too little to tell
-			delays = append(delays, holdOffDelay(times, w, holdOffShare*usual))
+	for _, times := range sentTimes {
+		if usual := usualCount(times, r.FromMs, w.fromMs); usual >= 1 { // lower counts are too small to compare with
+			delays = append(delays, avoidanceDelay(times, w, avoidanceSendShare*usual))
 		}
 	}
 	if len(delays) == 0 {
 		return neverSeconds
 	}
 	slices.Sort(delays)
-	return min(neverSeconds, delays[int(math.Ceil(holdOffNodes*float64(len(delays))))-1])
+	return min(neverSeconds, delays[int(math.Ceil(avoidanceNodeShare*float64(len(delays))))-1])
 }
 
-// usualCount returns how many executions a node sent in the length of a hold-off window, by those before a time.
+// usualCount returns the mean number of executions that a node sent per avoidanceWindowMs before a time.
 func usualCount(times []float64, runFromMs, beforeMs float64) float64 {
-	return float64(sort.SearchFloat64s(times, beforeMs)) / max(1, beforeMs-runFromMs) * holdOffWindowMs
+	return float64(sort.SearchFloat64s(times, beforeMs)) / max(1, beforeMs-runFromMs) * avoidanceWindowMs
 }
 
-// holdOffDelay returns when a node begins to send at most a number of executions in a hold-off window, in s from the beginning of the measured
-// one; +Inf for never.
-func holdOffDelay(times []float64, w measureWindow, maxCount float64) float64 {
+// avoidanceDelay returns the time until a node sends at most maxCount executions in the following avoidanceWindowMs, in s from the start of
+// the measured window. It is +Inf if that does not happen.
+func avoidanceDelay(times []float64, w measureWindow, maxCount float64) float64 {
 	const justAfterMs, justBeforeMs = 1e-6, 1e-9
 	countBefore := func(ms float64) int { return sort.SearchFloat64s(times, ms) }
 	for i, from := range append([]float64{w.fromMs}, times[countBefore(w.fromMs):]...) {
-		if from+holdOffWindowMs > w.toMs {
+		if from+avoidanceWindowMs > w.toMs {
 			break
 		}
 		if i == 0 {
 			from -= justBeforeMs // to hold off at once it has to send nothing
 		}
-		if float64(countBefore(from+holdOffWindowMs)-countBefore(from+justAfterMs)) <= maxCount {
+		if float64(countBefore(from+avoidanceWindowMs)-countBefore(from+justAfterMs)) <= maxCount {
 			return max(0, (from-w.fromMs)/msPerSec)
 		}
 	}
 	return math.Inf(1)
 }
 
-// longestDrainMs returns the longest time from the notification of a drain to the last execution that its node sent there.
+// longestDrainMs returns the longest time from a node's notification of a drain to the last execution that the node sent to the draining
+// server, in ms.
 func (r *Run) longestDrainMs(w measureWindow) float64 {
 	type nodeServer struct{ node, server int32 }
 	drainedAt := map[nodeServer]float64{}
@@ -83,7 +84,7 @@
 			}
 			notifications = notifications[1:]
 		}
-		if at, isDraining := drainedAt[nodeServer{e.Node, e.Server}]; isDraining && w.hasTime(e.FirstByteMs) {
+		if at, isDraining := drainedAt[nodeServer{e.Node, e.Server}]; isDraining && w.includesTime(e.FirstByteMs) {
 			longest = max(longest, e.FirstByteMs-at)
 		}
 	}
@@ -100,7 +101,7 @@
 	return float64(greatestSampled(r.Samples, func(s *Sample) []int { return s.NodeDescriptors }))
 }
 
-// greatestSampled returns the greatest value of all nodes in all samples, 0 if there is none.
+// greatestSampled returns the greatest value of any node in any sample, or 0 if there is none.
 func greatestSampled[T int | float64](samples []Sample, byNode func(*Sample) []T) T {
 	var greatest T
 	for i := range samples {
--- a/internal/testbed/experiment/nodesettings.go
+++ b/internal/testbed/experiment/nodesettings.go
@@ -9,13 +9,13 @@
 	"mintspring/internal/testbed/invariants"
 )
 
-// micros is a time of the platform's settings.
+// micros is a duration in the platform's settings, in microseconds.
 type micros int64
 
-// toMicros converts a time by way of ms: recorded runs depend on how that rounds.
+// toMicros converts a duration by way of floating-point ms: the results of recorded runs depend on that rounding.
 func toMicros(d tomlfile.Duration) micros { return micros(d.Milliseconds() * microsPerMs) }
 
-// nodeSettings are the platform's settings of a node; package settings reads them.
+// nodeSettings holds the platform's settings of a node, in the JSON form that package settings reads.
 type nodeSettings struct {
 	NInstances     int
 	SelfIndex      int
@@ -66,18 +66,18 @@
 	TipAfter                                  micros
 }
 
-// settingsEffects are the names of what classes allow, in the settings.
+// settingsEffects maps write semantics to the names of effects in the settings.
 var settingsEffects = map[invariants.WriteSemantics]string{
 	invariants.Idempotent: "pure", invariants.Deduplicated: "token", invariants.NonIdempotent: "side_effect",
 }
 
-// originKindIndex is the place of the origin's kind among those of the settings.
+// originKindIndex is the index of the origin's kind in nodeSettings.Kinds.
 const originKindIndex = 1
 
 // NodeSeed returns the seed of a node in a run with the given seed.
 func NodeSeed(seed uint64, node int) uint64 {
-	const spread = 1_000_003 // keeps the seeds of one run's nodes apart from those of the next one's
-	return seed*spread + uint64(node) + 1
+	const seedStride = 1_000_003 // keeps the node seeds of runs with consecutive seeds distinct
+	return seed*seedStride + uint64(node) + 1
 }
 
 // NodeSettings returns the platform's settings of a node, as JSON.
@@ -89,8 +89,8 @@
 	return text, nil
 }
 
-// RetunedSettings returns other settings for a node, as operators may give them under load: idempotent writes may not be repeated any more,
-// a class is added, and there is one attempt more.
+// RetunedSettings returns changed settings for a node, as operators may apply them under load: idempotent writes become non-idempotent, a
+// class is added, and one more attempt is allowed.
 func (x *Experiment) RetunedSettings(node int) ([]byte, error) {
 	s := x.nodeSettings(node)
 	for i := range x.Classes {
@@ -104,15 +104,15 @@
 	s.PolicyLimits.MaxExecutions++
 	text, err := json.Marshal(s)
 	if err != nil {
-		return nil, fmt.Errorf("encoding the other settings of node %d: %w", node, err)
+		return nil, fmt.Errorf("encoding the retuned settings of node %d: %w", node, err)
 	}
 	return text, nil
 }
 
-// addedClass is the name of a class that only RetunedSettings has.
+// addedClass is the name of the class that RetunedSettings adds.
 const addedClass = "added-by-retuning"
 
-// BecomesStricter reports whether requests of the class may not be repeated under RetunedSettings, and otherwise may.
+// BecomesStricter reports whether requests of the class may be repeated, but not under RetunedSettings.
 func (c *ClassConfig) BecomesStricter() bool { return c.Write && c.semantics == invariants.Idempotent }
 
 func (x *Experiment) nodeSettings(node int) *nodeSettings {
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -6,23 +6,23 @@
 	"time"
 )
 
-// NeverRecovered is the figure of a recovery that does not come while a run lasts.
+// NeverRecovered is the value of recovery_s when service does not recover before the run ends.
 const NeverRecovered = neverSeconds
 
 const (
 	// recoveredShare is the share of the service before the first fault that counts as recovered.
 	recoveredShare = 0.95
-	// steadySeconds is for how many seconds on end it has to be reached.
+	// steadySeconds is the number of consecutive seconds for which service must reach recoveredShare.
 	steadySeconds = 2
 )
 
-// faultWindow is when the faults of a run happened, and what was served before.
+// faultWindow is the time span of a run's faults, with the service level before it.
 type faultWindow struct {
 	fromMs, toMs  float64 // from the first step of the timeline to the last
-	serviceBefore float64
+	serviceBefore float64 // objective share before the first step
 }
 
-// faultWindow returns when the faults of the run happened; false: there were none, or nothing was served before that could recover.
+// faultWindow returns the time span of the run's faults. It returns false if there were no faults, or no service before them.
 func (r *Run) faultWindow() (w faultWindow, ok bool) {
 	w.fromMs = math.Inf(1)
 	for _, event := range r.Experiment.Timeline() {
@@ -33,24 +33,24 @@
 	if !ok {
 		return w, false
 	}
-	w.serviceBefore = r.objectiveShare(window(r.FromMs, w.fromMs))
+	w.serviceBefore = r.objectiveShare(timeWindow(r.FromMs, w.fromMs))
 	return w, w.serviceBefore > 0
 }
 
-// servicePerSecond returns the service in each second from a time on, of those in which requests were due.
+// servicePerSecond returns the objective share of each second from a time on, without the seconds in which no request was due.
 func (r *Run) servicePerSecond(fromMs float64) (service []float64) {
 	const roundingMs = 1
 	for at := fromMs; at+msPerSec <= r.ToMs+roundingMs; at += msPerSec {
-		if second := window(at, at+msPerSec); r.requestCount(second) > 0 {
+		if second := timeWindow(at, at+msPerSec); r.requestCount(second) > 0 {
 			service = append(service, r.objectiveShare(second))
 		}
 	}
 	return service
 }
 
-// recoverySeconds returns the time from the end of the last fault until service is back to a share of what it was before the first one, and
-// stays there. It is 0 where there is no fault, no time before it, or too little time after it to tell, and NeverRecovered where service does
-// not come back while the run lasts: then a fault keeps itself alive after its cause has gone.
+// recoverySeconds returns the time from the end of the last fault until service reaches recoveredShare of its level before the first one for
+// steadySeconds. It is 0 if there is no fault, no service before it, or too little time after it. It is NeverRecovered if service does not
+// recover before the run ends: then the failure is metastable and sustains itself after its cause has gone.
 func (r *Run) recoverySeconds(measureWindow) float64 {
 	faults, ok := r.faultWindow()
 	if !ok {
@@ -60,16 +60,16 @@
 	if len(service) < steadySeconds {
 		return 0
 	}
-	isLow := func(share float64) bool { return share < recoveredShare*faults.serviceBefore }
+	isBelow := func(share float64) bool { return share < recoveredShare*faults.serviceBefore }
 	for i := range len(service) - steadySeconds + 1 {
-		if !slices.ContainsFunc(service[i:i+steadySeconds], isLow) {
+		if !slices.ContainsFunc(service[i:i+steadySeconds], isBelow) {
 			return float64(i)
 		}
 	}
 	return NeverRecovered
 }
 
-// worstSecond returns the worst second of service from the first fault on, as a share of what it was before.
+// worstSecond returns the service in the worst second from the first fault on, as a share of its level before.
 func (r *Run) worstSecond(measureWindow) float64 {
 	faults, ok := r.faultWindow()
 	if !ok {
--- a/internal/testbed/experiment/report.go
+++ b/internal/testbed/experiment/report.go
@@ -21,7 +21,7 @@
 	plotHeight = 2.6 * vg.Inch
 )
 
-// palette are colours that can be told apart, also in print.
+// palette holds colours that remain distinguishable in print.
 var palette = []color.Color{
 	color.RGBA{31, 119, 180, 255},
 	color.RGBA{214, 39, 40, 255},
@@ -35,13 +35,13 @@
 	color.RGBA{227, 119, 194, 255},
 }
 
-// reportPage is what the report's template shows.
+// reportPage is the data of the report's template.
 type reportPage struct {
 	Sections []reportSection
 	Table    string
 }
 
-// reportSection is one verdict.
+// reportSection is the data of one verdict in the report.
 type reportSection struct {
 	Verdict
 	Line  string
@@ -57,7 +57,7 @@
 <pre>{{.Text}}</pre>{{if .Events}}<ul>{{range .Events}}<li>{{printf "%.1f" .AtSeconds}} s: {{.Description}}</li>{{end}}</ul>{{end}}
 {{range .Plots}}{{.}}{{end}}{{end}}<h2>All figures</h2><pre>{{.Table}}</pre>`))
 
-// WriteReport writes one HTML page about the verdicts of a folder, with all that it shows inside it. It returns the page's name.
+// WriteReport writes a self-contained HTML page about the verdicts of a folder. It returns the page's file name.
 func WriteReport(dir string) (file string, err error) {
 	verdicts, err := LoadVerdicts(dir)
 	if err != nil {
@@ -82,7 +82,7 @@
 	return file, nil
 }
 
-// newReportSection draws the plots of a verdict.
+// newReportSection returns the section of a verdict with its plots.
 func newReportSection(v *Verdict) (reportSection, error) {
 	section := reportSection{Verdict: *v, Line: v.String(), Text: v.Text()}
 	for _, p := range []linePlot{
@@ -101,7 +101,7 @@
 	return section, nil
 }
 
-// byServer names series by their servers.
+// byServer maps the names of servers to their series.
 func byServer(names []string, series [][]float64) map[string][]float64 {
 	named := map[string][]float64{}
 	for i, s := range series {
@@ -110,50 +110,50 @@
 	return named
 }
 
-// linePlot is a plot of series over the seconds of a run.
+// linePlot is a plot of one or more series over the seconds of a run.
 type linePlot struct {
 	title, unit string
 	lines       map[string][]float64 // by name
 }
 
-// draw draws the plot as SVG, with a mark at each event.
+// draw returns the plot as SVG, with a vertical line at each event.
 func (p *linePlot) draw(events []VerdictEvent) (template.HTML, error) {
 	canvas := plot.New()
 	canvas.Title.Text, canvas.X.Label.Text, canvas.Y.Label.Text, canvas.Y.Min = p.title, "s", p.unit, 0
 	canvas.Legend.Top = true
-	top, err := p.addLines(canvas)
+	maxValue, err := p.addLines(canvas)
 	if err != nil {
 		return "", err
 	}
 	for _, e := range events {
-		mark, err := plotter.NewLine(plotter.XYs{{X: e.AtSeconds, Y: 0}, {X: e.AtSeconds, Y: top}})
+		eventLine, err := plotter.NewLine(plotter.XYs{{X: e.AtSeconds, Y: 0}, {X: e.AtSeconds, Y: maxValue}})
 		if err != nil {
 			return "", err
 		}
-		mark.Color, mark.Dashes = color.Gray{160}, []vg.Length{2, 3}
-		canvas.Add(mark)
+		eventLine.Color, eventLine.Dashes = color.Gray{160}, []vg.Length{2, 3}
+		canvas.Add(eventLine)
 	}
-	writer, err := canvas.WriterTo(plotWidth, plotHeight, "svg")
+	svgWriter, err := canvas.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return "", err
 	}
 	var svg bytes.Buffer
-	if _, err := writer.WriteTo(&svg); err != nil {
+	if _, err := svgWriter.WriteTo(&svg); err != nil {
 		return "", err
 	}
 	if start := bytes.Index(svg.Bytes(), []byte("<svg")); start > 0 {
-		svg.Next(start) // a page within a page has no header of its own
+		svg.Next(start) // skips the XML header, which must not stand inside an HTML page
 	}
 	return template.HTML(svg.String()), nil
 }
 
-// addLines adds the series and returns the greatest value. A legend is drawn where each has a colour of its own.
-func (p *linePlot) addLines(canvas *plot.Plot) (top float64, err error) {
+// addLines adds the series and returns the greatest value. The legend is left out if there are more series than colours.
+func (p *linePlot) addLines(canvas *plot.Plot) (maxValue float64, err error) {
 	for i, name := range slices.Sorted(maps.Keys(p.lines)) {
 		var points plotter.XYs
 		for second, value := range p.lines[name] {
 			points = append(points, plotter.XY{X: float64(second) + 0.5, Y: value})
-			top = max(top, value)
+			maxValue = max(maxValue, value)
 		}
 		if len(points) == 0 {
 			continue
@@ -168,5 +168,5 @@
 			canvas.Legend.Add(name, line)
 		}
 	}
-	return top, nil
+	return maxValue, nil
 }
--- a/internal/testbed/experiment/requestfigures.go
+++ b/internal/testbed/experiment/requestfigures.go
@@ -12,19 +12,19 @@
 func (r *Run) eachRequest(w measureWindow, f func(*Request)) {
 	first := sort.Search(len(r.Requests), func(i int) bool { return r.Requests[i].DueMs >= w.fromMs })
 	for i := first; i < len(r.Requests) && r.Requests[i].DueMs < w.toMs; i++ {
-		if request := &r.Requests[i]; w.hasClass(request.Class) {
+		if request := &r.Requests[i]; w.includesClass(request.Class) {
 			f(request)
 		}
 	}
 }
 
-// requestCount returns how many requests were due in a window.
+// requestCount returns the number of requests that were due in a window.
 func (r *Run) requestCount(w measureWindow) (count int) {
 	r.eachRequest(w, func(*Request) { count++ })
 	return count
 }
 
-// objectiveShare returns the share of the priority weight of all requests that was completed within the latency objective.
+// objectiveShare returns the share of the priority weight of all requests that belongs to requests completed within their latency objective.
 func (r *Run) objectiveShare(w measureWindow) float64 {
 	total, met := 0.0, 0.0
 	r.eachRequest(w, func(request *Request) {
@@ -39,17 +39,17 @@
 // outcomeShare measures the share of requests with an outcome.
 func outcomeShare(outcome invariants.Outcome) func(*Run, measureWindow) float64 {
 	return func(r *Run, w measureWindow) float64 {
-		all, with := 0, 0
+		total, matching := 0, 0
 		r.eachRequest(w, func(request *Request) {
-			if all++; request.Outcome == outcome {
-				with++
+			if total++; request.Outcome == outcome {
+				matching++
 			}
 		})
-		return ratioOrZero(float64(with), float64(all))
+		return ratioOrZero(float64(matching), float64(total))
 	}
 }
 
-// latencyQuantile measures a quantile of the time from due to response, of requests that were completed, in ms.
+// latencyQuantile measures a quantile of the time from due to response of completed requests, in ms.
 func latencyQuantile(percent float64) func(*Run, measureWindow) float64 {
 	return func(r *Run, w measureWindow) float64 {
 		latencies := NewLatencies()
@@ -62,20 +62,21 @@
 	}
 }
 
-// attemptsPerRequest returns how many attempts clients made for a request.
+// attemptsPerRequest returns the mean number of attempts that clients made for a request.
 func (r *Run) attemptsPerRequest(w measureWindow) float64 {
 	requests, attempts := 0, 0
 	r.eachRequest(w, func(request *Request) { requests, attempts = requests+1, attempts+request.Attempts })
 	return ratioOrZero(float64(attempts), float64(requests))
 }
 
-// executionsPerRequest returns how many executions at servers there were for a request.
+// executionsPerRequest returns the mean number of executions at servers for a request.
 func (r *Run) executionsPerRequest(w measureWindow) float64 {
 	executions := r.countExecutions(w, func(*ExecutionRecord) bool { return true })
 	return ratioOrZero(float64(executions), float64(r.requestCount(w)))
 }
 
-// wrongKeysAfterDetection counts wrong responses that a node could have avoided: of servers that it had seen respond twice.
+// wrongKeysAfterDetection counts wrong responses that a node could have avoided: it sent the request after it had detected a duplicate
+// response of that server.
 func (r *Run) wrongKeysAfterDetection(measureWindow) float64 {
 	count := 0
 	for _, wrong := range r.WrongKeyResponses {
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -10,56 +10,56 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// MaxLatenessMs is how late the bench itself may be, at p99 in ms, for a run to count. A machine that is too busy makes nodes look bad
-// that are not.
+// MaxLatenessMs is the greatest lateness of the bench itself, at p99 in ms, in a valid run. On a machine that is too busy, nodes seem to
+// perform worse than they do.
 const MaxLatenessMs = 20
 
-// latenessWindowMs is how far around a late response the bench's own lateness speaks for it, in ms.
+// latenessWindowMs is the time before and after a late response in which lateness of the bench itself excuses it, in ms.
 const latenessWindowMs = 200
 
-// Run is one run of an experiment as it was seen. Times are Unix ms.
+// Run is the record of one run of an experiment. Times are Unix ms.
 type Run struct {
 	Experiment   *Experiment
 	Program      string
 	Seed         uint64
-	FromMs, ToMs float64 // of the measurement
+	FromMs, ToMs float64 // start and end of the measurement
 
-	Requests            []Request         // in the order in which they were due
-	Executions          []ExecutionRecord // in the order in which they came
+	Requests            []Request         // in the order of their due times
+	Executions          []ExecutionRecord // in the order of their first bytes
 	ConnectionEvents    []fakes.ConnectionEvent
 	Notifications       []fakes.Notification
 	Samples             []Sample
 	Events              []Event
 	Collapses           []invariants.Collapse // one for each server that collapsed
-	OriginCollapses     int
+	OriginCollapses     int                   // how often the origin collapsed
 	Violations          []invariants.Violation
 	WrongKeyResponses   []invariants.WrongKeyResponse
 	DuplicateDetections []fakes.DuplicateDetection
 	DiscoveryCalls      int
-	MovedKeyShare       float64 // share of keys with another owner at the end than at the beginning; UnknownMovedKeyShare: it is not seen
+	MovedKeyShare       float64 // share of keys whose owner at the end differs from that at the beginning, or UnknownMovedKeyShare
 	LatenessMs          float64 // of the bench itself, at p99
 
 	originIndex int
 }
 
-// UnknownMovedKeyShare says that a run does not see the owners of keys.
+// UnknownMovedKeyShare is the MovedKeyShare of a run that cannot observe the owners of keys.
 const UnknownMovedKeyShare = -1
 
-// Sample is what was seen at one moment.
+// Sample is the state of servers and nodes at one time.
 type Sample struct {
 	AtMs            float64
 	Servers         []fakes.ServerSnapshot
-	NodeMemoryMB    []float64 // resident memory by node; nil where none was taken
+	NodeMemoryMB    []float64 // resident memory by node; nil if not sampled
 	NodeDescriptors []int     // open descriptors by node
 }
 
-// Event is one thing that the timeline did.
+// Event is a step that the timeline carried out.
 type Event struct {
 	AtMs        float64
 	Description string
 }
 
-// NewRun begins the record of a run that is measured from a time to another.
+// NewRun returns an empty record of a run that is measured between two times.
 func NewRun(x *Experiment, program string, seed uint64, fromMs, toMs float64) *Run {
 	return &Run{
 		Experiment: x, Program: program, Seed: seed, FromMs: fromMs, ToMs: toMs,
@@ -72,7 +72,8 @@
 	r.ConnectionEvents = append(r.ConnectionEvents, fakes.ConnectionEvent{AtMs: atMs, Server: server, Node: node, Refused: refused})
 }
 
-// RecordCollapses records how often a server collapsed, and returns what the rules have to say to that; nil for nothing.
+// RecordCollapses records how often a server collapsed under overload. It returns the collapse for the caller to check against the rules, or
+// nil if the server did not collapse.
 func (r *Run) RecordCollapses(server string, isOrigin bool, count int, blamedShare float64) *invariants.Collapse {
 	if isOrigin {
 		r.OriginCollapses = count
@@ -84,7 +85,7 @@
 	return &r.Collapses[len(r.Collapses)-1]
 }
 
-// LatenessP99 returns how late the bench sent requests at p99, in ms.
+// LatenessP99 returns the p99 of the lateness with which the bench sent requests, in ms.
 func LatenessP99(requests []Request) float64 {
 	if len(requests) == 0 {
 		return 0
@@ -97,8 +98,8 @@
 	return lateness[len(lateness)*99/100]
 }
 
-// WorstLateness returns how late the bench itself was at its worst around a late response. A machine that pauses for a moment delays
-// the bench and the nodes alike, which p99 of a run does not show.
+// WorstLateness returns the greatest lateness of the bench itself around a late response, in ms. A short pause of the machine delays the
+// bench and the nodes alike, but does not show in the p99 of a run.
 func WorstLateness(requests []Request, fromMs, toMs float64) (worst float64) {
 	first := sort.Search(len(requests), func(i int) bool { return requests[i].DueMs >= fromMs-latenessWindowMs })
 	for i := first; i < len(requests) && requests[i].DueMs <= toMs+latenessWindowMs; i++ {
@@ -107,23 +108,23 @@
 	return worst
 }
 
-// ExecutionRecord is what figures need of one execution. Runs have many millions.
+// ExecutionRecord holds the fields of an execution that figures need. It is small because runs have many millions of executions.
 type ExecutionRecord struct {
-	FirstByteMs    float64 // when its first byte came
+	FirstByteMs    float64 // when its first byte arrived at the server
 	Server         int32
 	Node           int32
 	Class          int16
 	Outcome        servermodel.Outcome
 	Write          bool
-	RepeatedEffect bool // it had an effect although an earlier one with its idempotency key did
+	RepeatedEffect bool // it had an effect, and so did an earlier execution with its idempotency key
 }
 
-// ExecutionRecorder records executions in the order in which they came.
+// ExecutionRecorder records executions in the order of their arrival.
 type ExecutionRecorder struct {
 	Executions []ExecutionRecord
 
 	classIndexes map[string]int16
-	appliedKeys  map[string]bool // idempotency keys, or request IDs, with an effect
+	appliedKeys  map[string]bool // idempotency keys (request IDs if there is no key) of executions that had an effect
 }
 
 // NewExecutionRecorder returns an empty recorder.
@@ -135,11 +136,11 @@
 	return r
 }
 
-// Add records an execution that has come and ended.
+// Add records an execution that has arrived and ended.
 func (r *ExecutionRecorder) Add(e *servermodel.Execution) { r.Ended(r.Arrived(e), e) }
 
-// Arrived records an execution that has come, and returns its place.
-func (r *ExecutionRecorder) Arrived(e *servermodel.Execution) (place int) {
+// Arrived records the arrival of an execution and returns its index.
+func (r *ExecutionRecorder) Arrived(e *servermodel.Execution) (index int) {
 	r.Executions = append(r.Executions, ExecutionRecord{
 		FirstByteMs: e.FirstByte, Server: int32(e.Server), Node: int32(e.Node),
 		Class: r.classIndexes[e.Class], Outcome: e.Outcome, Write: e.Write,
@@ -147,10 +148,10 @@
 	return len(r.Executions) - 1
 }
 
-// Ended records how the execution at a place ended. Effects beyond the first under an idempotency key also count over the retries of a
-// client: those that come of its return after the deduplication window are no node's fault.
-func (r *ExecutionRecorder) Ended(place int, e *servermodel.Execution) {
-	record := &r.Executions[place]
+// Ended records how the execution at an index ended. Repeated effects under an idempotency key are also counted across the retries of a
+// client, although no node is at fault if the client retries after the deduplication window.
+func (r *ExecutionRecorder) Ended(index int, e *servermodel.Execution) {
+	record := &r.Executions[index]
 	record.Outcome = e.Outcome
 	if !e.Applied {
 		return
--- a/internal/testbed/experiment/serverfigures.go
+++ b/internal/testbed/experiment/serverfigures.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// serverRole is which servers a figure is of.
+// serverRole selects the servers that a figure is about.
 type serverRole uint8
 
 const (
@@ -24,20 +24,22 @@
 	return caches
 }
 
-// role returns the role of the server of an execution.
-func (r *Run) role(e *ExecutionRecord) serverRole { return r.roleOf(servermodel.ServerID(e.Server)) }
+// executionRole returns the role of the server of an execution.
+func (r *Run) executionRole(e *ExecutionRecord) serverRole {
+	return r.roleOf(servermodel.ServerID(e.Server))
+}
 
-// eachExecution calls f for the executions that came in a window.
+// eachExecution calls f for the executions whose first byte arrived in a window.
 func (r *Run) eachExecution(w measureWindow, f func(*ExecutionRecord)) {
 	for i := range r.Executions {
 		e := &r.Executions[i]
-		if w.hasTime(e.FirstByteMs) && w.hasServer(servermodel.ServerID(e.Server)) && w.hasClass(int(e.Class)) {
+		if w.includesTime(e.FirstByteMs) && w.includesServer(servermodel.ServerID(e.Server)) && w.includesClass(int(e.Class)) {
 			f(e)
 		}
 	}
 }
 
-// countExecutions counts the executions of a window that fulfil a condition.
+// countExecutions counts the executions of a window that meet a condition.
 func (r *Run) countExecutions(w measureWindow, condition func(*ExecutionRecord) bool) (count int) {
 	r.eachExecution(w, func(e *ExecutionRecord) {
 		if condition(e) {
@@ -54,7 +56,7 @@
 
 // cacheExecutions counts the executions at caches.
 func (r *Run) cacheExecutions(w measureWindow) float64 {
-	return float64(r.countExecutions(w, func(e *ExecutionRecord) bool { return r.role(e) == caches }))
+	return float64(r.countExecutions(w, func(e *ExecutionRecord) bool { return r.executionRole(e) == caches }))
 }
 
 // hitShare returns the share of reads at caches that were hits.
@@ -62,7 +64,7 @@
 	hits, reads := 0, 0
 	r.eachExecution(w, func(e *ExecutionRecord) {
 		switch {
-		case e.Write || r.role(e) == origin:
+		case e.Write || r.executionRole(e) == origin:
 		case e.Outcome == servermodel.Served:
 			hits, reads = hits+1, reads+1
 		case e.Outcome == servermodel.CacheMiss:
@@ -72,16 +74,16 @@
 	return ratioOrZero(float64(hits), float64(reads))
 }
 
-// eachConnection calls f for the connections of a window that were refused, or for those that were not.
+// eachConnection calls f for the refused connections of a window, or for the accepted ones.
 func (r *Run) eachConnection(w measureWindow, refused bool, f func(*fakes.ConnectionEvent)) {
 	for i := range r.ConnectionEvents {
-		if c := &r.ConnectionEvents[i]; c.Refused == refused && w.hasTime(c.AtMs) && w.hasServer(c.Server) {
+		if c := &r.ConnectionEvents[i]; c.Refused == refused && w.includesTime(c.AtMs) && w.includesServer(c.Server) {
 			f(c)
 		}
 	}
 }
 
-// connectionCount measures how many connections were refused, or were not.
+// connectionCount measures the number of connections that were refused, or that were accepted.
 func connectionCount(refused bool) func(*Run, measureWindow) float64 {
 	return func(r *Run, w measureWindow) float64 {
 		count := 0
@@ -90,7 +92,8 @@
 	}
 }
 
-// peakOpensPerSecond returns the greatest number of connections to one cache in any second, wherever it begins.
+// peakOpensPerSecond returns the greatest number of connections opened to one cache in any interval of one second. The intervals are not
+// aligned to seconds of the run.
 func (r *Run) peakOpensPerSecond(w measureWindow) float64 {
 	opened := map[servermodel.ServerID][]float64{}
 	r.eachConnection(w, false, func(c *fakes.ConnectionEvent) {
@@ -118,17 +121,17 @@
 	second int
 }
 
-// serverSecond returns the second in which an execution came.
+// serverSecond returns the server of an execution and the second of the run in which its first byte arrived.
 func (r *Run) serverSecond(e *ExecutionRecord) serverSecond {
 	return serverSecond{servermodel.ServerID(e.Server), int((e.FirstByteMs - r.FromMs) / msPerSec)}
 }
 
-// peakExecutionsPerSecond measures the greatest number of executions at one server in one second.
+// peakExecutionsPerSecond measures the greatest number of executions at one server of a role in one second of the run.
 func peakExecutionsPerSecond(role serverRole) func(*Run, measureWindow) float64 {
 	return func(r *Run, w measureWindow) float64 {
 		counts, peak := map[serverSecond]int{}, 0
 		r.eachExecution(w, func(e *ExecutionRecord) {
-			if r.role(e) == role {
+			if r.executionRole(e) == role {
 				key := r.serverSecond(e)
 				counts[key]++
 				peak = max(peak, counts[key])
@@ -138,7 +141,7 @@
 	}
 }
 
-// collapsedCaches counts the caches that collapsed.
+// collapsedCaches counts the caches that collapsed under overload.
 func (r *Run) collapsedCaches(measureWindow) float64 {
 	count := 0
 	for _, c := range r.Collapses {
@@ -149,20 +152,21 @@
 	return float64(count)
 }
 
-// Two samples are about a second apart within these bounds, in ms.
+// Bounds of the time between two samples that count as one second apart, in ms.
 const (
 	minSamplePairMs = 900
 	maxSamplePairMs = 1050
 )
 
-// snapshotPair is a server at two moments that are about a second apart.
+// snapshotPair holds two snapshots of a server that are about a second apart.
 type snapshotPair struct {
 	server        servermodel.ServerID
 	before, after *fakes.ServerSnapshot
 	elapsedMs     float64
 }
 
-// eachSnapshotPair calls f for the servers of a role, for each sample of a window and one about a second before.
+// eachSnapshotPair calls f for each sample of a window and each server of a role, with the server's snapshots in that sample and in one
+// about a second earlier. Samples without an earlier one are left out.
 func (r *Run) eachSnapshotPair(w measureWindow, role serverRole, f func(snapshotPair)) {
 	for i := range r.Samples {
 		after := &r.Samples[i]
@@ -174,15 +178,15 @@
 		if elapsedMs < minSamplePairMs {
 			continue
 		}
-		for place := range after.Servers {
-			if server := servermodel.ServerID(place); r.roleOf(server) == role && w.hasServer(server) {
-				f(snapshotPair{server, &before.Servers[place], &after.Servers[place], elapsedMs})
+		for index := range after.Servers {
+			if server := servermodel.ServerID(index); r.roleOf(server) == role && w.includesServer(server) {
+				f(snapshotPair{server, &before.Servers[index], &after.Servers[index], elapsedMs})
 			}
 		}
 	}
 }
 
-// peakUtilization measures the greatest utilization of a server in one second.
+// peakUtilization measures the greatest utilization of any server of a role in one second.
 func peakUtilization(role serverRole) func(*Run, measureWindow) float64 {
 	return func(r *Run, w measureWindow) float64 {
 		peak := 0.0
@@ -194,7 +198,7 @@
 	}
 }
 
-// peakQueue measures the greatest number of executions that waited at a server.
+// peakQueue measures the greatest number of executions that waited at any server of a role.
 func peakQueue(role serverRole) func(*Run, measureWindow) float64 {
 	return func(r *Run, w measureWindow) float64 {
 		peak := 0
--- a/internal/testbed/experiment/system.go
+++ b/internal/testbed/experiment/system.go
@@ -8,52 +8,52 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// System is what a timeline acts on: real processes among fake servers, or simulated ones. Its methods are called from one goroutine,
-// and errors end the run.
+// System is the system under test, on which the steps of a timeline act: real processes with fake servers, or a simulation. Its methods
+// are called from one goroutine. An error ends the run.
 type System interface {
-	// SetRateFactor has clients send the given multiple of the experiment's rate.
-	SetRateFactor(multiple float64)
-	// Server returns a server by its place; the origin is the last one.
-	Server(place int) ServerControl
-	// Node returns a node by its number.
+	// SetRateFactor sets the rate of clients to a multiple of the experiment's rate.
+	SetRateFactor(factor float64)
+	// Server returns a server by its index in Experiment.ServerSpecs; the origin is the last one.
+	Server(index int) ServerControl
+	// Node returns a node by its index.
 	Node(index int) NodeControl
 	Discovery() DiscoveryControl
-	// RelocateDiscovery moves the discovery service to other addresses, of which nodes learn by a reload of their configuration.
+	// RelocateDiscovery moves the discovery service to other addresses. Nodes learn them by reloading their configuration.
 	RelocateDiscovery() error
 	// UpdateLinks changes the links between nodes.
 	UpdateLinks(change func(*faultrelay.Links)) error
 }
 
-// ServerControl acts on one server. A process that is killed resets its connections; one that is blackholed leaves them open, and
-// without a node named it is so for all of them.
+// ServerControl acts on one server. Kill resets the server's connections. SetBlackholed leaves them open without carrying data, for the
+// given nodes or, if none is given, for all.
 type ServerControl interface {
 	SetPhase(phase string)
 	AssignNewID()
 	Kill()
 	Restart(warm bool) error
 	SetPaused(paused bool)
-	SetSlowdown(multiple float64)
+	SetSlowdown(factor float64) // multiplies the duration of executions
 	SetRefusing(refusing bool) error
 	ResetConnections()
 	SetBlackholed(blackholed bool, nodes ...servermodel.NodeID)
 	SetFaults(faults fakes.Faults)
 }
 
-// NodeControl acts on one node. None of its methods waits for a process to start or to end.
+// NodeControl acts on one node. Its methods return without waiting for a process to start or exit.
 type NodeControl interface {
 	Kill()
 	Stop()  // gracefully
-	Start() // once it has ended
+	Start() // after the previous process has exited
 	Reload() error
-	SetFrozen(frozen bool)
-	PauseFor(duration time.Duration) error                             // it stands still, and counts as running
-	ReloadTruncated() error                                            // of a configuration that is cut short
-	OpenIdleConnections(connections int, duration time.Duration) error // clients connect and say nothing
+	SetFrozen(frozen bool)                                             // suspends or resumes the process; a frozen node counts as down
+	PauseFor(duration time.Duration) error                             // suspends the process for a time; the node counts as running
+	ReloadTruncated() error                                            // reloads a truncated configuration file
+	OpenIdleConnections(connections int, duration time.Duration) error // clients that connect and send nothing
 	SetStandby(standby bool) error
-	SetExcluded(server string, excluded bool) error // as its operators call it; the server is one of the experiment's file
-	SetRetuned(stricter bool) error                 // settings with other classes and limits, as RetunedSettings has them
+	SetExcluded(server string, excluded bool) error // the operator's command; the server is named as in the experiment file
+	SetRetuned(retuned bool) error                  // switches to the settings of RetunedSettings, or back
 	HotRestart() error
-	ReplaceMachine() // it loses its disk, and another one begins under its name
+	ReplaceMachine() // starts a new machine under the same name, with an empty disk
 }
 
 // DiscoveryControl acts on the discovery service.
@@ -62,5 +62,5 @@
 	SetUnavailable(unavailable bool)
 	SetStalled(stalled bool)
 	ResetRevision()
-	SetClockOffset(ms float64) // of servers' clocks against the nodes': starts are listed so much later
+	SetClockOffset(ms float64) // sets how far the servers' clocks are ahead of the nodes'; listed start times are later by as much
 }
--- a/internal/testbed/experiment/timeline.go
+++ b/internal/testbed/experiment/timeline.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/testbed/fakes"
 )
 
-// Step is something that happens at a time, counted from the end of the settling time.
+// Step is an action at a time, which counts from the end of the settling time.
 type Step struct {
 	Time   tomlfile.Duration `toml:"time"`
 	Action string            `toml:"do"`
@@ -21,24 +21,24 @@
 	Share  float64           `toml:"share"` // or a share of all caches
 	Node   *int              `toml:"node"`
 	Value  float64           `toml:"value"`
-	Delay  tomlfile.Duration `toml:"late"` // of late_surplus: of the duplicate response; of injure_peers: of each datagram
+	Delay  tomlfile.Duration `toml:"late"` // late_surplus: of the duplicate response; injure_peers: of each datagram; hold_node, crowd_node: duration
 
-	Nodes          []int             `toml:"nodes"`   // of links between nodes: from these; left out: all
-	Peers          []int             `toml:"others"`  // and to these; left out: all
-	OneWay         bool              `toml:"one_way"` // and not back
-	LossRate       float64           `toml:"lose"`    // of injure_peers: share of datagrams that are lost
-	Jitter         tomlfile.Duration `toml:"spread"`  // each is delayed by up to this much more
-	Duplicates     int               `toml:"again"`   // number of duplicates of each
-	DuplicateDelay tomlfile.Duration `toml:"after"`   // their delay
-	CorruptRate    float64           `toml:"spoil"`   // share with a flipped bit
-	TruncateRate   float64           `toml:"short"`   // share that is cut short
-	BytesPerSecond float64           `toml:"rate"`    // throughput of a link; 0: no limit
-	Duration       tomlfile.Duration `toml:"for"`     // it is undone after this time; 0: never
+	Nodes          []int             `toml:"nodes"`   // senders of the links that a step acts on; left out: all nodes
+	Peers          []int             `toml:"others"`  // receivers of these links; left out: all nodes
+	OneWay         bool              `toml:"one_way"` // the links in the reverse direction are not affected
+	LossRate       float64           `toml:"lose"`    // injure_peers: share of datagrams that are lost
+	Jitter         tomlfile.Duration `toml:"spread"`  // greatest additional delay of each datagram
+	Duplicates     int               `toml:"again"`   // number of duplicates of each datagram
+	DuplicateDelay tomlfile.Duration `toml:"after"`   // delay of the duplicates
+	CorruptRate    float64           `toml:"spoil"`   // share of datagrams with a flipped bit
+	TruncateRate   float64           `toml:"short"`   // share of datagrams that are truncated
+	BytesPerSecond float64           `toml:"rate"`    // throughput of a link; 0: unlimited
+	Duration       tomlfile.Duration `toml:"for"`     // the step is undone after this time; 0: never
 	Interval       tomlfile.Duration `toml:"every"`   // between repeats
-	Repeats        int               `toml:"times"`   // how often it is done; 0: once
+	Repeats        int               `toml:"times"`   // number of times that the step is carried out; 0: once
 }
 
-// String says what the step does.
+// String describes the step.
 func (s Step) String() string {
 	text := s.Action
 	for _, target := range []string{s.Server, s.Zone} {
@@ -58,13 +58,13 @@
 	return text
 }
 
-// TimelineEvent is one moment of an experiment's timeline.
+// TimelineEvent is a step with the time at which it is carried out.
 type TimelineEvent struct {
 	At   time.Duration // from the end of the settling time
 	Step Step
 }
 
-// Timeline returns all that happens, in order: steps, their repeats, and what undoes them.
+// Timeline returns all events in order of time: steps, their repeats, and the steps that undo them.
 func (x *Experiment) Timeline() []TimelineEvent {
 	var events []TimelineEvent
 	for _, step := range x.Steps {
@@ -80,18 +80,18 @@
 	return events
 }
 
-// inverse is the step that undoes this one.
+// inverse returns the step that undoes this one.
 func (s Step) inverse() Step {
 	a := actions[s.Action]
 	s.Action, s.Value = a.inverse, a.inverseValue
 	return s
 }
 
-// targetStream separates the draw of targets from other random numbers under the same seed.
+// targetStream separates the random numbers that select targets from others under the same seed.
 const targetStream = 19
 
-// targets returns the places of the servers that a step acts on. A share selects the same ones when it is undone.
-func (x *Experiment) targets(s Step, seed uint64) (places []int) {
+// targets returns the indexes of the servers that a step acts on. A step by share and its inverse select the same servers.
+func (x *Experiment) targets(s Step, seed uint64) (indexes []int) {
 	specs := x.ServerSpecs()
 	caches := specs[:len(specs)-1] // the origin is the last one
 	switch {
@@ -100,10 +100,10 @@
 	case s.Zone != "":
 		for i, spec := range caches {
 			if spec.Zone == s.Zone {
-				places = append(places, i)
+				indexes = append(indexes, i)
 			}
 		}
-		return places
+		return indexes
 	}
 	count := int(math.Ceil(s.Share * float64(len(caches))))
 	return rand.New(rand.NewPCG(seed, targetStream)).Perm(len(caches))[:count]
--- a/internal/testbed/experiment/validate.go
+++ b/internal/testbed/experiment/validate.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/testbed/invariants"
 )
 
-// Sizes of experiments. Real processes on one machine bear far less than simulated ones.
+// Limits of experiments. Those for real processes are far lower, since all of them run on one machine.
 const (
 	maxNodes = 2000
 	maxRate  = 200_000 // requests a second, without retries
@@ -23,17 +23,17 @@
 	maxRealRate     = 50_000
 )
 
-// shareTolerance is how far the shares of all classes may be off from 1 together.
+// shareTolerance is the greatest difference between 1 and the sum of the shares of all classes.
 const shareTolerance = 0.001
 
-// Effects of requests, as files name them.
+// Effects of requests, by their names in experiment files.
 const (
 	effectIdempotent    = "idempotent"
 	effectDeduplicated  = "deduplicated"
 	effectNonIdempotent = "non-idempotent"
 )
 
-// validate checks an experiment, and takes over what the texts in it stand for.
+// validate checks an experiment, and sets the write semantics of its classes.
 func (x *Experiment) validate() error {
 	for _, check := range []func() error{
 		x.validateRun, x.validateFleet, x.validateNodes, x.validateLoad, x.validateClasses, x.validateSteps, x.validateExpectations,
@@ -58,9 +58,9 @@
 func (x *Experiment) validateFleet() error {
 	switch {
 	case len(x.Fleet.Zones) == 0:
-		return x.FieldErrorf("fleet.zones", "none is named")
+		return x.FieldErrorf("fleet.zones", "at least one is required")
 	case len(x.Fleet.Groups) == 0:
-		return x.FieldErrorf("fleet.boxes", "none is named")
+		return x.FieldErrorf("fleet.boxes", "at least one is required")
 	}
 	for i := range x.Fleet.Groups {
 		group := &x.Fleet.Groups[i]
@@ -73,7 +73,7 @@
 		case group.Cores < 1 || group.Speed <= 0:
 			return x.FieldErrorf(field, "cores and speed must be above 0")
 		case !isShare(group.StartCapacity):
-			return x.FieldErrorf(field+".start_capacity", "%v is not a share", group.StartCapacity)
+			return x.FieldErrorf(field+".start_capacity", "%v is not between 0 and 1", group.StartCapacity)
 		}
 	}
 	return nil
@@ -89,7 +89,7 @@
 	case x.Nodes.ClockDrift < 0 || x.Nodes.ClockDrift > maxClockDrift:
 		return x.FieldErrorf("nodes.clock_drift", "%v is not between 0 and %v", x.Nodes.ClockDrift, maxClockDrift)
 	case slices.ContainsFunc(x.Nodes.TrafficWeights, func(w int) bool { return w < 1 || w > maxWeight }):
-		return x.FieldErrorf("nodes.traffic", "shares are from 1 to %d", maxWeight)
+		return x.FieldErrorf("nodes.traffic", "weights must be from 1 to %d", maxWeight)
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 func (x *Experiment) validateLoad() error {
 	switch {
 	case len(x.Classes) == 0:
-		return x.FieldErrorf("workloads", "none is named")
+		return x.FieldErrorf("workloads", "at least one is required")
 	case x.Load.Rate <= 0 || x.Load.Rate > maxRate:
 		return x.FieldErrorf("load.rate", "%v is not between 0 and %d a second", x.Load.Rate, maxRate)
 	case x.Load.Keys < 1:
@@ -105,9 +105,9 @@
 	case x.Load.Connections != keepConnections && x.Load.Connections != dropConnections:
 		return x.FieldErrorf("load.connections", "%q is neither %s nor %s", x.Load.Connections, keepConnections, dropConnections)
 	case x.Load.PersistentClients < 0 || !isShare(x.Load.EarlyCloseShare):
-		return x.FieldErrorf("load", "persistent is a number of clients, leave a share")
+		return x.FieldErrorf("load", "persistent must not be below 0, and leave must be from 0 to 1")
 	case x.Load.AttemptTimeoutShare <= 0 || x.Load.AttemptTimeoutShare > 1:
-		return x.FieldErrorf("load.try_share", "%v is not a share above 0", x.Load.AttemptTimeoutShare)
+		return x.FieldErrorf("load.try_share", "%v is not above 0 and at most 1", x.Load.AttemptTimeoutShare)
 	}
 	return nil
 }
@@ -139,7 +139,7 @@
 	case class.Name == "" || strings.ContainsAny(class.Name, ",= "):
 		return x.FieldErrorf(field+".name", "%q is not a name", class.Name)
 	case slices.ContainsFunc(x.Classes[:i], func(other ClassConfig) bool { return other.Name == class.Name }):
-		return x.FieldErrorf(field+".name", "%q is there twice, and nodes would know neither", class.Name)
+		return x.FieldErrorf(field+".name", "%q is listed twice; nodes reject such settings", class.Name)
 	case class.Share <= 0:
 		return x.FieldErrorf(field+".share", "must be above 0")
 	case class.LatencyObjective > class.Timeout:
@@ -152,8 +152,8 @@
 	return nil
 }
 
-// unknownServer says that a field names a server that there is not.
-func (x *Experiment) unknownServer(field, name string) error {
+// unknownServerError returns the error of a field that names a server that does not exist.
+func (x *Experiment) unknownServerError(field, name string) error {
 	return x.FieldErrorf(field, "no server is called %q; there are %s", name, strings.Join(x.serverNames(), ", "))
 }
 
@@ -162,7 +162,7 @@
 		field, step := fmt.Sprintf("at[%d]", i), &x.Steps[i]
 		a, known := actions[step.Action]
 		if !known {
-			return x.FieldErrorf(field+".do", "nothing is called %q; docs/experiments.md has the names", step.Action)
+			return x.FieldErrorf(field+".do", "unknown action %q; docs/experiments.md lists the actions", step.Action)
 		}
 		if step.Time > x.Length {
 			return x.FieldErrorf(field+".time", "%v is after the end", step.Time.Duration())
@@ -177,7 +177,7 @@
 	return nil
 }
 
-// validateTargets checks what a step acts on.
+// validateTargets checks the servers, nodes and links that a step acts on.
 func (x *Experiment) validateTargets(field string, s *Step, a *action) error {
 	named := 0
 	for _, isNamed := range []bool{s.Server != "", s.Zone != "", s.Share != 0} {
@@ -188,21 +188,21 @@
 	isNode := func(n int) bool { return n >= 0 && n < x.Nodes.Count }
 	switch {
 	case a.onServer != nil && named != 1:
-		return x.FieldErrorf(field, "one of box, zone and share is wanted")
-	case a.namesServer && (named != 1 || s.Server == ""):
-		return x.FieldErrorf(field+".box", "%s names one box", s.Action)
-	case a.onServer == nil && !a.namesServer && named != 0:
-		return x.FieldErrorf(field, "%s is not done to boxes", s.Action)
+		return x.FieldErrorf(field, "one of box, zone and share is required")
+	case a.needsServer && (named != 1 || s.Server == ""):
+		return x.FieldErrorf(field+".box", "%s requires one box", s.Action)
+	case a.onServer == nil && !a.needsServer && named != 0:
+		return x.FieldErrorf(field, "%s does not act on boxes", s.Action)
 	case a.onNode != nil && (s.Node == nil || !isNode(*s.Node)):
-		return x.FieldErrorf(field+".node", "a node from 0 to %d is wanted", x.Nodes.Count-1)
+		return x.FieldErrorf(field+".node", "a node from 0 to %d is required", x.Nodes.Count-1)
 	case s.Server != "" && !slices.Contains(x.serverNames(), s.Server):
-		return x.unknownServer(field+".box", s.Server)
+		return x.unknownServerError(field+".box", s.Server)
 	case s.Zone != "" && !slices.Contains(x.Fleet.Zones, s.Zone):
 		return x.FieldErrorf(field+".zone", "no zone is called %q", s.Zone)
 	case !isShare(s.Share):
-		return x.FieldErrorf(field+".share", "%v is not a share", s.Share)
+		return x.FieldErrorf(field+".share", "%v is not between 0 and 1", s.Share)
 	case a.onLink != nil && slices.ContainsFunc(slices.Concat(s.Nodes, s.Peers), func(n int) bool { return !isNode(n) }):
-		return x.FieldErrorf(field, "nodes are from 0 to %d", x.Nodes.Count-1)
+		return x.FieldErrorf(field, "nodes must be from 0 to %d", x.Nodes.Count-1)
 	}
 	return nil
 }
@@ -213,13 +213,13 @@
 	case s.Duration > 0 && a.inverse == "":
 		return x.FieldErrorf(field+".for", "%s cannot be undone", s.Action)
 	case s.Delay < 0 || s.Delay > 0 && !slices.Contains([]string{"late_surplus", "injure_peers", "hold_node", "crowd_node"}, s.Action):
-		return x.FieldErrorf(field+".late", "it is for late_surplus, injure_peers, hold_node and crowd_node, and not below 0")
+		return x.FieldErrorf(field+".late", "only late_surplus, injure_peers, hold_node and crowd_node have it, and it must not be below 0")
 	case !isShare(s.LossRate) || !isShare(s.CorruptRate) || !isShare(s.TruncateRate):
-		return x.FieldErrorf(field, "lose, spoil and short are shares")
+		return x.FieldErrorf(field, "lose, spoil and short must be from 0 to 1")
 	case s.Duplicates < 0 || s.Duplicates > maxDuplicates || s.BytesPerSecond < 0:
-		return x.FieldErrorf(field, "again is from 0 to %d, and rate not below 0", maxDuplicates)
+		return x.FieldErrorf(field, "again must be from 0 to %d, and rate must not be below 0", maxDuplicates)
 	case s.Repeats > 1 && s.Interval == 0:
-		return x.FieldErrorf(field+".every", "missing where times is above 1")
+		return x.FieldErrorf(field+".every", "required if times is above 1")
 	case s.Value <= 0 && a.needsValue:
 		return x.FieldErrorf(field+".value", "must be above 0 for %s", s.Action)
 	}
@@ -231,39 +231,39 @@
 		field, e := fmt.Sprintf("expect[%d]", i), &x.Expectations[i]
 		switch {
 		case !isFigure(e.Figure):
-			return x.FieldErrorf(field+".what", "nothing is called %q; docs/experiments.md has the names", e.Figure)
+			return x.FieldErrorf(field+".what", "unknown figure %q; docs/experiments.md lists the figures", e.Figure)
 		case (e.AtLeast == nil) == (e.AtMost == nil):
-			return x.FieldErrorf(field, "one of at_least and at_most is wanted")
+			return x.FieldErrorf(field, "exactly one of at_least and at_most is required")
 		case e.Class != "" && !slices.ContainsFunc(x.Classes, func(c ClassConfig) bool { return c.Name == e.Class }):
 			return x.FieldErrorf(field+".workload", "no workload is called %q", e.Class)
 		case e.Server != "" && !slices.Contains(x.serverNames(), e.Server):
-			return x.unknownServer(field+".box", e.Server)
+			return x.unknownServerError(field+".box", e.Server)
 		}
 	}
 	return nil
 }
 
-// ValidateRealTime checks whether an experiment can be played with real processes.
+// ValidateRealTime checks whether an experiment can be run with real processes.
 func (x *Experiment) ValidateRealTime() error {
 	const (
-		simulated = "mintspring-bench simulate plays"
-		oneClock  = "real processes of one machine have one clock; " + simulated + " it"
+		simulatorHint    = "mintspring-bench simulate supports"
+		sharedClockError = "real processes of one machine share one clock; " + simulatorHint + " it"
 	)
 	switch {
 	case x.Length > maxRealLength:
-		return x.FieldErrorf("length", "%v is over %v, the most that is played with real processes; %s more", x.Length.Duration(), maxRealLength.Duration(), simulated)
+		return x.FieldErrorf("length", "%v is above %v, the limit for real processes; %s more", x.Length.Duration(), maxRealLength.Duration(), simulatorHint)
 	case x.Nodes.Count > maxRealNodes:
-		return x.FieldErrorf("nodes.count", "%d is over %d, the most that is played with real processes; %s more", x.Nodes.Count, maxRealNodes, simulated)
+		return x.FieldErrorf("nodes.count", "%d is above %d, the limit for real processes; %s more", x.Nodes.Count, maxRealNodes, simulatorHint)
 	case x.Nodes.ClockDrift != 0:
-		return x.FieldErrorf("nodes.clock_drift", oneClock)
+		return x.FieldErrorf("nodes.clock_drift", sharedClockError)
 	case x.Fleet.FetchThrough:
-		return x.FieldErrorf("fleet.fetch", "the protocol of real processes has an origin; %s it", simulated)
+		return x.FieldErrorf("fleet.fetch", "the protocol of real processes requires an origin; %s a fleet without one", simulatorHint)
 	case x.Nodes.RequestCost > 0:
-		return x.FieldErrorf("nodes.query_cost", "real processes take what they take; %s it", simulated)
+		return x.FieldErrorf("nodes.query_cost", "the processor time of real processes cannot be set; %s it", simulatorHint)
 	case x.Nodes.ClockSkew > 0:
-		return x.FieldErrorf("nodes.clock_skew", oneClock)
+		return x.FieldErrorf("nodes.clock_skew", sharedClockError)
 	case x.Load.Rate > maxRealRate:
-		return x.FieldErrorf("load.rate", "%v is over %d, the most that is played with real processes; %s more", x.Load.Rate, maxRealRate, simulated)
+		return x.FieldErrorf("load.rate", "%v is above %d, the limit for real processes; %s more", x.Load.Rate, maxRealRate, simulatorHint)
 	}
 	return nil
 }
--- a/internal/testbed/experiment/verdict.go
+++ b/internal/testbed/experiment/verdict.go
@@ -13,32 +13,32 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// Verdict is the result of a run. It is stored as JSON.
+// Verdict is the evaluated result of a run. It is stored as JSON.
 type Verdict struct {
 	Experiment   string              `json:"experiment"`
 	Program      string              `json:"program"`
 	Seed         uint64              `json:"seed"`
-	IsValid      bool                `json:"counts"` // the machine was quick enough
+	IsValid      bool                `json:"counts"` // the bench sent requests on time, see MaxLatenessMs
 	LatenessMs   float64             `json:"lateness_p99_ms"`
 	Expectations []ExpectationResult `json:"expects"`
 	Violations   []string            `json:"breaches"`
 	Figures      map[string]float64  `json:"figures"` // by name
 	Series       Series              `json:"series"`
-	Servers      []string            `json:"boxes"` // their names, by place
+	Servers      []string            `json:"boxes"` // names by index
 	Events       []VerdictEvent      `json:"events"`
 	About        string              `json:"about"`
-	IsMain       bool                `json:"main"` // it is of the program that is judged, not of a baseline
+	IsMain       bool                `json:"main"` // the run is of the program under test, not of a baseline
 	Requests     int                 `json:"queries"`
 	Size         RunSize             `json:"size"`
 }
 
-// VerdictEvent is one thing that the timeline did.
+// VerdictEvent is a step that the timeline carried out.
 type VerdictEvent struct {
 	AtSeconds   float64 `json:"At"` // from the start of the measurement
 	Description string  `json:"What"`
 }
 
-// RunSize is how large an experiment was.
+// RunSize is the size of an experiment.
 type RunSize struct {
 	Caches        int     `json:"boxes"`
 	LengthSeconds float64 `json:"length_s"`
@@ -46,7 +46,7 @@
 	Rate          float64 `json:"rate"`
 }
 
-// Series are figures second by second of the measurement.
+// Series holds figures for each second of the measurement.
 type Series struct {
 	P50              []float64   `json:"P50"`
 	P99              []float64   `json:"P99"`
@@ -56,7 +56,7 @@
 	Utilization      [][]float64 `json:"Load"`       // by cache
 }
 
-// Verdict sums the run up.
+// Verdict evaluates the run.
 func (r *Run) Verdict(isMain bool) Verdict {
 	x := r.Experiment
 	v := Verdict{
@@ -77,7 +77,7 @@
 	return v
 }
 
-// series returns the run second by second.
+// series returns the figures of each second of the run.
 func (r *Run) series() Series {
 	executions := map[serverSecond]float64{}
 	for i := range r.Executions {
@@ -86,7 +86,7 @@
 	cacheCount := r.Experiment.CacheCount()
 	s := Series{Executions: make([][]float64, cacheCount), Utilization: make([][]float64, cacheCount)}
 	for second := range int(r.Experiment.Length.Duration() / time.Second) {
-		w := window(r.FromMs+float64(second)*msPerSec, r.FromMs+float64(second+1)*msPerSec)
+		w := timeWindow(r.FromMs+float64(second)*msPerSec, r.FromMs+float64(second+1)*msPerSec)
 		s.P50 = append(s.P50, latencyQuantile(50)(r, w))
 		s.P99 = append(s.P99, latencyQuantile(99)(r, w))
 		s.ObjectiveShare = append(s.ObjectiveShare, r.objectiveShare(w))
@@ -100,7 +100,7 @@
 	return s
 }
 
-// heldCount returns how many of the expectations that bind held, and how many bind.
+// heldCount returns how many of the binding expectations held, and how many are binding.
 func (v *Verdict) heldCount() (held, binding int) {
 	for _, e := range v.Expectations {
 		if e.Binds {
@@ -112,13 +112,14 @@
 	return held, binding
 }
 
-// Passed reports whether all that binds held. A baseline may violate rules: it is there to be compared with.
+// Passed reports whether all binding expectations held and no rule was violated. A baseline may violate rules, since it only serves as a
+// comparison.
 func (v *Verdict) Passed() bool {
 	held, binding := v.heldCount()
 	return held == binding && (!v.IsMain || len(v.Violations) == 0)
 }
 
-// String is the run's last line on the terminal.
+// String returns the summary line that ends a run's output on the terminal.
 func (v *Verdict) String() string {
 	held, binding := v.heldCount()
 	rules := "kept"
@@ -135,10 +136,10 @@
 	return fmt.Sprintf("experiment %s seed %d: held %d of %d, rules %s", name, v.Seed, held, binding, rules)
 }
 
-// maxPrintedViolations bounds how many violations are printed.
+// maxPrintedViolations is the greatest number of violations that Text prints.
 const maxPrintedViolations = 5
 
-// Text returns the expectations with their figures, and the violations, for the terminal.
+// Text returns the expectations with their measured values, and the violations, for the terminal.
 func (v *Verdict) Text() string {
 	var b strings.Builder
 	for _, e := range v.Expectations {
@@ -170,7 +171,7 @@
 	return string(text), nil
 }
 
-// Save writes the verdict to a folder, under a name of its experiment, program and seed.
+// Save writes the verdict to a file in a folder, named after its experiment, program and seed.
 func (v *Verdict) Save(dir string) error {
 	text, err := json.MarshalIndent(v, "", " ")
 	if err == nil {
@@ -185,7 +186,7 @@
 	return nil
 }
 
-// LoadVerdicts reads the verdicts of a folder, in the order of their files' names.
+// LoadVerdicts reads the verdicts of a folder, sorted by file name.
 func LoadVerdicts(dir string) ([]Verdict, error) {
 	files, err := filepath.Glob(filepath.Join(dir, "*.json"))
 	if err != nil || len(files) == 0 {
@@ -205,7 +206,7 @@
 	return verdicts, nil
 }
 
-// FormatTable sets the figures of verdicts side by side.
+// FormatTable returns a table of all figures with a column for each verdict.
 func FormatTable(verdicts []Verdict) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-22s", "")
--- a/internal/testbed/fakediscovery/fakediscovery.go
+++ b/internal/testbed/fakediscovery/fakediscovery.go
@@ -1,5 +1,5 @@
-// Package fakediscovery is a small discovery service for tests that need an endpoint list and changes to it, without the fake
-// servers and faults of package fakes.
+// Package fakediscovery is a minimal discovery service for tests that need only an endpoint list and updates to it. Package fakes has one
+// with fake servers and faults.
 package fakediscovery
 
 import (
@@ -29,7 +29,7 @@
 func EndpointAddr(i int) string { return fmt.Sprintf("127.0.0.1:%d", firstPort+i) }
 
 // EndpointJSON returns endpoint number i as an object of the discovery protocol: a cache server with its id and address. startedMs
-// is the time at which it started, in Unix ms, and 0 for long ago.
+// is the time at which it started, in Unix ms, or 0 for long ago.
 func EndpointJSON(i int, zone, phase string, startedMs int64) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":"box","phase":%q,"up_since_ms":%d}`,
 		EndpointID(i), EndpointAddr(i), zone, phase, startedMs)
@@ -114,5 +114,5 @@
 
 // Close ends the service and all watches.
 func (s *Server) Close() {
-	_ = s.httpServer.Close() // a listener that fails to close is one that has ended
+	_ = s.httpServer.Close() // fails only if the listener is already closed
 }
--- a/internal/testbed/fakeproxy/fakeproxy.go
+++ b/internal/testbed/fakeproxy/fakeproxy.go
@@ -1,6 +1,6 @@
-// Package fakeproxy runs proxies of the control plane on loopback, for tests and the bench: each keeps the snapshot that it was
-// sent, routes a load by it and records where a request was sent last. Its connection can be stalled without being closed, made
-// to lose a message, and broken.
+// Package fakeproxy runs clients of the control plane on loopback, for tests and the bench. Each proxy keeps the snapshot that it
+// received, routes a load by it and records when a request was last sent to each endpoint. Its connection can be stalled without
+// being closed, made to lose a message, and broken.
 package fakeproxy
 
 import (
@@ -14,21 +14,21 @@
 	"mintspring/internal/fleet"
 )
 
-// loadStream separates the random numbers of a proxy's load from others that are drawn under the same seed.
+// loadStream separates the random numbers of a proxy's load from others under the same seed.
 const loadStream = 2
 
 // Proxy is a running proxy. Its methods may be called from any goroutine.
 type Proxy struct {
 	*client.Client
-	Link *Link // what its connections go through
+	Link *Link // carries its connections
 
-	stop    context.CancelFunc
-	running sync.WaitGroup
+	stop       context.CancelFunc
+	goroutines sync.WaitGroup
 
 	mu         sync.Mutex           // guards the fields below
-	lastSent   map[string]time.Time // by endpoint id: when a request was sent there last
+	lastSent   map[string]time.Time // by endpoint id: when a request was last sent to it
 	sentCount  int
-	staleCount int
+	staleCount int // requests without a usable snapshot
 }
 
 // Start starts a proxy that sends a request every interval, with keys drawn under the seed; with an interval of 0 it sends none.
@@ -39,16 +39,16 @@
 	p.Client = client.New(config)
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	p.running.Go(func() { p.Run(ctx) })
+	p.goroutines.Go(func() { p.Run(ctx) })
 	if interval > 0 {
-		p.running.Go(func() { p.generateLoad(ctx, interval, seed) })
+		p.goroutines.Go(func() { p.generateLoad(ctx, interval, seed) })
 	}
 	return p
 }
 
 // generateLoad sends a request every interval until the context ends.
 func (p *Proxy) generateLoad(ctx context.Context, interval time.Duration, seed uint64) {
-	random := rand.New(rand.NewPCG(seed, loadStream))
+	rng := rand.New(rand.NewPCG(seed, loadStream))
 	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
@@ -57,7 +57,7 @@
 			return
 		case <-ticker.C:
 		}
-		p.sendRequest(fleet.Key(random.Uint64()))
+		p.sendRequest(fleet.Key(rng.Uint64()))
 	}
 }
 
@@ -75,23 +75,23 @@
 	p.lastSent[owner.ID] = now
 }
 
-// LastSent returns when a request was sent to an endpoint last; the zero time if none was.
+// LastSent returns when a request was last sent to an endpoint, or the zero time if none was.
 func (p *Proxy) LastSent(id string) time.Time {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.lastSent[id]
 }
 
-// Counts returns how many requests were sent, and how many found no usable snapshot to route them by.
+// Counts returns how many requests were sent, and how many were not because there was no usable snapshot.
 func (p *Proxy) Counts() (sent, stale int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.sentCount, p.staleCount
 }
 
-// Close ends the proxy and waits until its goroutines have ended.
+// Close stops the proxy and waits until its goroutines have ended.
 func (p *Proxy) Close() {
 	p.stop()
 	p.Link.Break()
-	p.running.Wait()
+	p.goroutines.Wait()
 }
--- a/internal/testbed/fakeproxy/link.go
+++ b/internal/testbed/fakeproxy/link.go
@@ -10,7 +10,7 @@
 // any goroutine.
 type Link struct {
 	mu       sync.Mutex // guards the fields below and those of the connections
-	changed  *sync.Cond // signalled when a connection may go on
+	changed  *sync.Cond // signalled when a blocked Read or Write may continue or must fail
 	stalled  bool
 	dropNext bool
 	conns    map[*linkConn]bool
@@ -44,20 +44,20 @@
 	l.mu.Unlock()
 }
 
-// DropNext loses the next bytes that are received. The connection that they came on hangs from there on, until it is closed.
+// DropNext discards the next bytes that are received. Their connection then hangs until it is closed.
 func (l *Link) DropNext() {
 	l.mu.Lock()
 	l.dropNext = true
 	l.mu.Unlock()
 }
 
-// Break closes all connections, with what was held up on them. New ones work.
+// Break closes all connections and discards data in transit. New connections work.
 func (l *Link) Break() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for c := range l.conns {
 		c.closed = true
-		_ = c.Conn.Close() // it is to be broken anyway
+		_ = c.Conn.Close() // the error does not matter for a connection that is broken on purpose
 	}
 	clear(l.conns)
 	l.stalled, l.dropNext = false, false
@@ -71,10 +71,10 @@
 
 	// Guarded by the link's mutex.
 	closed bool
-	hung   bool // bytes on it were lost
+	hung   bool // DropNext discarded bytes of it
 }
 
-// waitLocked waits until the connection may go on; the link's mutex is held. It fails once the connection is closed.
+// waitLocked waits while the connection is stalled or hung. It fails once the connection is closed. The caller holds the link's mutex.
 func (c *linkConn) waitLocked() error {
 	for (c.link.stalled || c.hung) && !c.closed {
 		c.link.changed.Wait()
@@ -85,13 +85,13 @@
 	return nil
 }
 
-// Read reads what has come, once the link is not stalled.
+// Read reads received bytes and returns once the link is not stalled.
 func (c *linkConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	if n == 0 {
 		return n, err
 	}
-	// What came before the stall began, but was not read yet, is held up too.
+	// A stall also delays bytes that arrived before it began but are read during it.
 	c.link.mu.Lock()
 	defer c.link.mu.Unlock()
 	if c.link.dropNext {
@@ -103,7 +103,7 @@
 	return n, err
 }
 
-// Write sends bytes once the link is not stalled.
+// Write waits until the link is not stalled, then sends bytes.
 func (c *linkConn) Write(b []byte) (int, error) {
 	c.link.mu.Lock()
 	err := c.waitLocked()
--- a/internal/testbed/fakeproxy/weightedring.go
+++ b/internal/testbed/fakeproxy/weightedring.go
@@ -19,14 +19,14 @@
 	maxRingSize = 1 << 23
 )
 
-// maxPriorities is the number of priorities that are looked at.
+// maxPriorities is the number of priorities that NewWeightedRing considers, from 0 up.
 const maxPriorities = 8
 
-// WeightedRing is the hash ring of a proxy that knows weights only, as the documentation of Envoy's ring hash load balancer
-// describes it: each host has points in proportion to its weight, and a key belongs to the next point. Of the priorities, the
-// first one with a healthy host is used.
+// WeightedRing is the hash ring of a proxy that balances by weights alone, as the documentation of Envoy's ring hash load balancer
+// describes it: each host has points in proportion to its weight, and a key belongs to the host of the next point. The ring contains
+// the hosts of the first priority that has a healthy one.
 type WeightedRing struct {
-	points []ringPoint // in the order of their positions
+	points []ringPoint // sorted by position
 }
 
 type ringPoint struct {
@@ -51,7 +51,7 @@
 	return &WeightedRing{}
 }
 
-// healthyHosts returns the hosts that may take requests, by their priority.
+// healthyHosts returns the hosts that may take requests, by priority.
 func healthyHosts(assignment *endpoint.ClusterLoadAssignment) map[uint32][]ringHost {
 	byPriority := map[uint32][]ringHost{}
 	for _, locality := range assignment.GetEndpoints() {
@@ -91,7 +91,7 @@
 	return r
 }
 
-// Owner returns the id of the host that a key belongs to; empty where there is none.
+// Owner returns the id of the host that a key belongs to, or "" if the ring has no hosts.
 func (r *WeightedRing) Owner(key fleet.Key) string {
 	if len(r.points) == 0 {
 		return ""
