--- a/internal/testbed/experiment/validate.go
+++ b/internal/testbed/experiment/validate.go
@@ -251,19 +251,19 @@
 	)
 	switch {
 	case x.Length > maxRealLength:
-		return x.FieldErrorf("length", "%v is above %v, the limit for real processes; %s more", x.Length.Duration(), maxRealLength.Duration(), simulatorHint)
+		return x.FieldErrorf("length", "%v is over %v, the limit for real processes; %s more", x.Length.Duration(), maxRealLength.Duration(), simulatorHint)
 	case x.Nodes.Count > maxRealNodes:
-		return x.FieldErrorf("nodes.count", "%d is above %d, the limit for real processes; %s more", x.Nodes.Count, maxRealNodes, simulatorHint)
+		return x.FieldErrorf("nodes.count", "%d is over %d, the limit for real processes; %s more", x.Nodes.Count, maxRealNodes, simulatorHint)
 	case x.Nodes.ClockDrift != 0:
 		return x.FieldErrorf("nodes.clock_drift", sharedClockError)
 	case x.Fleet.FetchThrough:
 		return x.FieldErrorf("fleet.fetch", "the protocol of real processes requires an origin; %s a fleet without one", simulatorHint)
 	case x.Nodes.RequestCost > 0:
-		return x.FieldErrorf("nodes.query_cost", "the processor time of real processes cannot be set; %s it", simulatorHint)
+		return x.FieldErrorf("nodes.query_cost", "real processes have no set processor time for a request; %s it", simulatorHint)
 	case x.Nodes.ClockSkew > 0:
 		return x.FieldErrorf("nodes.clock_skew", sharedClockError)
 	case x.Load.Rate > maxRealRate:
-		return x.FieldErrorf("load.rate", "%v is above %d, the limit for real processes; %s more", x.Load.Rate, maxRealRate, simulatorHint)
+		return x.FieldErrorf("load.rate", "%v is over %d, the limit for real processes; %s more", x.Load.Rate, maxRealRate, simulatorHint)
 	}
 	return nil
 }
