--- a/internal/testbed/experiment/golden_test.go
+++ b/internal/testbed/experiment/golden_test.go
@@ -10,14 +10,14 @@
 
 func pointerTo[T any](v T) *T { return &v }
 
-// goldenFull is testdata/golden/full.toml: every key of an experiment file, with values that are not defaults.
+// goldenFull returns the content of testdata/golden/full.toml, which sets the keys of an experiment file to values that are not defaults.
 func goldenFull() *Experiment {
 	return &Experiment{
 		Name: "full", About: "every field of an experiment file", Seed: 42, Settle: 1500 * millisecond, Length: 20 * second,
 		Fleet: goldenFleet(),
 		Nodes: NodesConfig{
 			Count: 3, MemoryMB: 193, Sockets: 1025, Cores: 1.5, OperatorFile: "operator.toml", Quantum: 6 * millisecond,
-			ClockSkew: 7 * millisecond, ClockDrift: 0.01, RequestCost: millisecond, TrafficWeights: []int{1, 5, 20}, FailureNotice: 1100 * millisecond,
+			ClockSkew: 7 * millisecond, ClockDrift: 0.01, RequestCost: millisecond, TrafficWeights: []int{1, 5, 20}, FailureDetectionDelay: 1100 * millisecond,
 		},
 		Rules: RulesConfig{
 			DrainGrace: 510 * millisecond, AnswerSlack: 21 * millisecond, MaxAttempts: 5, Hedging: false,
@@ -46,7 +46,7 @@
 	}
 }
 
-// goldenFleet is the section [fleet] of full.toml.
+// goldenFleet returns the section [fleet] of full.toml.
 func goldenFleet() FleetConfig {
 	return FleetConfig{
 		Zones: []string{"a", "b"},
@@ -70,7 +70,7 @@
 	}
 }
 
-// goldenClasses are the classes of full.toml.
+// goldenClasses returns the classes of full.toml.
 func goldenClasses() []ClassConfig {
 	return []ClassConfig{
 		{
@@ -88,7 +88,7 @@
 	}
 }
 
-// goldenMinimal is testdata/golden/minimal.toml: what holds where a file says nothing.
+// goldenMinimal returns the content of testdata/golden/minimal.toml, which leaves all other fields at their defaults.
 func goldenMinimal() *Experiment {
 	return &Experiment{
 		Name: "minimal", Seed: 1, Settle: 5 * second, Length: 15 * second,
@@ -104,7 +104,7 @@
 			},
 			DiscoveryDelay: 200 * millisecond,
 		},
-		Nodes: NodesConfig{Count: 2, MemoryMB: 192, Sockets: 1024, Cores: 1, Quantum: 5 * millisecond, FailureNotice: second},
+		Nodes: NodesConfig{Count: 2, MemoryMB: 192, Sockets: 1024, Cores: 1, Quantum: 5 * millisecond, FailureDetectionDelay: second},
 		Rules: RulesConfig{
 			DrainGrace: 500 * millisecond, AnswerSlack: 20 * millisecond, MaxAttempts: 4, Hedging: true, MaxRetryAfter: second,
 			MaxListAge: 10 * second, ConnectionIdleTimeout: 30 * second, ConnectTimeout: 250 * millisecond,
@@ -121,7 +121,7 @@
 	}
 }
 
-// TestGoldenExperiments reads experiment files, whose keys and defaults may not change.
+// The keys and defaults of experiment files must not change, since existing files depend on them.
 func TestGoldenExperiments(t *testing.T) {
 	for name, want := range map[string]*Experiment{"full.toml": goldenFull(), "minimal.toml": goldenMinimal()} {
 		text := goldentest.Read(t, name)
@@ -129,9 +129,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		x.file = nil // lines of fields, for errors
+		x.file = nil // only used for errors
 		if !reflect.DeepEqual(x, want) {
-			t.Errorf("%s reads as\n%+v\nwas\n%+v", name, x, want)
+			t.Errorf("%s reads as\n%+v\nwant\n%+v", name, x, want)
 		}
 	}
 }
