--- a/cmd/mintspring-bench/duplicates.go
+++ b/cmd/mintspring-bench/duplicates.go
@@ -126,7 +126,7 @@
 	if c.Real {
 		return processrunner.Play(ctx, x, processrunner.Options{Program: mainProgram, Command: []string{program}, Seed: seed})
 	}
-	run, err := simulator.Play(ctx, x, simulator.Options{Program: mainProgram, Seed: seed})
+	run, err := simulator.Run(ctx, x, simulator.Options{Program: mainProgram, Seed: seed})
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/mintspring-bench/faultsearch.go
+++ b/cmd/mintspring-bench/faultsearch.go
@@ -90,14 +90,14 @@
 // playScenario plays an experiment with the module and with the oracle.
 func playScenario(ctx context.Context, x *experiment.Experiment) *scenario {
 	s := &scenario{experiment: x}
-	run, err := simulator.Play(ctx, x, simulator.Options{Program: mainProgram, MaxEvents: maxEvents})
+	run, err := simulator.Run(ctx, x, simulator.Options{Program: mainProgram, MaxEvents: maxEvents})
 	if err != nil {
 		s.err = err
 		return s
 	}
 	v := run.Verdict(true)
 	s.service, s.violations, s.recovery = v.Figures["in_slo"], v.Violations, v.Figures["recovery_s"]
-	run, err = simulator.Play(ctx, x, simulator.Options{Program: oracleName, MaxEvents: maxEvents, NewPolicy: newPolicyFunc(oracleName)})
+	run, err = simulator.Run(ctx, x, simulator.Options{Program: oracleName, MaxEvents: maxEvents, NewPolicy: newPolicyFunc(oracleName)})
 	if err != nil {
 		s.err = fmt.Errorf("the reference: %w", err)
 		return s
--- a/cmd/mintspring-bench/simulate.go
+++ b/cmd/mintspring-bench/simulate.go
@@ -123,7 +123,7 @@
 // play plays the run.
 func (r *simulatedRun) play(ctx context.Context) {
 	defer close(r.done)
-	run, err := simulator.Play(ctx, r.experiment, r.options)
+	run, err := simulator.Run(ctx, r.experiment, r.options)
 	if err != nil {
 		r.err = fmt.Errorf("%s, %s, seed %d: %w", r.experiment.Name, r.options.Program, r.options.Seed, err)
 		return
--- a/cmd/mintspring-bench/sweep.go
+++ b/cmd/mintspring-bench/sweep.go
@@ -62,7 +62,7 @@
 	if c.Against != "" {
 		options.NewPolicy = newPolicyFunc(c.Against)
 	}
-	run, err := simulator.Play(ctx, x, options)
+	run, err := simulator.Run(ctx, x, options)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/simulator/faultypolicy_test.go
+++ b/internal/testbed/simulator/faultypolicy_test.go
@@ -123,7 +123,7 @@
 	o := Options{NewPolicy: func(_ *Simulation, _ int, now float64, l fleet.Limits, slab *fleet.Slab) inflight.Policy {
 		return restlessPolicy{newSoundPolicy(now, l, slab)}
 	}}
-	if _, err := Play(context.Background(), parse(t, small), o); err == nil || !strings.Contains(err.Error(), "does not come to rest") {
+	if _, err := Run(context.Background(), parse(t, small), o); err == nil || !strings.Contains(err.Error(), "does not come to rest") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/testbed/simulator/simulator.go
+++ b/internal/testbed/simulator/simulator.go
@@ -74,8 +74,8 @@
 	return &y, skipped, nil
 }
 
-// Play plays an experiment and returns what was seen.
-func Play(ctx context.Context, x *experiment.Experiment, o Options) (*experiment.Run, error) {
+// Run plays an experiment and returns what was seen.
+func Run(ctx context.Context, x *experiment.Experiment, o Options) (*experiment.Run, error) {
 	s, err := newSimulation(x, o)
 	if err != nil {
 		return nil, err
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -68,7 +68,7 @@
 // play plays an experiment.
 func play(t *testing.T, x *experiment.Experiment, o Options) *experiment.Run {
 	t.Helper()
-	r, err := Play(context.Background(), x, o)
+	r, err := Run(context.Background(), x, o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -100,7 +100,7 @@
 	var done sync.WaitGroup
 	for i := range verdicts {
 		done.Go(func() {
-			r, err := Play(context.Background(), x, Options{Program: "p", Seed: uint64(1 + i/4)})
+			r, err := Run(context.Background(), x, Options{Program: "p", Seed: uint64(1 + i/4)})
 			if err != nil {
 				t.Error(err)
 				return
@@ -254,7 +254,7 @@
 	if err != nil || len(skipped) != 1 || len(y.Expectations) != 1 || len(x.Expectations) != 2 {
 		t.Errorf("skipped %v, %d of %d expectations, %v", skipped, len(y.Expectations), len(x.Expectations), err)
 	}
-	if _, err := Play(context.Background(), x, Options{MaxEvents: 1000}); err == nil || !strings.Contains(err.Error(), "over 1000 events") {
+	if _, err := Run(context.Background(), x, Options{MaxEvents: 1000}); err == nil || !strings.Contains(err.Error(), "over 1000 events") {
 		t.Errorf("%v", err)
 	}
 	if _, err := x.WithSize(0, 2000, 0); err == nil {
