--- a/internal/testbed/baseline/base.go
+++ b/internal/testbed/baseline/base.go
@@ -6,29 +6,29 @@
 	"mintspring/internal/fleet"
 )
 
-// listRetryMs is how long after a failure the endpoint list is requested again, in ms.
+// listRetryMs is the delay before the endpoint list is requested again after a failure, in ms.
 const listRetryMs = 500
 
-// Base is what plain policies share: one attempt of a request at a time, and a watch of the endpoint list that is begun anew when it
-// ends. A policy embeds it and sets Choose and EndpointsChanged.
+// Base implements the parts that simple policies share: it allows one attempt of a request at a time and watches the endpoint list,
+// retrying the watch after a failure. A policy embeds Base and sets Choose and EndpointsChanged.
 type Base struct {
-	// Choose says what is to be done with a request of which nothing is in flight.
+	// Choose returns the decision for a request that has no attempt in flight.
 	Choose func(now float64, q *fleet.Request) fleet.Decision
-	// EndpointsChanged is called when Endpoints have changed.
+	// EndpointsChanged is called after each change of Endpoints.
 	EndpointsChanged func()
-	// Endpoints are the servers of the endpoint list.
+	// Endpoints holds the servers of the endpoint list.
 	Endpoints map[fleet.ServerID]fleet.Endpoint
 
 	listRequestAt float64 // when the endpoint list is to be requested; +Inf while it is watched
 }
 
-// Start has the endpoint list requested at once.
+// Start makes the next call of Route request the endpoint list.
 func (b *Base) Start(now float64) {
 	b.Endpoints = map[fleet.ServerID]fleet.Endpoint{}
 	b.listRequestAt = now
 }
 
-// UpdateEndpoints handles the endpoint list or changes to it.
+// UpdateEndpoints applies a full endpoint list, a change to it, or the failure of the watch.
 func (b *Base) UpdateEndpoints(now float64, mode fleet.ListMode, entries []fleet.Endpoint) {
 	if mode == fleet.ListFailed {
 		b.listRequestAt = now + listRetryMs
@@ -43,7 +43,7 @@
 	b.EndpointsChanged()
 }
 
-// Route says where a request goes; without a request it does what is due.
+// Route returns the decision for a request. Without a request it returns the watch of the endpoint list if that is due.
 func (b *Base) Route(now float64, q *fleet.Request) fleet.Decision {
 	if q == nil {
 		if now >= b.listRequestAt {
@@ -58,7 +58,7 @@
 	return b.Choose(now, q)
 }
 
-// AttemptDone says what is to be done after an attempt has ended.
+// AttemptDone records the result of an attempt and returns the next decision for its request.
 func (b *Base) AttemptDone(now float64, q *fleet.Request, o fleet.Outcome) fleet.Decision {
 	if o.Attempt < 0 || o.Attempt >= q.NumAttempts || q.Attempts[o.Attempt].Result != fleet.Pending {
 		return fleet.Decision{}
@@ -72,18 +72,18 @@
 	return b.Choose(now, q)
 }
 
-// NextDue returns how long it is until something is due. It is never due for a request.
+// NextDue returns the time until the endpoint list has to be requested. No request is ever due by itself.
 func (b *Base) NextDue(now float64) (fleet.Ref, float64) {
 	return fleet.NoRequest, max(0, b.listRequestAt-now)
 }
 
-// UploadDone records that the value of a request has arrived.
+// UploadDone records that the value of a request has arrived completely.
 func (b *Base) UploadDone(_ float64, q *fleet.Request) { q.Uploading = false }
 
-// ClientGone records that the client of a request has gone.
+// ClientGone records that the client of a request has disconnected.
 func (b *Base) ClientGone(_ float64, q *fleet.Request) { q.Closed = true }
 
-// SendTo books an attempt of a request at a server and returns the decision to send it.
+// SendTo adds an attempt to a request and returns the decision to send it to a server.
 func SendTo(now float64, q *fleet.Request, to fleet.ServerID) fleet.Decision {
 	attempt := q.NumAttempts
 	q.Attempts[attempt] = fleet.Attempt{Server: to, SentAt: now}
@@ -92,17 +92,17 @@
 	return fleet.Decision{Action: fleet.Send, Server: to, Attempt: attempt, Timeout: q.Deadline - now}
 }
 
-// Retry says what the attempts of a request so far allow.
-type Retry struct {
-	Allowed  bool // it may be sent once more
-	NoEffect bool // the client may send it again: no attempt has had an effect that a duplicate would have again
+// RetrySafety tells whether a request may be sent again, given its earlier attempts.
+type RetrySafety struct {
+	Allowed  bool // the node may send the request again
+	NoEffect bool // the client may send the request again: no earlier attempt had an effect that a duplicate would repeat
 }
 
-// RetryOf returns what the attempts of a request so far allow. sharesDeduplication reports whether the server of an earlier attempt
-// and the one that is to be next drop duplicates of each other's writes.
-func RetryOf(now float64, limits *fleet.Limits, q *fleet.Request, sharesDeduplication func(earlier fleet.ServerID) bool) Retry {
+// EvaluateRetry evaluates the earlier attempts of a request. sharesDeduplication reports whether the server of an earlier attempt and the
+// next server drop duplicates of each other's writes.
+func EvaluateRetry(now float64, limits *fleet.Limits, q *fleet.Request, sharesDeduplication func(earlier fleet.ServerID) bool) RetrySafety {
 	class := &limits.Classes[q.Class]
-	retry := Retry{Allowed: true, NoEffect: true}
+	retry := RetrySafety{Allowed: true, NoEffect: true}
 	for _, attempt := range q.Attempts[:q.NumAttempts] {
 		if attempt.Result.NotExecuted() || class.Effect == fleet.Idempotent {
 			continue
--- a/internal/testbed/baseline/baseline.go
+++ b/internal/testbed/baseline/baseline.go
@@ -1,8 +1,8 @@
-// Package baseline holds plain policies that a node can be run with in place of its own decisions, so that an experiment shows what
-// those are worth: random choice and plain consistent hashing. They keep the first three rules as a careful client would, and know
-// nothing of load, of health or of servers that are warming up.
+// Package baseline implements simple policies that replace package decide in a node, so that experiments can compare against them:
+// random choice and plain consistent hashing. They keep the first three rules as a careful client would, and ignore load, health and
+// servers that are warming up.
 //
-// Policies do no I/O and read no clock; times are in ms. One goroutine may use a policy at a time.
+// Policies do no I/O and read no clock; times are in ms. A policy is not safe for concurrent use.
 package baseline
 
 import (
@@ -21,18 +21,18 @@
 	Hash   = "hash"
 )
 
-// Policy is one of the baselines, with the calls that decide.Node has.
+// Policy is a baseline policy with the methods of decide.Node.
 type Policy struct {
 	Base
 	limits     fleet.Limits
 	selectKind selectKind
-	drawCount  uint64 // numbers drawn so far
+	drawCount  uint64 // random numbers drawn so far
 
-	caches []fleet.Endpoint // those that are ready, in the order of their points on the ring
-	origin fleet.ServerID   // fleet.NoServer while there is none
+	caches []fleet.Endpoint // the ready caches, sorted by their points on the ring
+	origin fleet.ServerID   // fleet.NoServer while no origin is ready
 }
 
-// selectKind is how a policy selects a cache.
+// selectKind is the way in which a policy selects a cache.
 type selectKind uint8
 
 const (
@@ -40,7 +40,7 @@
 	selectOwner
 )
 
-// New returns a policy by its name. It requests the endpoint list at once.
+// New returns the policy with the given name.
 func New(name string, now float64, limits fleet.Limits) (*Policy, error) {
 	kinds := map[string]selectKind{Random: selectRandom, Hash: selectOwner}
 	kind, known := kinds[name]
@@ -53,7 +53,7 @@
 	return p, nil
 }
 
-// selectEndpoints finds the caches and the origin among the endpoints.
+// selectEndpoints selects the ready caches and the origin from the endpoints.
 func (p *Policy) selectEndpoints() {
 	p.caches, p.origin = p.caches[:0], fleet.NoServer
 	for _, endpoint := range p.Endpoints {
@@ -70,14 +70,15 @@
 	})
 }
 
-// hasOrigin reports whether there is an origin beside the caches.
+// hasOrigin reports whether the deployment has an origin besides the caches.
 func (p *Policy) hasOrigin() bool { return p.limits.OriginKind >= 0 }
 
-// route sends a request to the server that is selected for it, or rejects or aborts it where it must not be sent again.
+// route sends a request to the selected server. It rejects or aborts the request if no server is available or if it must not be sent
+// again.
 func (p *Policy) route(now float64, q *fleet.Request) fleet.Decision {
 	to := p.selectServer(q)
 	class := &p.limits.Classes[q.Class]
-	retry := RetryOf(now, &p.limits, q, func(earlier fleet.ServerID) bool { return p.shareDeduplication(class.DedupScope, earlier, to) })
+	retry := EvaluateRetry(now, &p.limits, q, func(earlier fleet.ServerID) bool { return p.shareDeduplication(class.DedupScope, earlier, to) })
 	if to == fleet.NoServer || !retry.Allowed || q.NumAttempts >= p.limits.AttemptLimit(class) || q.Deadline-now <= p.limits.Quantum {
 		q.Closed = true
 		if retry.NoEffect {
@@ -100,13 +101,13 @@
 	return serverA.Zone == serverB.Zone && serverA.Cell == serverB.Cell
 }
 
-// selectServer selects at random, or the owner of the key and, once that has failed, those behind it on the ring. Writes, and reads
-// that missed, go to the origin where there is one.
+// selectServer selects a random cache, or the owner of the key and, after failed attempts, its successors on the ring. Writes and reads
+// that missed go to the origin if the deployment has one.
 func (p *Policy) selectServer(q *fleet.Request) fleet.ServerID {
-	wasSent := slices.ContainsFunc(q.Attempts[:q.NumAttempts], func(a fleet.Attempt) bool {
+	needsOrigin := slices.ContainsFunc(q.Attempts[:q.NumAttempts], func(a fleet.Attempt) bool {
 		return a.Result == fleet.Missed || a.Server == p.origin
 	})
-	if p.hasOrigin() && (q.Write || wasSent) || len(p.caches) == 0 {
+	if p.hasOrigin() && (q.Write || needsOrigin) || len(p.caches) == 0 {
 		return p.origin
 	}
 	if p.selectKind == selectRandom {
@@ -118,7 +119,7 @@
 	return p.caches[(owner+q.NumAttempts)%len(p.caches)].ID
 }
 
-// uniform draws from [0,1).
+// uniform returns a pseudo-random number from [0,1).
 func (p *Policy) uniform() float64 {
 	var b [16]byte
 	p.drawCount++
--- a/internal/testbed/seededtest/seededtest.go
+++ b/internal/testbed/seededtest/seededtest.go
@@ -11,10 +11,10 @@
 	_ "pgregory.net/rapid" // registers the flags that Main sets
 )
 
-// seed is the seed of generated inputs. Changing it changes what every property test of the project sees.
+// seed is the seed of generated inputs. Changing it changes the inputs of every property test of the project.
 const seed = "11"
 
-// exitUsage is the exit code for flags that cannot be set, as package flag has it.
+// exitUsage is the exit code for flags that cannot be set, the same as in package flag.
 const exitUsage = 2
 
 // Main runs the tests of a package with the fixed seed and exits. Call it from TestMain.
--- a/internal/testbed/simulator/agree_test.go
+++ b/internal/testbed/simulator/agree_test.go
@@ -9,10 +9,10 @@
 	"mintspring/internal/testbed/processrunner"
 )
 
-// Real nodes among fake servers and simulated ones give the same figures, within bounds that a shared machine can keep: a model that
-// flatters would show here. A machine that is too busy for real nodes says nothing.
+// Compares a run of real nodes with fake servers to a simulated run. The figures must agree within bounds that a shared machine can keep,
+// which guards against a model that is too optimistic. The test is skipped if the machine is too busy to run real nodes on time.
 func TestAgreesWithRealNodes(t *testing.T) {
-	x := parse(t, small+step(1.5, "kill", "box = \"box-0\"\nfor = \"1s\"")+step(3, "drain", "box = \"box-1\""))
+	x := parseExperiment(t, smallFleet+stepTOML(1.5, "kill", "box = \"box-0\"\nfor = \"1s\"")+stepTOML(3, "drain", "box = \"box-1\""))
 	realRun, err := processrunner.Play(context.Background(), x, processrunner.Options{
 		Program: "real", InProcess: processrunner.ServeInProcess, Dir: t.TempDir(),
 	})
@@ -22,15 +22,15 @@
 	if realRun.LatenessMs > experiment.MaxLatenessMs {
 		t.Skipf("the machine is too busy: %.0f ms late", realRun.LatenessMs)
 	}
-	simulated := play(t, x, Options{Program: "simulated"})
-	if a, b := len(realRun.Requests), len(simulated.Requests); a != b {
-		t.Errorf("%d real requests, %d simulated ones", a, b)
+	simulated := runExperiment(t, x, Options{Program: "simulated"})
+	if realCount, simulatedCount := len(realRun.Requests), len(simulated.Requests); realCount != simulatedCount {
+		t.Errorf("%d real requests, %d simulated ones", realCount, simulatedCount)
 	}
 	for name, bound := range map[string]float64{
 		"in_slo": 0.05, "hit_share": 0.05, "executions_per_query": 0.08, "completed": 0.03, "tries_per_query": 0.05,
 	} {
-		if a, b := realRun.FigureByName(name), simulated.FigureByName(name); math.Abs(a-b) > bound {
-			t.Errorf("%s: %.3f real, %.3f simulated", name, a, b)
+		if realFigure, simulatedFigure := realRun.FigureByName(name), simulated.FigureByName(name); math.Abs(realFigure-simulatedFigure) > bound {
+			t.Errorf("%s: %.3f real, %.3f simulated", name, realFigure, simulatedFigure)
 		}
 	}
 	if len(realRun.Violations)+len(simulated.Violations) > 0 {
--- a/internal/testbed/simulator/attempt.go
+++ b/internal/testbed/simulator/attempt.go
@@ -10,32 +10,32 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// attempt is one attempt of a node at a server.
+// attempt is one attempt of a node to execute a request at a server.
 type attempt struct {
 	connpool.Waiter
 	link        *serverLink
 	exchange    *exchange.Exchange
 	client      *clientAttempt
-	index       int // among the attempts of the request
+	index       int // in the list of attempts of the request
 	sentAt      float64
 	deadline    float64
-	remainingMs float64 // the time that was left when it was sent
-	conn        *conn   // nil while it waits for one
+	remainingMs float64 // time to the deadline when the attempt was sent
+	conn        *conn   // nil while the attempt waits for a connection
 	progress    exchange.Progress
-	stale       bool // it was sent on a connection that the server had forgotten
+	stale       bool // it was sent on an idle connection that the server had already closed
 	done        bool
 
-	execution   *servermodel.Execution // at the server
-	recordIndex int                    // of the execution, in the recorder
+	execution   *servermodel.Execution // nil until the attempt arrives at the server
+	recordIndex int                    // index of the execution in the recorder
 }
 
-// startAttempt starts an attempt with a timeout in ms. It is cancelled if it is not sent by a time.
-func (l *serverLink) startAttempt(now float64, x *exchange.Exchange, index int, limitMs, sendBy float64) *attempt {
-	a := &attempt{link: l, exchange: x, client: x.Client.(*clientAttempt), index: index, sentAt: now, deadline: now + limitMs}
+// startAttempt starts an attempt with a timeout in ms. The attempt is cancelled if it is not sent before the time sendBy.
+func (l *serverLink) startAttempt(now float64, x *exchange.Exchange, index int, timeoutMs, sendBy float64) *attempt {
+	a := &attempt{link: l, exchange: x, client: x.Client.(*clientAttempt), index: index, sentAt: now, deadline: now + timeoutMs}
 	sim := l.process.sim
-	sim.schedule(l.process.toSimTime(a.deadline), (*attemptTimeout)(a))
+	sim.schedule(l.process.localToSimTime(a.deadline), (*attemptTimeout)(a))
 	if sendBy < a.deadline {
-		sim.schedule(l.process.toSimTime(sendBy), actionFunc(func() {
+		sim.schedule(l.process.localToSimTime(sendBy), actionFunc(func() {
 			if !a.done && a.progress == exchange.NotConnected {
 				l.endAttemptLater(a, fleet.Cancelled)
 			}
@@ -50,13 +50,13 @@
 	return a
 }
 
-// Assign implements connpool.Owner: an attempt is sent on a connection.
+// Assign implements connpool.Owner. It sends an attempt on a connection.
 func (l *serverLink) Assign(now float64, c *conn, a *attempt) {
 	c.current, a.conn, a.progress, a.remainingMs = a, c, exchange.FullyWritten, a.deadline-now
-	l.process.sim.scheduleAfter(serverHop, (*attemptArrival)(a))
+	l.process.sim.scheduleAfter(serverHopDelay, (*attemptArrival)(a))
 }
 
-// attemptTimeout is the end of the time that an attempt has.
+// attemptTimeout is the timer for the deadline of an attempt.
 type attemptTimeout attempt
 
 func (t *attemptTimeout) fire() {
@@ -66,7 +66,7 @@
 	}
 }
 
-// endAttempt ends an attempt on the node's side, without a response. The connection that it is on is closed.
+// endAttempt ends an attempt on the node's side without a response and closes its connection, if it has one.
 func (l *serverLink) endAttempt(a *attempt, result fleet.Result) {
 	if a.done || l.process.exited {
 		return
@@ -88,7 +88,7 @@
 	})
 }
 
-// endAttemptLater ends an attempt once whatever happens now is done, like an event that another goroutine of the node posts.
+// endAttemptLater ends an attempt in an event after the current one, as another goroutine of the node would.
 func (l *serverLink) endAttemptLater(a *attempt, result fleet.Result) {
 	l.process.sim.scheduleAfter(0, actionFunc(func() {
 		l.endAttempt(a, result)
@@ -96,7 +96,7 @@
 	}))
 }
 
-// attemptArrival is an attempt that arrives at its server.
+// attemptArrival is the arrival of an attempt at its server.
 type attemptArrival attempt
 
 func (t *attemptArrival) fire() {
@@ -104,10 +104,10 @@
 	c, s := a.conn, a.conn.server
 	node := c.link.process.node.index
 	if c.serverClosed || s.isBlackholed(node) {
-		return // its node learns of a closed connection by the reset that is on its way
+		return // the node gets the reset of a closed connection in an event of its own
 	}
 	sim := s.sim
-	sim.deliverCompleted() // what has ended by now makes room first
+	sim.deliverCompleted() // executions that have completed by now free their resources first
 	now := sim.nowMs()
 	request := a.request(now)
 	if c.overLimit {
@@ -131,7 +131,7 @@
 	sim.deliverCompleted()
 }
 
-// request is the attempt as its server sees it.
+// request returns the request that the server receives.
 func (a *attempt) request(nowMs float64) servermodel.Request {
 	s, node, client := a.conn.server, a.conn.link.process.node.index, a.client
 	const minRemainingMs = 1
@@ -139,7 +139,7 @@
 		RequestID: client.ID, Key: client.request.Key, IdempotencyKey: client.IdempotencyKey,
 		Class: s.sim.experiment.Classes[client.request.Class].Name, Write: a.exchange.Write,
 		Node: servermodel.NodeID(node), FirstByte: nowMs, LastByte: nowMs,
-		Deadline:     nowMs + max(minRemainingMs, math.Trunc(a.remainingMs)), // in whole ms on the wire
+		Deadline:     nowMs + max(minRemainingMs, math.Trunc(a.remainingMs)), // whole ms on the wire
 		NodeNotified: s.notifiedOfStart(node, nowMs),
 	}
 }
--- a/internal/testbed/simulator/clientattempt.go
+++ b/internal/testbed/simulator/clientattempt.go
@@ -9,30 +9,30 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// clientAttempt is one attempt of a client's request. It is the exchange.Client of its exchange at the node.
+// clientAttempt is one attempt of a client's request. It implements exchange.Client for the exchange at the node.
 type clientAttempt struct {
 	invariants.ClientAttempt
-	sim          *Simulation
-	sequence     uint64
-	request      *experiment.GeneratedRequest
-	process      *process // that it was sent to
-	connects     int      // nodes that could not be reached
-	retryAfterMs float64  // as in the response
-
-	connected  bool // it has a connection at its node
-	started    bool // its node has begun to work on it
-	ended      bool // for its client
-	inFlight   int  // executions at servers
+	sim            *Simulation
+	sequence       uint64
+	request        *experiment.GeneratedRequest
+	process        *process // that received the attempt
+	failedConnects int      // number of nodes that could not be reached
+	retryAfterMs   float64  // from the response
+
+	connected  bool // it holds a client connection at its node
+	started    bool // its node has started to process it
+	ended      bool // the client has a response or has given up
+	inFlight   int  // number of executions running at servers
 	executions []*servermodel.Execution
 }
 
-// send sends the attempt to the first node that can be reached.
+// send sends the attempt to the first node that accepts a connection.
 func (a *clientAttempt) send() {
 	s, c := a.sim, a.sim.clients
-	for ; a.connects < experiment.MaxConnects; a.connects++ {
+	for ; a.failedConnects < experiment.MaxConnects; a.failedConnects++ {
 		index, probe := c.balancer.Pick(s.nowMs(), func(int) bool { return false })
-		for _, dead := range probe {
-			c.probeNode(dead)
+		for _, deadNode := range probe {
+			c.probeNode(deadNode)
 		}
 		p := s.nodes[index].process
 		if p.exited || p.draining {
@@ -43,32 +43,32 @@
 		a.process, a.Node, a.Sent, a.Deadline = p, servermodel.NodeID(index), s.nowMs(), s.nowMs()+timeoutMs
 		p.clientAttempts[a] = true
 		c.unchecked[a] = true
-		s.scheduleAfter(clientHop, (*requestArrival)(a))
+		s.scheduleAfter(clientHopDelay, (*requestArrival)(a))
 		s.scheduleAfter(durationOf(timeoutMs+experiment.ClientGraceMs), (*clientTimeout)(a))
 		return
 	}
-	a.end() // nothing was sent
+	a.end() // no node could be reached
 }
 
-// requestArrival is an attempt that arrives at its node.
+// requestArrival is the arrival of an attempt at its node.
 type requestArrival clientAttempt
 
 func (r *requestArrival) fire() {
 	a := (*clientAttempt)(r)
 	p := a.process
 	if p.exited || p.deferIfStalled(r) {
-		return // the connection of a client to a process that has exited is reset
+		return // terminate has reset the connection, or the arrival is postponed
 	}
-	if a.ended { // its client has gone while the process stood still
+	if a.ended { // the client gave up while the process was frozen or busy
 		delete(p.clientAttempts, a)
 		return
 	}
-	if p.cpu.startRequest(a) {
+	if p.cpu.chargeRequest(a) {
 		return
 	}
-	if !p.acquireClientConn() {
+	if !p.acquireClientConnection() {
 		delete(p.clientAttempts, a)
-		a.sim.scheduleAfter(clientHop, actionFunc(a.connectionReset)) // its connection is closed at once
+		a.sim.scheduleAfter(clientHopDelay, actionFunc(a.connectionReset)) // the node closes the connection at once
 		return
 	}
 	a.connected = true
@@ -77,25 +77,25 @@
 	p.runDueWork()
 }
 
-// newExchange returns the attempt as its node sees it.
+// newExchange returns the exchange by which the node processes the attempt.
 func (a *clientAttempt) newExchange(now float64) *exchange.Exchange {
 	x, node := a.sim.experiment, a.process.node
 	class := &x.Classes[a.request.Class]
 	limits := &node.deployment.Limits.Classes[a.request.Class]
 	return &exchange.Exchange{
-		Key: []byte(a.request.Key), KeyHash: ringKey(a.request.Key), Class: node.names.Classes[class.Name].ID, Write: class.Write,
-		Tenant:    node.names.Tenants[x.Tenants[a.request.Tenant].Name],
-		ArrivedAt: now, Deadline: node.names.Deadline(limits, now, math.Floor(x.AttemptTimeoutMs(a.request.Class))), Client: a,
+		Key: []byte(a.request.Key), KeyHash: ringKey(a.request.Key), Class: node.clientConfig.Classes[class.Name].ID, Write: class.Write,
+		Tenant:    node.clientConfig.Tenants[x.Tenants[a.request.Tenant].Name],
+		ArrivedAt: now, Deadline: node.clientConfig.Deadline(limits, now, math.Floor(x.AttemptTimeoutMs(a.request.Class))), Client: a,
 	}
 }
 
 // ResponseReady implements exchange.Client.
 func (a *clientAttempt) ResponseReady(x *exchange.Exchange) {
-	a.process.releaseClientConn(a, false)
-	a.sim.scheduleAfter(clientHop, &responseToClient{a, x.Response()})
+	a.process.releaseClientConnection(a, false)
+	a.sim.scheduleAfter(clientHopDelay, &responseToClient{a, x.Response()})
 }
 
-// responseToClient is a response that arrives at its client.
+// responseToClient is the arrival of a response at its client.
 type responseToClient struct {
 	attempt  *clientAttempt
 	response *exchange.Response
@@ -115,13 +115,13 @@
 		a.Outcome = invariants.Aborted
 	}
 	a.AnsweredAt = a.sim.nowMs()
-	a.retryAfterMs = math.Floor(r.response.RetryAfter) // in whole ms on the wire
+	a.retryAfterMs = math.Floor(r.response.RetryAfter) // whole ms on the wire
 	a.WrongKey = a.Outcome == invariants.Completed && !experiment.IsValueOf(string(r.response.Value), a.request.Key)
 	a.sim.clients.balancer.MarkHealthy(int(a.Node))
 	a.end()
 }
 
-// clientTimeout is a client that goes away without a response.
+// clientTimeout is the time at which a client without a response gives up.
 type clientTimeout clientAttempt
 
 func (t *clientTimeout) fire() {
@@ -130,12 +130,12 @@
 		return
 	}
 	if a.connected {
-		a.process.releaseClientConn(a, true)
+		a.process.releaseClientConnection(a, true)
 	}
 	a.end()
 }
 
-// connectionReset records that the connection of the client was reset: its node has died.
+// connectionReset handles a reset of the client's connection by its node.
 func (a *clientAttempt) connectionReset() {
 	if !a.ended {
 		a.sim.clients.balancer.MarkFailed(a.sim.nowMs(), int(a.Node))
@@ -143,7 +143,7 @@
 	}
 }
 
-// end ends the attempt for its client, which may retry.
+// end ends the attempt for its client and schedules a retry if the client makes one.
 func (a *clientAttempt) end() {
 	c := a.sim.clients
 	a.ended = true
@@ -157,12 +157,12 @@
 	c.requests = append(c.requests, a.request.Request)
 }
 
-// executionStarted handles an execution that arrives at a server.
-func (a *clientAttempt) executionStarted(of *attempt) {
+// executionStarted records the arrival of an execution at a server.
+func (a *clientAttempt) executionStarted(nodeAttempt *attempt) {
 	a.inFlight++
-	a.executions = append(a.executions, of.execution)
-	of.recordIndex = a.sim.recorder.Arrived(of.execution)
-	a.sim.checker.ExecutionArrived(of.execution)
+	a.executions = append(a.executions, nodeAttempt.execution)
+	nodeAttempt.recordIndex = a.sim.recorder.Arrived(nodeAttempt.execution)
+	a.sim.checker.ExecutionArrived(nodeAttempt.execution)
 	a.sim.clients.unchecked[a] = true
 }
 
@@ -172,7 +172,8 @@
 	a.checkIfDone()
 }
 
-// checkIfDone checks the rules once nothing of the attempt is in flight. Should more come, they are checked again.
+// checkIfDone checks the rules once the attempt has ended and none of its executions is running. An execution that arrives later triggers
+// another check.
 func (a *clientAttempt) checkIfDone() {
 	if !a.ended || a.inFlight > 0 || !a.sim.clients.unchecked[a] {
 		return
--- a/internal/testbed/simulator/clients.go
+++ b/internal/testbed/simulator/clients.go
@@ -9,39 +9,39 @@
 )
 
 const (
-	// maxRetryWaitFactor is how much longer than the usual one a client's wait before a retry may be.
+	// maxRetryWaitFactor is the longest randomized wait of a client before a retry, as a multiple of the configured wait.
 	maxRetryWaitFactor = 1.5
-	// endMargin is how long after the end of all requests their run is given up.
-	endMargin = time.Second
-	// probeInterval is the time between two looks at a dead node.
-	probeInterval = 50 * time.Millisecond
+	// runEndMargin is the time after the latest possible end of all requests at which the run fails.
+	runEndMargin = time.Second
+	// nodeProbeInterval is the time between two probes of a node that was marked failed.
+	nodeProbeInterval = 50 * time.Millisecond
 )
 
-// clientPopulation is all clients, with what spreads them over nodes.
+// clientPopulation generates the requests of all clients and distributes them over the nodes.
 type clientPopulation struct {
-	sim           *Simulation
-	traffic       *experiment.TrafficGenerator
-	balancer      *experiment.NodeBalancer
-	from, to      simTime // of the load
-	nextDue       simTime
-	rateFactor    float64
-	arrivalsEnded bool
-	openRequests  int // those that have not ended
-	requests      []experiment.Request
-	unchecked     map[*clientAttempt]bool // attempts of which something is in flight
-	attemptCount  uint64
+	sim                *Simulation
+	traffic            *experiment.TrafficGenerator
+	balancer           *experiment.NodeBalancer
+	loadStart, loadEnd simTime // bounds of the load
+	nextArrivalAt      simTime
+	rateFactor         float64
+	arrivalsEnded      bool
+	openRequests       int // requests that have not ended
+	requests           []experiment.Request
+	unchecked          map[*clientAttempt]bool // attempts whose rules are not checked yet
+	attemptCount       uint64
 }
 
-func newClientPopulation(s *Simulation, from, to simTime) *clientPopulation {
+func newClientPopulation(s *Simulation, loadStart, loadEnd simTime) *clientPopulation {
 	nodes := &s.experiment.Nodes
 	return &clientPopulation{
 		sim: s, traffic: experiment.NewTrafficGenerator(s.experiment, s.seed),
-		balancer: experiment.NewNodeBalancer(nodes.Count, nodes.FailureNotice.Milliseconds(), nodes.TrafficWeights),
-		from:     from, to: to, nextDue: from, rateFactor: 1, unchecked: map[*clientAttempt]bool{},
+		balancer:  experiment.NewNodeBalancer(nodes.Count, nodes.FailureNotice.Milliseconds(), nodes.TrafficWeights),
+		loadStart: loadStart, loadEnd: loadEnd, nextArrivalAt: loadStart, rateFactor: 1, unchecked: map[*clientAttempt]bool{},
 	}
 }
 
-// latestEnd returns when the last request has ended, whatever happens.
+// latestEnd returns the time by which every request must have ended, plus a margin.
 func (c *clientPopulation) latestEnd() simTime {
 	x := c.sim.experiment
 	waitMs := max(maxRetryWaitFactor*x.Load.RetryWait.Milliseconds(), x.Rules.MaxRetryAfter.Milliseconds())
@@ -49,20 +49,20 @@
 	for i := range x.Classes {
 		attemptMs = max(attemptMs, x.AttemptTimeoutMs(i)+experiment.ClientGraceMs+waitMs)
 	}
-	return c.to + simTime(durationOf(float64(x.Load.Retries+1)*attemptMs)) + simTime(endMargin)
+	return c.loadEnd + simTime(durationOf(float64(x.Load.Retries+1)*attemptMs)) + simTime(runEndMargin)
 }
 
-// scheduleNext has the next request come at its time. Arrivals do not wait for responses.
-func (c *clientPopulation) scheduleNext() {
-	c.nextDue += simTime(c.traffic.NextGap(c.rateFactor))
-	if c.nextDue > c.to {
+// scheduleNextArrival schedules the next request. Arrivals do not wait for responses.
+func (c *clientPopulation) scheduleNextArrival() {
+	c.nextArrivalAt += simTime(c.traffic.NextGap(c.rateFactor))
+	if c.nextArrivalAt > c.loadEnd {
 		c.arrivalsEnded = true
 		return
 	}
-	c.sim.schedule(c.nextDue, (*nextArrival)(c))
+	c.sim.schedule(c.nextArrivalAt, (*nextArrival)(c))
 }
 
-// nextArrival is a new request.
+// nextArrival is the arrival of the next request at its client.
 type nextArrival clientPopulation
 
 func (a *nextArrival) fire() {
@@ -70,10 +70,10 @@
 	request := c.traffic.NextRequest(c.sim.nowMs())
 	c.openRequests++
 	c.startAttempt(request)
-	c.scheduleNext()
+	c.scheduleNextArrival()
 }
 
-// startAttempt makes the next attempt of a request.
+// startAttempt starts the next attempt of a request.
 func (c *clientPopulation) startAttempt(request *experiment.GeneratedRequest) {
 	c.attemptCount++
 	a := &clientAttempt{
@@ -82,24 +82,24 @@
 	a.send()
 }
 
-// probeNode checks whether a dead node is back.
+// probeNode checks whether a node that was marked failed accepts clients again.
 func (c *clientPopulation) probeNode(index int) {
 	n := c.sim.nodes[index]
 	if p := n.process; !p.exited && p.serving && !p.draining && !n.frozen {
-		c.sim.scheduleAfter(2*clientHop, actionFunc(func() { c.balancer.Probed(index, true) }))
+		c.sim.scheduleAfter(2*clientHopDelay, actionFunc(func() { c.balancer.Probed(index, true) }))
 		return
 	}
-	c.sim.scheduleAfter(probeInterval, actionFunc(func() { c.balancer.Probed(index, false) }))
+	c.sim.scheduleAfter(nodeProbeInterval, actionFunc(func() { c.balancer.Probed(index, false) }))
 }
 
-// checkRemaining checks the rules for attempts of which something is in flight.
-func (c *clientPopulation) checkRemaining() {
+// checkUncheckedAttempts checks the rules for attempts that were not checked during the run.
+func (c *clientPopulation) checkUncheckedAttempts() {
 	for _, a := range sortedAttempts(c.unchecked) {
 		c.sim.checker.AttemptEnded(a.ClientAttempt, a.executions)
 	}
 }
 
-// sortedAttempts returns attempts in the order in which they were made.
+// sortedAttempts returns attempts in the order in which they were started.
 func sortedAttempts(set map[*clientAttempt]bool) []*clientAttempt {
 	attempts := make([]*clientAttempt, 0, len(set))
 	for a := range set {
--- a/internal/testbed/simulator/clustermember.go
+++ b/internal/testbed/simulator/clustermember.go
@@ -12,28 +12,28 @@
 )
 
 const (
-	// gossipInterval is the time between two looks at what is due among nodes, as in the node on sockets.
+	// gossipInterval is the time between two ticks of the participant, as in the node on sockets.
 	gossipInterval = 20 * time.Millisecond
-	// maxInbox is about how many datagrams a socket's buffer holds; more are lost.
-	maxInbox = 400
+	// maxInboxDatagrams approximates the capacity of a socket's receive buffer; more datagrams are lost.
+	maxInboxDatagrams = 400
 )
 
-// clusterMember is a process's part in the cluster of nodes, as internal/node drives it on sockets.
+// clusterMember connects a process to its peers. It drives a participant as internal/node does on sockets.
 type clusterMember struct {
 	participant.DecisionAdapter
-	process      *process
-	participant  *participant.Participant
-	inbox        []datagram // what came while the process was frozen
-	openedBefore int64      // connections that were opened up to the last counters
+	process         *process
+	participant     *participant.Participant
+	inbox           []datagram // datagrams received while the process was frozen
+	lastOpenedCount int64      // value of poolCounters.Opened at the last call of NodeCounters
 }
 
-// datagram is one that has come from another node.
+// datagram is a datagram received from another node.
 type datagram struct {
 	from    cluster.NodeID
 	payload []byte
 }
 
-// joinCluster has a process that starts send messages to its peers, if the operator's file says so.
+// joinCluster starts the exchange of messages with peers if the operator's file configures it.
 func (p *process) joinCluster() {
 	file := p.node.operatorFile
 	if file == nil || file.Fleet == nil {
@@ -55,7 +55,7 @@
 	p.sim.scheduleAfter(time.Duration(p.uniform()*float64(gossipInterval)), actionFunc(m.tick))
 }
 
-// tick does what is due, again and again.
+// tick calls the participant periodically and sends its messages.
 func (m *clusterMember) tick() {
 	p := m.process
 	if p.exited {
@@ -79,16 +79,16 @@
 			continue
 		}
 		for _, delivery := range sim.peerLinks.Transmit(sim.nowMs(), self, to, message.Append(nil)) {
-			delay := serverHop + durationOf(delivery.AtMs-sim.nowMs())
+			delay := serverHopDelay + durationOf(delivery.AtMs-sim.nowMs())
 			sim.scheduleAfter(delay, actionFunc(func() { sim.nodes[to].receive(datagram{cluster.NodeID(self), delivery.Data}) }))
 		}
 	}
 }
 
-// receive handles a datagram, or keeps it while the process is frozen.
+// receive handles a datagram, or queues it while the process is frozen.
 func (m *clusterMember) receive(d datagram) {
 	if m.process.node.frozen {
-		if len(m.inbox) < maxInbox {
+		if len(m.inbox) < maxInboxDatagrams {
 			m.inbox = append(m.inbox, d)
 		}
 		return
@@ -96,7 +96,7 @@
 	m.send(m.participant.HandleDatagram(m.process.localNow(), d.from, d.payload))
 }
 
-// handleInbox handles what came while the process was frozen.
+// handleInbox handles the datagrams received while the process was frozen.
 func (m *clusterMember) handleInbox() {
 	inbox := m.inbox
 	m.inbox = nil
@@ -106,21 +106,21 @@
 }
 
 // Demand implements participant.Host.
-func (m *clusterMember) Demand(now float64, at fleet.ServerID) float64 {
-	return m.process.links[at].pool.Policy.Demand(now)
+func (m *clusterMember) Demand(now float64, server fleet.ServerID) float64 {
+	return m.process.links[server].pool.Policy.Demand(now)
 }
 
 // SetAllowance implements participant.Host.
-func (m *clusterMember) SetAllowance(now float64, at fleet.ServerID, allowance quota.Allowance) {
-	pool := m.process.links[at].pool
+func (m *clusterMember) SetAllowance(now float64, server fleet.ServerID, allowance quota.Allowance) {
+	pool := m.process.links[server].pool
 	pool.Policy.SetQuota(allowance)
 	pool.Dispatch(now)
 }
 
 // MarkDuplicating implements participant.Host.
-func (m *clusterMember) MarkDuplicating(_ float64, at fleet.ServerID) {
-	l := m.process.links[at]
-	l.failSuspects(l.pool.DuplicatesReported())
+func (m *clusterMember) MarkDuplicating(_ float64, server fleet.ServerID) {
+	l := m.process.links[server]
+	l.failSuspectAttempts(l.pool.DuplicatesReported())
 }
 
 // NodeCounters implements participant.Host.
@@ -129,14 +129,14 @@
 	opened := p.poolCounters.Opened.Load()
 	all[counters.InFlight] = p.inflight.Len()
 	all[counters.ClientConnections] = p.idleClients + len(p.clientAttempts)
-	all[counters.ConnectionsOpened] = int(opened - m.openedBefore)
-	m.openedBefore = opened
+	all[counters.ConnectionsOpened] = int(opened - m.lastOpenedCount)
+	m.lastOpenedCount = opened
 	return all
 }
 
 // Connections implements participant.Host.
-func (m *clusterMember) Connections(at fleet.ServerID) (open, inUse int) {
-	state := m.process.links[at].pool.State()
+func (m *clusterMember) Connections(server fleet.ServerID) (open, inUse int) {
+	state := m.process.links[server].pool.State()
 	return state.Open, state.InUse
 }
 
--- a/internal/testbed/simulator/conn.go
+++ b/internal/testbed/simulator/conn.go
@@ -10,15 +10,15 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// conn is one connection of a node to a server. Whatever travels on it takes a hop.
+// conn is one connection of a node to a server. Each message on it arrives after serverHopDelay.
 type conn struct {
 	connpool.Conn
 	link         *serverLink
 	server       *server
 	current      *attempt // nil while it is idle
-	overLimit    bool     // beyond the server's connections: what comes on it is rejected
-	serverClosed bool     // the server's side of it is closed
-	index        int      // place among the server's connections
+	overLimit    bool     // opened above the server's connection limit; its requests are rejected
+	serverClosed bool     // the server's side is closed
+	index        int      // in server.conns
 }
 
 // closeServerSide closes the server's side of the connection.
@@ -33,16 +33,16 @@
 	}
 }
 
-// reset closes the connection from the server's side; its node learns of that a hop later.
+// reset closes the connection from the server's side. The node receives the reset after serverHopDelay.
 func (c *conn) reset() {
 	c.closeServerSide()
-	c.server.sim.scheduleAfter(serverHop, actionFunc(func() {
+	c.server.sim.scheduleAfter(serverHopDelay, actionFunc(func() {
 		c.connectionLost()
 		c.link.process.runDueWork()
 	}))
 }
 
-// respond sends the response to an attempt, with whatever faults the server has now.
+// respond sends the response to an attempt, subject to the faults that are active at the server.
 func (c *conn) respond(a *attempt) {
 	sim := c.server.sim
 	if c.serverClosed || c.server.isBlackholed(c.link.process.node.index) {
@@ -53,14 +53,14 @@
 		return
 	}
 	if fault == fakes.LateDuplicateResponse {
-		sim.scheduleAfter(serverHop+durationOf(c.server.faults.DuplicateDelay()), &duplicateArrival{a, c})
+		sim.scheduleAfter(serverHopDelay+durationOf(c.server.faults.DuplicateDelay()), &duplicateArrival{a, c})
 	}
-	sim.scheduleAfter(serverHop, &responseArrival{a, c, fault})
+	sim.scheduleAfter(serverHopDelay, &responseArrival{a, c, fault})
 }
 
-// Below is the node's side.
+// The methods and events below belong to the node's side.
 
-// connectionLost records that the server has reset the connection, or that something came on it that is no response.
+// connectionLost handles a reset by the server, or data on the connection that is not a valid response.
 func (c *conn) connectionLost() {
 	l := c.link
 	if l.process.exited || c.Closed || l.process.deferIfStalled(actionFunc(c.connectionLost)) {
@@ -77,13 +77,13 @@
 		return
 	}
 	if a.progress != exchange.ResponseStarted && c.IdleDuration >= node.ConnectTimeout(&l.process.node.deployment)/5 {
-		l.pool.CloseIdleBefore(now - c.IdleDuration) // the server seems to have forgotten it while it was idle
+		l.pool.CloseIdleBefore(now - c.IdleDuration) // the server probably closed it while it was idle
 		a.stale = true
 	}
 	l.endAttempt(a, fleet.Reset)
 }
 
-// responseArrival is a response that arrives at its node.
+// responseArrival is the arrival of a response at its node.
 type responseArrival struct {
 	attempt *attempt
 	conn    *conn
@@ -96,7 +96,7 @@
 		return
 	}
 	if c.current != a {
-		c.closeUnsolicited()
+		c.closeAfterUnsolicited()
 		return
 	}
 	p := c.link.process
@@ -120,7 +120,7 @@
 	p.runDueWork()
 }
 
-// responseStalled records that the rest of a response does not come.
+// responseStalled handles the stall timeout of a response that was received in part.
 func (c *conn) responseStalled(a *attempt) {
 	if c.current == a {
 		c.connectionLost()
@@ -128,22 +128,22 @@
 	}
 }
 
-// acceptResponse has the node take a response as that of an attempt. The connection is closed after the last one.
-func (c *conn) acceptResponse(a *attempt, execution *servermodel.Execution, isLast bool) {
+// acceptResponse processes a response as that of an attempt. closesConn reports that the connection is not used again.
+func (c *conn) acceptResponse(a *attempt, execution *servermodel.Execution, closesConn bool) {
 	l, now := c.link, c.link.process.localNow()
-	completion := c.server.completionOf(execution)
+	completion := c.server.parseCompletion(execution)
 	completion.Took = now - a.sentAt
 	c.current = nil
-	wasDone := a.done
+	attemptEnded := a.done
 	a.done = true
-	l.pool.Responded(now, c, completion.Result == fleet.Declined, isLast)
-	if !wasDone {
+	l.pool.Responded(now, c, completion.Result == fleet.Declined, closesConn)
+	if !attemptEnded {
 		l.process.inflight.AttemptDone(now, a.exchange, a.index, completion)
 	}
 }
 
-// completionOf is an execution as the node reads the response to it.
-func (s *server) completionOf(e *servermodel.Execution) inflight.Completion {
+// parseCompletion returns the result that the node reads from the response of an execution.
+func (s *server) parseCompletion(e *servermodel.Execution) inflight.Completion {
 	completion := inflight.Completion{Result: fleet.Completed, Report: s.parseReport(e.Report)}
 	switch e.Outcome {
 	case servermodel.Rejected, servermodel.Expired:
@@ -166,8 +166,8 @@
 	return completion
 }
 
-// duplicateArrival is a duplicate response that comes late. What is in flight on the connection by then takes it for its own response,
-// unless the connection is still cooling down.
+// duplicateArrival is the arrival of a late duplicate response. An attempt that is in flight on the connection by then accepts it as its
+// own response; a connection that is still cooling down has none.
 type duplicateArrival struct {
 	attempt *attempt
 	conn    *conn
@@ -184,13 +184,13 @@
 		p.sim.result.DuplicateDetections = append(p.sim.result.DuplicateDetections, fakes.DuplicateDetection{
 			AtMs: p.sim.nowMs(), Server: c.server.model.ID, Node: servermodel.NodeID(p.node.index),
 		})
-		c.closeUnsolicited()
+		c.closeAfterUnsolicited()
 	}
 	p.runDueWork()
 }
 
-// closeUnsolicited closes a connection on which unsolicited bytes came.
-func (c *conn) closeUnsolicited() {
+// closeAfterUnsolicited closes a connection that received unsolicited bytes.
+func (c *conn) closeAfterUnsolicited() {
 	l, now := c.link, c.link.process.localNow()
 	l.recordUnsolicited(now, c)
 	l.pool.CloseConn(c)
--- a/internal/testbed/simulator/discovery.go
+++ b/internal/testbed/simulator/discovery.go
@@ -10,26 +10,26 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// fullList is the revision that requests the full list instead of changes.
-const fullList = -1
+// fullListRevision is the revision by which a call requests the full list instead of changes.
+const fullListRevision = -1
 
-// discoveryService notifies nodes of servers, as fakes.Discovery does on sockets.
+// discoveryService serves the endpoint list to nodes, as fakes.Discovery does on sockets.
 type discoveryService struct {
 	sim          *Simulation
 	endpoints    servermodel.EndpointList
 	unavailable  bool
 	stalled      bool
-	clockOffset  float64 // of servers' clocks, in ms
-	stallNumber  int     // grows with each stall
+	clockOffset  float64 // of server clocks, in ms; applies to entries that are published from now on
+	stallCount   int     // number of stalls so far
 	watches      []*watch
-	stalledPolls []*watch // polls that came during a stall
+	stalledPolls []*watch // polls received during a stall
 	callCount    int
 }
 
-// watch is one call of a node: a watch, or a poll.
+// watch is one call of a node: a watch of the endpoint list, or a single poll.
 type watch struct {
 	process  *process
-	revision int64 // that the node has
+	revision int64 // of the list that the node holds
 	closed   bool
 }
 
@@ -38,7 +38,7 @@
 	d := &discoveryService{sim: s}
 	for _, server := range s.servers {
 		if server.Origin && s.experiment.Fleet.FetchThrough {
-			continue // nobody needs it
+			continue // caches fetch from the origin themselves, so nodes need no entry for it
 		}
 		d.endpoints.Publish(0, servermodel.EndpointUpdate{Server: server.model.ID, Name: server.Name, Phase: servermodel.InService})
 	}
@@ -46,18 +46,18 @@
 	return d
 }
 
-// startWatch begins a watch of a process, in place of the one before.
+// startWatch starts a watch for a process and closes its previous one.
 func (d *discoveryService) startWatch(p *process) {
 	if p.watch != nil {
 		p.watch.closed = true
 	}
 	w := &watch{process: p, revision: p.revision}
 	if w.revision == 0 {
-		w.revision = fullList
+		w.revision = fullListRevision
 	}
 	p.watch = w
 	d.callCount++
-	d.sim.scheduleAfter(serverHop, actionFunc(func() {
+	d.sim.scheduleAfter(serverHopDelay, actionFunc(func() {
 		if d.unavailable {
 			w.fail()
 			return
@@ -68,11 +68,11 @@
 	}))
 }
 
-// poll answers a call for the whole list.
+// poll handles a single call for the full list.
 func (d *discoveryService) poll(p *process) {
 	d.callCount++
-	d.sim.scheduleAfter(serverHop, actionFunc(func() {
-		w := &watch{process: p, revision: fullList}
+	d.sim.scheduleAfter(serverHopDelay, actionFunc(func() {
+		w := &watch{process: p, revision: fullListRevision}
 		switch {
 		case d.unavailable:
 			w.fail()
@@ -85,14 +85,14 @@
 	}))
 }
 
-// isOpen reports whether somebody still waits for the call.
-func (w *watch) isOpen() bool { return !w.closed && !w.process.exited }
+// isPending reports whether the process still waits for the call.
+func (w *watch) isPending() bool { return !w.closed && !w.process.exited }
 
 // fail ends a call with an error.
 func (w *watch) fail() {
 	w.closed = true
 	p := w.process
-	p.sim.scheduleAfter(serverHop, p.whenRunning(func() {
+	p.sim.scheduleAfter(serverHopDelay, p.whenRunning(func() {
 		if !p.exited && (p.watch == w || p.watch == nil) {
 			p.inflight.Policy.UpdateEndpoints(p.localNow(), fleet.ListFailed, nil)
 			p.runDueWork()
@@ -100,45 +100,45 @@
 	}))
 }
 
-// notify sends what is new, and does so again when a delayed change becomes visible.
+// notify sends the changes that are visible now, and schedules another call for when the next delayed change becomes visible.
 func (d *discoveryService) notify(w *watch) {
-	if !w.isOpen() || d.stalled {
+	if !w.isPending() || d.stalled {
 		return
 	}
-	updates, isComplete, upTo, dueMs := d.endpoints.ChangesSince(w.revision, d.sim.nowMs())
-	w.revision = upTo
+	updates, isComplete, listRevision, dueMs := d.endpoints.ChangesSince(w.revision, d.sim.nowMs())
+	w.revision = listRevision
 	var entries []discovery.Entry
 	for _, u := range updates {
 		d.recordNotification(w.process.node.index, &u)
 		if isComplete && u.Phase == servermodel.Terminated {
-			continue // a complete list says so by leaving it out
+			continue // a complete list omits terminated servers
 		}
-		entries = append(entries, d.sim.servers[u.Server].entry(&u))
+		entries = append(entries, d.sim.servers[u.Server].listEntry(&u))
 	}
 	if len(entries) > 0 || isComplete {
-		d.sim.scheduleAfter(serverHop, w.process.whenRunning(func() { w.deliver(entries, isComplete, upTo) }))
+		d.sim.scheduleAfter(serverHopDelay, w.process.whenRunning(func() { w.deliver(entries, isComplete, listRevision) }))
 	}
 	if !math.IsInf(dueMs, 1) {
 		d.sim.schedule(simTimeOf(dueMs), actionFunc(func() { d.notify(w) }))
 	}
 }
 
-// recordNotification records a notification of a node.
+// recordNotification records that a node is notified of a change, except for the initial list.
 func (d *discoveryService) recordNotification(node int, u *servermodel.EndpointUpdate) {
 	sim := d.sim
 	n := fakes.Notification{
 		AtMs: sim.nowMs(), Node: servermodel.NodeID(node), Server: u.Server, Name: u.Name, Phase: u.Phase, StartedMs: u.Started,
 	}
 	sim.checker.NodeNotified(n)
-	isFirstList := u.Phase == servermodel.InService && u.Started <= 0 && sim.nowMs() <= simTime(startupLead).ms()
-	if !isFirstList { // of which there is one for each server and node
+	isInitialEntry := u.Phase == servermodel.InService && u.Started <= 0 && sim.nowMs() <= simTime(startupLead).ms()
+	if !isInitialEntry { // left out of the result, as there is one entry per server and node
 		sim.result.Notifications = append(sim.result.Notifications, n)
 	}
-	sim.servers[u.Server].notifiedStart[node] = u.Started
+	sim.servers[u.Server].lastNotifiedStart[node] = u.Started
 }
 
-// entry is the server as a list has it.
-func (s *server) entry(u *servermodel.EndpointUpdate) discovery.Entry {
+// listEntry returns the server's entry in the endpoint list.
+func (s *server) listEntry(u *servermodel.EndpointUpdate) discovery.Entry {
 	flavor := fakes.CacheKind
 	if s.Origin {
 		flavor = fakes.OriginKind
@@ -149,57 +149,57 @@
 	}
 }
 
-// deliver hands entries of the list to the process.
-func (w *watch) deliver(entries []discovery.Entry, isComplete bool, upTo int64) {
-	if !w.isOpen() {
+// deliver passes entries of the list to the process.
+func (w *watch) deliver(entries []discovery.Entry, isComplete bool, listRevision int64) {
+	if !w.isPending() {
 		return
 	}
 	p, mode := w.process, fleet.ListDelta
-	p.revision = max(p.revision, upTo)
+	p.revision = max(p.revision, listRevision)
 	if isComplete {
-		p.revision, mode = upTo, fleet.ListFull
+		p.revision, mode = listRevision, fleet.ListFull
 	}
 	p.applyEndpoints(mode, entries)
 	p.confirmedAt = p.localNow()
 	p.runDueWork()
 }
 
-// notifyWatchers sends all watches what is new.
+// notifyWatchers sends the visible changes to all pending watches.
 func (d *discoveryService) notifyWatchers() {
-	open := d.watches[:0]
+	pending := d.watches[:0]
 	for _, w := range d.watches {
-		if w.isOpen() {
-			open = append(open, w)
+		if w.isPending() {
+			pending = append(pending, w)
 		}
 	}
-	clear(d.watches[len(open):])
-	d.watches = open
-	for _, w := range open {
+	clear(d.watches[len(pending):])
+	d.watches = pending
+	for _, w := range pending {
 		d.notify(w)
 	}
 }
 
-// publish changes the list.
+// publish changes the entry of a server and notifies the watches.
 func (d *discoveryService) publish(u servermodel.EndpointUpdate) {
 	u.ClockOffset = d.clockOffset
 	d.endpoints.Publish(d.sim.nowMs(), u)
 	d.notifyWatchers()
 }
 
-// setUnavailable makes every call fail and ends the watches, or has the service work again.
+// setUnavailable makes the service fail all calls, pending watches included, or restores it.
 func (d *discoveryService) setUnavailable(unavailable bool) {
 	if d.unavailable = unavailable; !unavailable {
 		return
 	}
 	for _, w := range d.watches {
-		if w.isOpen() {
+		if w.isPending() {
 			w.fail()
 		}
 	}
 	d.watches = nil
 }
 
-// setStalled delays all responses, or resumes the calls. A node finds out when the next heartbeats have not come.
+// setStalled stops all responses, or resumes the pending calls. A node detects the stall by missing heartbeats.
 func (d *discoveryService) setStalled(stalled bool) {
 	if stalled == d.stalled {
 		return
@@ -213,23 +213,23 @@
 		d.stalledPolls = nil
 		return
 	}
-	d.stallNumber++
+	d.stallCount++
 	for _, w := range d.watches {
-		if w.isOpen() {
+		if w.isPending() {
 			sinceHeartbeat := time.Duration(w.process.uniform() * float64(fakes.Heartbeat))
 			d.failIfStalled(w, discovery.DefaultIdleTimeout-sinceHeartbeat)
 		}
 	}
 }
 
-// failIfStalled has a call fail after some time if the present stall lasts till then.
+// failIfStalled schedules the failure of a call, provided that the current stall lasts until then.
 func (d *discoveryService) failIfStalled(w *watch, after time.Duration) {
 	if !d.stalled {
 		return
 	}
-	stall := d.stallNumber
+	currentStall := d.stallCount
 	d.sim.scheduleAfter(after, actionFunc(func() {
-		if d.stalled && d.stallNumber == stall && w.isOpen() {
+		if d.stalled && d.stallCount == currentStall && w.isPending() {
 			w.fail()
 		}
 	}))
--- a/internal/testbed/simulator/eventqueue.go
+++ b/internal/testbed/simulator/eventqueue.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// epochMs is what the virtual clock shows at the start, in ms. It is not 0, since a server that started at 0 counts as one that has
-// been there for long.
+// epochMs is the time of the virtual clock at the start of the simulation, in ms. It is not 0, as a start time of 0 marks a server that
+// started long ago.
 const epochMs = 1e9
 
 // heapArity is the number of children of each element of the event heap.
@@ -18,13 +18,13 @@
 // ms returns the time as nodes and servers read it.
 func (t simTime) ms() float64 { return epochMs + float64(t)/float64(time.Millisecond) }
 
-// simTimeOf returns a time that nodes and servers read, rounded up: what is due then must not be run before.
+// simTimeOf converts a time as nodes and servers read it. It rounds up, so that no event fires before it is due.
 func simTimeOf(ms float64) simTime { return simTime(roundUpNs(ms - epochMs)) }
 
-// durationOf returns a length of time in ms as a duration, rounded up.
+// durationOf converts ms to a duration, rounded up.
 func durationOf(ms float64) time.Duration { return time.Duration(roundUpNs(ms)) }
 
-// roundUpNs converts ms to ns.
+// roundUpNs converts ms to ns, rounded up.
 func roundUpNs(ms float64) int64 {
 	exact := ms * float64(time.Millisecond)
 	ns := int64(exact)
@@ -34,61 +34,61 @@
 	return ns
 }
 
-// action is something that happens.
+// action is the code that an event runs.
 type action interface{ fire() }
 
-// actionFunc is an action that is a function.
+// actionFunc adapts a function to an action.
 type actionFunc func()
 
 func (f actionFunc) fire() { f() }
 
-// event is an action at its time.
+// event is an action that is scheduled for a time.
 type event struct {
 	due      simTime
-	sequence uint64 // in the order in which events were scheduled
+	sequence uint64 // increases with each scheduled event
 	action   action
 }
 
-// before is the order of all that happens: by time, and at one time in the order in which it was scheduled. Nothing else matters, so
-// that a seed gives the same run every time.
-func (e *event) before(o *event) bool {
-	return e.due < o.due || e.due == o.due && e.sequence < o.sequence
+// before orders events by due time, and events with the same due time by the order in which they were scheduled. The order depends on
+// nothing else, so that a seed always gives the same run.
+func (e *event) before(other *event) bool {
+	return e.due < other.due || e.due == other.due && e.sequence < other.sequence
 }
 
-// eventQueue is the virtual clock with what is to happen.
+// eventQueue is the virtual clock with the scheduled events.
 type eventQueue struct {
 	now          simTime
 	lastSequence uint64
 	firedCount   uint64
-	heap         []event // each element is before its children
+	heap         []event // d-ary heap: each element is before its children
 }
 
 // nowMs returns the time as nodes and servers read it.
 func (q *eventQueue) nowMs() float64 { return q.now.ms() }
 
-// schedule has an action happen at a time, or now if that has passed.
+// schedule schedules an action for a time, or for now if that time has passed.
 func (q *eventQueue) schedule(at simTime, a action) {
 	q.lastSequence++
 	e := event{max(at, q.now), q.lastSequence, a}
 	q.heap = append(q.heap, e)
-	place := len(q.heap) - 1
-	for place > 0 {
-		parent := (place - 1) / heapArity
+	index := len(q.heap) - 1
+	for index > 0 {
+		parent := (index - 1) / heapArity
 		if !e.before(&q.heap[parent]) {
 			break
 		}
-		q.heap[place] = q.heap[parent]
-		place = parent
+		q.heap[index] = q.heap[parent]
+		index = parent
 	}
-	q.heap[place] = e
+	q.heap[index] = e
 }
 
-// scheduleAfter has an action happen after some time.
+// scheduleAfter schedules an action after a delay.
 func (q *eventQueue) scheduleAfter(delay time.Duration, a action) {
 	q.schedule(q.now+simTime(delay), a)
 }
 
-// fireNext has the next action happen; false: there is none.
+// fireNext fires the next event. It returns false if no event is scheduled.
 func (q *eventQueue) fireNext() bool {
 	if len(q.heap) == 0 {
 		return false
@@ -103,10 +103,10 @@
 	return true
 }
 
-// hasEventBy reports whether something is to happen until a time.
-func (q *eventQueue) hasEventBy(at simTime) bool { return len(q.heap) > 0 && q.heap[0].due <= at }
+// hasEventDueBy reports whether an event is due at or before a time.
+func (q *eventQueue) hasEventDueBy(at simTime) bool { return len(q.heap) > 0 && q.heap[0].due <= at }
 
-// pop takes out the first event.
+// pop removes and returns the first event.
 func (q *eventQueue) pop() event {
 	first, last := q.heap[0], len(q.heap)-1
 	moved := q.heap[last]
@@ -117,21 +117,21 @@
 	return first
 }
 
-// siftDown puts an event into the free first place of the heap, and from there to where it belongs.
+// siftDown inserts an event at the free root of the heap and moves it down to its position.
 func (q *eventQueue) siftDown(moved *event) {
-	place := 0
+	index := 0
 	for {
-		least := -1
-		for child := heapArity*place + 1; child < min(heapArity*(place+1)+1, len(q.heap)); child++ {
-			if least < 0 || q.heap[child].before(&q.heap[least]) {
-				least = child
+		earliest := -1
+		for child := heapArity*index + 1; child < min(heapArity*(index+1)+1, len(q.heap)); child++ {
+			if earliest < 0 || q.heap[child].before(&q.heap[earliest]) {
+				earliest = child
 			}
 		}
-		if least < 0 || !q.heap[least].before(moved) {
+		if earliest < 0 || !q.heap[earliest].before(moved) {
 			break
 		}
-		q.heap[place] = q.heap[least]
-		place = least
+		q.heap[index] = q.heap[earliest]
+		index = earliest
 	}
-	q.heap[place] = *moved
+	q.heap[index] = *moved
 }
--- a/internal/testbed/simulator/faultypolicy_test.go
+++ b/internal/testbed/simulator/faultypolicy_test.go
@@ -14,27 +14,27 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// policyFault is the rule that a faulty policy breaks.
+// policyFault is the way in which a faulty policy breaks a rule.
 type policyFault string
 
 const (
-	noPolicyFault   policyFault = "no fault"
-	dropsRequests   policyFault = "drops requests"
-	sendsAfterwards policyFault = "sends after the answer"
+	noPolicyFault      policyFault = "no fault"
+	dropsRequests      policyFault = "drops requests"
+	sendsAfterResponse policyFault = "sends after the answer"
 )
 
-// faultyPolicy is a policy that breaks a rule on purpose.
+// faultyPolicy wraps a policy and breaks a rule on purpose.
 type faultyPolicy struct {
 	inflight.Policy
 	fault policyFault
 }
 
-// newSoundPolicy returns the policy that breaks no rule.
-func newSoundPolicy(now float64, l fleet.Limits, slab *fleet.Slab) inflight.Policy {
+// newCorrectPolicy returns a policy that breaks no rule.
+func newCorrectPolicy(now float64, l fleet.Limits, slab *fleet.Slab) inflight.Policy {
 	return decide.New(now, l, slab)
 }
 
-// Where implements inflight.Policy.
+// Route implements inflight.Policy.
 func (p *faultyPolicy) Route(now float64, q *fleet.Request) fleet.Decision {
 	if q != nil && p.fault == dropsRequests && q.ID%5 == 0 {
 		return fleet.Decision{}
@@ -42,12 +42,12 @@
 	return p.Policy.Route(now, q)
 }
 
-// After implements inflight.Policy.
+// AttemptDone implements inflight.Policy.
 func (p *faultyPolicy) AttemptDone(now float64, q *fleet.Request, o fleet.Outcome) fleet.Decision {
 	last := q.Attempts[o.Attempt].Server
-	if p.fault == sendsAfterwards && o.Result == fleet.Completed && !q.Closed && !q.Write && q.NumAttempts < 2 {
+	if p.fault == sendsAfterResponse && o.Result == fleet.Completed && !q.Closed && !q.Write && q.NumAttempts < 2 {
 		p.Policy.AttemptDone(now, q, o)
-		q.Attempts[q.NumAttempts] = fleet.Attempt{Server: last, SentAt: now, Cancelled: true} // else it is cancelled: the request is answered
+		q.Attempts[q.NumAttempts] = fleet.Attempt{Server: last, SentAt: now, Cancelled: true} // marked as cancelled, or the node cancels it after the response
 		q.NumAttempts++
 		q.InFlight++
 		return fleet.Decision{Action: fleet.Send, Server: last, Attempt: q.NumAttempts - 1, Timeout: 500}
@@ -55,30 +55,31 @@
 	return p.Policy.AttemptDone(now, q, o)
 }
 
-// A node that breaks a rule is found from outside, and one that does the same without breaking it is not.
-func TestFaultyPoliciesAreFound(t *testing.T) {
+// The checker detects nodes that break a rule by observing clients and servers only, and reports nothing for a node that breaks none.
+func TestFaultyPoliciesAreDetected(t *testing.T) {
 	for fault, c := range map[policyFault]struct{ steps, want string }{
-		noPolicyFault:   {step(1, "drain", "box = \"box-0\""), ""},
-		dropsRequests:   {"", "rule 1"},
-		sendsAfterwards: {step(1, "slow", "share = 1.0\nvalue = 20.0"), "rule 1"},
+		noPolicyFault:      {stepTOML(1, "drain", "box = \"box-0\""), ""},
+		dropsRequests:      {"", "rule 1"},
+		sendsAfterResponse: {stepTOML(1, "slow", "share = 1.0\nvalue = 20.0"), "rule 1"},
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
 			o := Options{Program: "faulty", NewPolicy: func(_ *Simulation, _ int, now float64, l fleet.Limits, slab *fleet.Slab) inflight.Policy {
-				return &faultyPolicy{Policy: newSoundPolicy(now, l, slab), fault: fault}
+				return &faultyPolicy{Policy: newCorrectPolicy(now, l, slab), fault: fault}
 			}}
-			r := play(t, parse(t, small+c.steps), o)
+			r := runExperiment(t, parseExperiment(t, smallFleet+c.steps), o)
 			found := fmt.Sprint(r.Violations)
 			if c.want == "" && len(r.Violations) > 0 || !strings.Contains(found, c.want) {
-				t.Errorf("found %.300s, want %q", found, c.want)
+				t.Errorf("violations %.300s, want %q", found, c.want)
 			}
 		})
 	}
 }
 
-// A node that goes on to a server of whose drain it was notified is found: here only the checker is notified.
-func TestSendingPastADrainIsFound(t *testing.T) {
-	sim, err := newSimulation(parse(t, small), Options{})
+// The checker detects a node that sends requests to a server after a notification that it is draining. To provoke this, the test sends
+// the notification to the checker only.
+func TestSendingToDrainingServerIsDetected(t *testing.T) {
+	sim, err := newSimulation(parseExperiment(t, smallFleet), Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -87,49 +88,49 @@
 			sim.checker.NodeNotified(fakes.Notification{AtMs: sim.nowMs(), Node: 1, Server: 2, Name: "box-2", Phase: phase})
 		}
 	}))
-	if err := sim.play(context.Background()); err != nil {
+	if err := sim.run(context.Background()); err != nil {
 		t.Fatal(err)
 	}
-	if found := fmt.Sprint(sim.result.Violations); len(sim.result.Violations) != 1 || !strings.Contains(found, "to server 2 of node 1") {
-		t.Errorf("found %s", found)
+	if violations := fmt.Sprint(sim.result.Violations); len(sim.result.Violations) != 1 || !strings.Contains(violations, "to server 2 of node 1") {
+		t.Errorf("violations: %s", violations)
 	}
 }
 
-// An event that is lost is noticed: the request that depends on it does not end.
-func TestLostEventIsNoticed(t *testing.T) {
-	sim, err := newSimulation(parse(t, small), Options{})
+// A lost event is detected, as the request that depends on it never ends.
+func TestLostEventIsDetected(t *testing.T) {
+	sim, err := newSimulation(parseExperiment(t, smallFleet), Options{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	sim.clients.scheduleNext()
+	sim.clients.scheduleNextArrival()
 	for sim.clients.openRequests < 3 {
 		sim.fireNext()
 	}
 	for i := range sim.heap {
-		if _, matches := sim.heap[i].action.(*clientTimeout); matches {
+		if _, isTimeout := sim.heap[i].action.(*clientTimeout); isTimeout {
 			sim.heap[i].action = actionFunc(func() {})
 		}
-		if _, matches := sim.heap[i].action.(*requestArrival); matches {
+		if _, isArrival := sim.heap[i].action.(*requestArrival); isArrival {
 			sim.heap[i].action = actionFunc(func() {})
 		}
 	}
-	if err := sim.play(context.Background()); err == nil || !strings.Contains(err.Error(), "have no end") {
-		t.Errorf("the lost event was not noticed: %v", err)
+	if err := sim.run(context.Background()); err == nil || !strings.Contains(err.Error(), "have no end") {
+		t.Errorf("the lost event was not detected: %v", err)
 	}
 }
 
-// A policy that is always due ends the run instead of blocking it.
-func TestRestlessPolicyIsNoticed(t *testing.T) {
+// A policy for which something is always due ends the run with an error instead of blocking it.
+func TestAlwaysDuePolicyEndsRun(t *testing.T) {
 	o := Options{NewPolicy: func(_ *Simulation, _ int, now float64, l fleet.Limits, slab *fleet.Slab) inflight.Policy {
-		return restlessPolicy{newSoundPolicy(now, l, slab)}
+		return alwaysDuePolicy{newCorrectPolicy(now, l, slab)}
 	}}
-	if _, err := Run(context.Background(), parse(t, small), o); err == nil || !strings.Contains(err.Error(), "does not come to rest") {
+	if _, err := Run(context.Background(), parseExperiment(t, smallFleet), o); err == nil || !strings.Contains(err.Error(), "does not come to rest") {
 		t.Errorf("%v", err)
 	}
 }
 
-// restlessPolicy is a policy for which something is always due.
-type restlessPolicy struct{ inflight.Policy }
+// alwaysDuePolicy is a policy for which something is always due.
+type alwaysDuePolicy struct{ inflight.Policy }
 
-// Wait implements inflight.Policy.
-func (restlessPolicy) NextDue(float64) (fleet.Ref, float64) { return fleet.NoRequest, 0 }
+// NextDue implements inflight.Policy.
+func (alwaysDuePolicy) NextDue(float64) (fleet.Ref, float64) { return fleet.NoRequest, 0 }
--- a/internal/testbed/simulator/golden_test.go
+++ b/internal/testbed/simulator/golden_test.go
@@ -11,17 +11,17 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// TestGoldenRun plays one small fleet with all kinds of faults and compares its verdict, to the last digit, and a digest of every
-// query and execution with what the program said before its names changed. The fixtures hold for amd64: other processors may fuse
-// multiplications with additions, which moves last digits.
+// TestGoldenRun runs a small fleet with all kinds of faults. It compares the verdict, to the last digit, and a digest of all requests and
+// executions with stored results of an earlier version, to detect changes of behavior. The stored results are valid for amd64 only: other
+// processors may fuse multiplications with additions, which changes the last digits.
 func TestGoldenRun(t *testing.T) {
 	x, err := experiment.Read("testdata/golden/fleet.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := play(t, x, Options{Program: "golden"})
+	r := runExperiment(t, x, Options{Program: "golden"})
 	v := r.Verdict(true)
-	got, err := json.MarshalIndent(v, "", " ")
+	encoded, err := json.MarshalIndent(v, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,19 +29,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(got) != string(want) {
-		t.Errorf("the verdict differs:\n%s", got)
+	if string(encoded) != string(want) {
+		t.Errorf("the verdict differs:\n%s", encoded)
 	}
-	var read experiment.Verdict
-	if err := json.Unmarshal(want, &read); err != nil {
+	var decoded experiment.Verdict
+	if err := json.Unmarshal(want, &decoded); err != nil {
 		t.Fatal(err)
 	}
-	again, err := json.MarshalIndent(read, "", " ")
+	reencoded, err := json.MarshalIndent(decoded, "", " ")
 	if err != nil {
 		t.Fatal(err)
 	}
-	if string(again) != string(want) || !reflect.DeepEqual(read.Figures, v.Figures) {
-		t.Error("the stored verdict is not read as it was")
+	if string(reencoded) != string(want) || !reflect.DeepEqual(decoded.Figures, v.Figures) {
+		t.Error("the stored verdict changes when it is decoded and encoded again")
 	}
 	h := sha256.New()
 	writeLine := func(values ...any) {
--- a/internal/testbed/simulator/node.go
+++ b/internal/testbed/simulator/node.go
@@ -14,31 +14,31 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// How a process ends that is shut down gracefully, as cmd/mintspring does.
+// Timings of a graceful shutdown, as in cmd/mintspring.
 const (
-	drainDelay          = 500 * time.Millisecond // new clients are accepted for this time
-	shutdownMs          = 600                    // timeout of a graceful shutdown
-	maxShutdownAnswerMs = 3000                   // and as long as the longest timeout, up to this
-	shutdownPoll        = time.Millisecond       // between two looks at what is left
+	drainDelay            = 500 * time.Millisecond // the process still accepts new clients for this long
+	shutdownTimeoutMs     = 600                    // added to the longest request timeout to give the timeout of a graceful shutdown
+	maxShutdownResponseMs = 3000                   // upper bound on the longest request timeout in that sum
+	shutdownPollInterval  = time.Millisecond       // between two checks for requests in flight
 )
 
-// restartPoll is the time between two looks at whether the process of before has ended.
-const restartPoll = time.Millisecond
+// restartPollInterval is the time between two checks whether the previous process has exited.
+const restartPollInterval = time.Millisecond
 
-// simNode is one node, whatever process it is.
+// simNode is a simulated node. It exists across restarts of its process.
 type simNode struct {
 	sim          *Simulation
 	index        int
 	deployment   settings.Deployment
-	names        *clients.Config
-	operatorFile *operatorfile.File // nil: it is played without
-	clockSkewMs  float64            // what its clock shows beyond the true time at the start
-	clockDrift   float64            // share by which its clock runs fast
-	process      *process           // the one that runs, or ran last
+	clientConfig *clients.Config
+	operatorFile *operatorfile.File // nil if the node runs without one
+	clockSkewMs  float64            // offset of its clock from the simulation's clock at the start
+	clockDrift   float64            // relative rate error of its clock; positive if it runs fast
+	process      *process           // the running process, or the last one if it has exited
 	frozen       bool               // the process is stopped by SIGSTOP
 }
 
-// newSimNode reads the settings that a real node would be started with.
+// newSimNode returns a node with the settings that a real node of the experiment would be started with.
 func newSimNode(s *Simulation, index int, file *operatorfile.File) (*simNode, error) {
 	text, err := s.experiment.NodeSettings(index)
 	if err != nil {
@@ -49,15 +49,15 @@
 	if err != nil {
 		return nil, fmt.Errorf("reading the settings of node %d: %w", index, err)
 	}
-	deployment.Limits.Subscribe = true // over HTTP nothing comes unasked
+	deployment.Limits.Subscribe = true // the node has to request the endpoint list, as over HTTP
 	n := &simNode{
 		sim: s, index: index, deployment: deployment, operatorFile: file,
 		clockSkewMs: s.experiment.Nodes.ClockSkew.Milliseconds() * (2*fleet.UnitInterval(seed) - 1),
 		clockDrift:  s.experiment.Nodes.ClockDrift * (2*fleet.UnitInterval(fleet.Mix(seed+1)) - 1),
 	}
-	n.names = clients.NewConfig(deployment, func(name string) (fleet.ClassID, bool) {
-		place := slices.Index(deployment.RequestClasses, name)
-		return fleet.ClassID(max(place, 0)), place >= 0
+	n.clientConfig = clients.NewConfig(deployment, func(name string) (fleet.ClassID, bool) {
+		classIndex := slices.Index(deployment.RequestClasses, name)
+		return fleet.ClassID(max(classIndex, 0)), classIndex >= 0
 	})
 	if s.options.NoOperatorFile {
 		n.operatorFile = nil
@@ -65,7 +65,7 @@
 	return n, nil
 }
 
-// terminate ends the process: all of its connections are closed, and its clients' reset.
+// terminate ends the process at once: its server connections are closed and its client connections are reset.
 func (n *simNode) terminate() {
 	p := n.process
 	if p.exited {
@@ -76,17 +76,17 @@
 	for _, s := range n.sim.servers {
 		for _, c := range slices.Backward(s.conns) {
 			if c.link.process == p {
-				n.sim.scheduleAfter(serverHop, actionFunc(c.closeServerSide))
+				n.sim.scheduleAfter(serverHopDelay, actionFunc(c.closeServerSide))
 			}
 		}
 	}
 	for _, a := range sortedAttempts(p.clientAttempts) {
-		n.sim.scheduleAfter(clientHop, actionFunc(a.connectionReset))
+		n.sim.scheduleAfter(clientHopDelay, actionFunc(a.connectionReset))
 	}
 }
 
-// shutdown ends the process gracefully: it accepts no new connection, answers requests in flight, aborts those without an answer when its time is up, and is
-// gone.
+// shutdown ends the process gracefully: it stops accepting clients, completes requests in flight, aborts those left at the timeout, and
+// exits.
 func (n *simNode) shutdown() {
 	p := n.process
 	if p.exited || p.draining {
@@ -94,12 +94,12 @@
 	}
 	n.setFrozen(false)
 	_, longestTimeoutMs := n.deployment.TimeBounds()
-	deadline := n.sim.now + simTime(durationOf(shutdownMs+min(maxShutdownAnswerMs, longestTimeoutMs)))
+	deadline := n.sim.now + simTime(durationOf(shutdownTimeoutMs+min(maxShutdownResponseMs, longestTimeoutMs)))
 	n.sim.scheduleAfter(drainDelay, actionFunc(func() { p.draining = true }))
 	n.continueShutdown(p, deadline)
 }
 
-// continueShutdown ends a process that is shut down once nothing is left, or its time is up.
+// continueShutdown terminates a draining process once no request is in flight, or aborts its requests at the deadline.
 func (n *simNode) continueShutdown(p *process, deadline simTime) {
 	switch {
 	case p.exited:
@@ -107,33 +107,33 @@
 		n.terminate()
 	case n.sim.now >= deadline:
 		p.inflight.AbortAll(p.localNow(), "the node is stopping")
-		n.sim.scheduleAfter(2*clientHop, actionFunc(n.terminate))
+		n.sim.scheduleAfter(2*clientHopDelay, actionFunc(n.terminate))
 	default:
-		n.sim.scheduleAfter(shutdownPoll, actionFunc(func() { n.continueShutdown(p, deadline) }))
+		n.sim.scheduleAfter(shutdownPollInterval, actionFunc(func() { n.continueShutdown(p, deadline) }))
 	}
 }
 
-// restart starts a node that is ended, or is about to.
+// restart starts a new process as soon as the previous one has exited.
 func (n *simNode) restart() {
 	if !n.process.exited {
-		n.sim.scheduleAfter(restartPoll, actionFunc(n.restart))
+		n.sim.scheduleAfter(restartPollInterval, actionFunc(n.restart))
 		return
 	}
 	n.startProcess()
 	n.sim.checker.NodeUp(servermodel.NodeID(n.index), n.sim.nowMs())
 }
 
-// setFrozen stops the process where it stands, or has it go on with whatever has come meanwhile.
+// setFrozen freezes the process, or resumes it and processes the actions that were postponed meanwhile.
 func (n *simNode) setFrozen(frozen bool) {
 	if n.process.exited || n.frozen == frozen {
 		return
 	}
 	if n.frozen = frozen; !frozen {
-		n.process.thaw()
+		n.process.resume()
 	}
 }
 
-// receive hands a datagram of a peer to the process that the node is now.
+// receive passes a datagram of a peer to the current process.
 func (n *simNode) receive(d datagram) {
 	if p := n.process; p != nil && !p.exited && p.member != nil {
 		p.member.receive(d)
--- a/internal/testbed/simulator/oracle.go
+++ b/internal/testbed/simulator/oracle.go
@@ -10,36 +10,37 @@
 )
 
 const (
-	// observeMargin is for how long after the load the oracle goes on to look at the servers.
-	observeMargin = 10 * time.Second
-	// maxErrorRate is the share of errors from which on a server counts as down.
+	// observeAfterLoad is how long the oracle continues to observe the servers after the end of the load.
+	observeAfterLoad = 10 * time.Second
+	// maxErrorRate is the error rate at which a server counts as down.
 	maxErrorRate = 0.5
-	// minRetryAfterMs is the least time after which a client is to retry.
+	// minRetryAfterMs is the shortest retry delay that clients are told.
 	minRetryAfterMs = 50
-	// goldenRatio spreads the places of servers over 64 bits.
+	// goldenRatio distributes the indexes of servers over 64 bits.
 	goldenRatio = 0x9e3779b97f4a7c15
 )
 
-// Oracle is a reference that no program could be: it knows the true state of all servers, some time late, and where copies of keys are. The
-// nodes of a run share it, and what they have sent since. It keeps one copy of a key on the healthy servers that have warmed up, goes where
-// a copy is and the wait is shortest, rejects at once what the origin cannot do in time by its priority weight, and gives servers nothing
-// while they warm up. So it says what is in reach, within what its late knowledge and these plain rules can do; it is no upper bound.
+// Oracle is a reference policy with information that no real node has: the true state of all servers, observed with a delay, and the
+// servers that hold a copy of each key. The nodes of a run share the oracle, so each of them also knows what the others have sent since
+// the last observation. The oracle keeps one copy of a key on the healthy servers that have warmed up, sends a request to the copy with the
+// shortest wait, rejects requests at once that the origin cannot complete in the time that their priority weight allows, and sends nothing
+// to servers that are warming up. It shows what these simple rules achieve with delayed information, which is not an upper bound.
 type Oracle struct {
 	sim         *Simulation // nil before the first node
 	delay       time.Duration
-	states      []serverState        // by place, as they were when they were looked at last
-	keysByPoint map[fleet.Key]string // by their places on the ring
+	states      []serverState        // by server index, as last observed
+	keysByPoint map[fleet.Key]string // for keys of requests, which carry only the ring position
 }
 
-// serverState is one server as it was.
+// serverState is the state of a server when it was last observed.
 type serverState struct {
 	up         bool
 	warmedUp   bool
-	backlogMs  float64 // that a new execution would have waited
-	sentWorkMs float64 // work that was sent there since
+	backlogMs  float64 // wait of a new execution at the time of the observation
+	sentWorkMs float64 // work sent to the server since the observation
 }
 
-// NewOracle returns the oracle of one run, whose knowledge is up to a number of ms old.
+// NewOracle returns the oracle of one run. It observes the servers every delayMs.
 func NewOracle(delayMs float64) *Oracle { return &Oracle{delay: durationOf(delayMs)} }
 
 // NewPolicy returns the policy of one node. It is a NewPolicyFunc.
@@ -54,7 +55,7 @@
 	return p
 }
 
-// observe looks at the servers, again and again.
+// observe records the state of the servers periodically.
 func (o *Oracle) observe() {
 	now := o.sim.nowMs()
 	states := make([]serverState, 0, len(o.sim.servers))
@@ -65,21 +66,21 @@
 		})
 	}
 	o.states = states
-	if o.sim.now < o.sim.clients.to+simTime(observeMargin) {
+	if o.sim.now < o.sim.clients.loadEnd+simTime(observeAfterLoad) {
 		o.sim.scheduleAfter(o.delay, actionFunc(o.observe))
 	}
 }
 
-// origin returns the place of the origin.
-func (o *Oracle) origin() int { return len(o.sim.servers) - 1 }
+// originIndex returns the index of the origin, which is the last server.
+func (o *Oracle) originIndex() int { return len(o.sim.servers) - 1 }
 
-// expectedWait returns how long a new execution would wait at a server, as far as is known, in ms.
-func (o *Oracle) expectedWait(place int) float64 {
-	state, config := &o.states[place], &o.sim.servers[place].Config
+// expectedWaitMs returns the estimated wait of a new execution at a server, in ms.
+func (o *Oracle) expectedWaitMs(serverIndex int) float64 {
+	state, config := &o.states[serverIndex], &o.sim.servers[serverIndex].Config
 	return state.backlogMs + state.sentWorkMs/(float64(config.Cores)*config.Speed)
 }
 
-// keyOf returns the key of a request, by its place on the ring.
+// keyOf returns the key of a request, found by its ring position.
 func (o *Oracle) keyOf(q *fleet.Request) string {
 	if o.keysByPoint == nil {
 		o.keysByPoint = map[fleet.Key]string{}
@@ -90,65 +91,65 @@
 	return o.keysByPoint[q.Key]
 }
 
-// maxPriorityWeight returns the greatest priority weight of a class.
+// maxPriorityWeight returns the greatest priority weight of any class.
 func (o *Oracle) maxPriorityWeight() float64 {
-	greatest := 1e-9 // never 0
+	maxWeight := 1e-9 // avoids a division by 0
 	for _, class := range o.sim.experiment.Classes {
-		greatest = max(greatest, class.PriorityWeight)
+		maxWeight = max(maxWeight, class.PriorityWeight)
 	}
-	return greatest
+	return maxWeight
 }
 
-// oraclePolicy is the policy of one node.
+// oraclePolicy is the policy of one node that uses the oracle.
 type oraclePolicy struct {
 	baseline.Base
 	oracle    *Oracle
 	limits    fleet.Limits
 	node      int
-	serverIDs []fleet.ServerID // of servers that are ready, by place; fleet.NoServer for others
+	serverIDs []fleet.ServerID // by server index; fleet.NoServer for servers that are not ready
 }
 
-// indexServers finds the server of each place among the endpoints.
+// indexServers maps server indexes to the IDs of ready endpoints.
 func (p *oraclePolicy) indexServers() {
 	p.serverIDs = slices.Repeat([]fleet.ServerID{fleet.NoServer}, len(p.oracle.sim.servers))
 	for id, endpoint := range p.Endpoints {
 		if endpoint.State != fleet.Ready {
 			continue
 		}
-		for place, s := range p.oracle.sim.servers {
-			if s.listedID == endpoint.Name {
-				p.serverIDs[place] = id
+		for serverIndex, s := range p.oracle.sim.servers {
+			if s.endpointID == endpoint.Name {
+				p.serverIDs[serverIndex] = id
 			}
 		}
 	}
 }
 
-// route sends a request where it is served soonest, or rejects or aborts it.
+// route sends a request to the server selected by the rules of the oracle, or rejects or aborts it.
 func (p *oraclePolicy) route(now float64, q *fleet.Request) fleet.Decision {
 	o := p.oracle
 	class, limits := &o.sim.experiment.Classes[q.Class], &p.limits.Classes[q.Class]
-	everywhere := func(fleet.ServerID) bool { return true } // servers of an experiment deduplicate together
-	retry := baseline.RetryOf(now, &p.limits, q, everywhere)
+	allDeduplicate := func(fleet.ServerID) bool { return true } // all servers of an experiment share deduplication
+	retry := baseline.EvaluateRetry(now, &p.limits, q, allDeduplicate)
 	remainingMs := q.Deadline - now
-	to, workMs := o.origin(), class.OriginWork.Milliseconds()
+	target, workMs := o.originIndex(), class.OriginWork.Milliseconds()
 	if !q.Write && !hasMissed(q) {
-		if to = p.chooseCache(q); to != o.origin() {
+		if target = p.chooseCache(q); target != o.originIndex() {
 			workMs = class.CacheWork.Milliseconds()
 		}
 	}
-	// What cannot be in time at the origin only takes the place of what can; the greater its weight, the longer it may wait.
+	// A request that the origin cannot complete in time would only delay others. A greater priority weight allows a longer wait.
 	objectiveMs := class.LatencyObjective.Milliseconds() * (0.5 + 0.5*class.PriorityWeight/o.maxPriorityWeight())
-	isCrowded := to == o.origin() && o.expectedWait(to)+workMs > min(remainingMs, objectiveMs)
-	isPossible := retry.Allowed && remainingMs > p.limits.Quantum && q.NumAttempts < p.limits.AttemptLimit(limits)
-	if !isPossible || p.serverIDs[to] == fleet.NoServer || isCrowded {
+	isOverloaded := target == o.originIndex() && o.expectedWaitMs(target)+workMs > min(remainingMs, objectiveMs)
+	mayBeSent := retry.Allowed && remainingMs > p.limits.Quantum && q.NumAttempts < p.limits.AttemptLimit(limits)
+	if !mayBeSent || p.serverIDs[target] == fleet.NoServer || isOverloaded {
 		q.Closed = true
 		if !retry.NoEffect {
 			return fleet.Decision{Action: fleet.Abort}
 		}
-		return fleet.Decision{Action: fleet.Reject, RetryAfter: min(p.limits.MaxRetryAfter, max(minRetryAfterMs, o.expectedWait(o.origin())))}
+		return fleet.Decision{Action: fleet.Reject, RetryAfter: min(p.limits.MaxRetryAfter, max(minRetryAfterMs, o.expectedWaitMs(o.originIndex())))}
 	}
-	o.states[to].sentWorkMs += workMs
-	return baseline.SendTo(now, q, p.serverIDs[to])
+	o.states[target].sentWorkMs += workMs
+	return baseline.SendTo(now, q, p.serverIDs[target])
 }
 
 // hasMissed reports whether a cache missed the key of a request.
@@ -161,35 +162,35 @@
 	return slices.ContainsFunc(q.Attempts[:q.NumAttempts], func(a fleet.Attempt) bool { return a.Server == id })
 }
 
-// isUsable reports whether a cache can be sent a request.
-func (p *oraclePolicy) isUsable(place int, q *fleet.Request) bool {
-	id := p.serverIDs[place]
-	return p.oracle.states[place].up && id != fleet.NoServer && !wasTried(q, id) && !p.oracle.sim.servers[place].blackholedNodes[p.node]
+// isUsable reports whether a request can be sent to a cache.
+func (p *oraclePolicy) isUsable(serverIndex int, q *fleet.Request) bool {
+	id := p.serverIDs[serverIndex]
+	return p.oracle.states[serverIndex].up && id != fleet.NoServer && !wasTried(q, id) && !p.oracle.sim.servers[serverIndex].blackholedNodes[p.node]
 }
 
-// chooseCache returns the place of the cache with a copy of the key where the wait is shortest or, where none has one, of the one that is to
-// have it; the origin's where no cache is usable.
+// chooseCache returns the index of the cache with a copy of the key and the shortest wait. If no cache has a copy, it returns the owner of
+// the key by rendezvous hashing; if no cache is usable, the origin.
 func (p *oraclePolicy) chooseCache(q *fleet.Request) int {
 	o := p.oracle
 	key := o.keyOf(q)
-	best, home, homeRank := -1, -1, uint64(0)
-	for place, s := range o.sim.servers[:o.origin()] {
-		if !p.isUsable(place, q) || !o.states[place].warmedUp {
+	bestCopy, owner, ownerRank := -1, -1, uint64(0)
+	for serverIndex, s := range o.sim.servers[:o.originIndex()] {
+		if !p.isUsable(serverIndex, q) || !o.states[serverIndex].warmedUp {
 			continue
 		}
-		rank := fleet.Mix(uint64(q.Key) ^ fleet.Mix(uint64(place+1)*goldenRatio)) // the highest one is its home
-		if home < 0 || rank > homeRank {
-			home, homeRank = place, rank
+		rank := fleet.Mix(uint64(q.Key) ^ fleet.Mix(uint64(serverIndex+1)*goldenRatio)) // the cache with the highest rank owns the key
+		if owner < 0 || rank > ownerRank {
+			owner, ownerRank = serverIndex, rank
 		}
-		if o.sim.cluster.HasCopy(s.model.ID, key) && (best < 0 || o.expectedWait(place) < o.expectedWait(best)) {
-			best = place
+		if o.sim.cluster.HasCopy(s.model.ID, key) && (bestCopy < 0 || o.expectedWaitMs(serverIndex) < o.expectedWaitMs(bestCopy)) {
+			bestCopy = serverIndex
 		}
 	}
 	switch {
-	case best >= 0:
-		return best
-	case home >= 0:
-		return home
+	case bestCopy >= 0:
+		return bestCopy
+	case owner >= 0:
+		return owner
 	}
-	return o.origin()
+	return o.originIndex()
 }
--- a/internal/testbed/simulator/process.go
+++ b/internal/testbed/simulator/process.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// reapInterval is the time between two looks at connections that have been idle for long, as in the node on sockets.
+	// reapInterval is the time between two checks for connections whose idle timeout has expired, as in the node on sockets.
 	reapInterval = 5 * time.Second
-	// maxTimerMs bounds how long a process waits until it calls its policy again.
-	maxTimerMs = 1000
-	// maxDuePerInstant bounds what may be due at one time. A policy that has more to do never waits.
+	// maxWakeDelayMs bounds the time between two calls of runDueWork.
+	maxWakeDelayMs = 1000
+	// maxDuePerInstant is the number of due calls at the same time after which the run fails, as the policy is considered stuck in a loop.
 	maxDuePerInstant = 100_000
-	// stallShare is the share of the shortest latency objective for which a response may stall.
-	stallShare = 1.0 / 4
+	// stallTimeoutShare is the stall timeout of a response as a share of the shortest latency objective.
+	stallTimeoutShare = 1.0 / 4
 )
 
-// process is one process of a node: what the node on sockets has between its sockets and its decisions.
+// process is one process of a node. It connects the simulated network to the policy, as the node on sockets connects its sockets to it.
 type process struct {
 	sim            *Simulation
 	node           *simNode
@@ -43,22 +43,22 @@
 	descriptors    *fdlimit.Budget
 	drawCount      uint64 // random numbers drawn so far
 
-	clientAttempts map[*clientAttempt]bool // what its clients wait for
-	idleClients    int                     // clients' connections on which nothing is in flight
+	clientAttempts map[*clientAttempt]bool // attempts of clients that wait for a response
+	idleClients    int                     // client connections without a request in flight
 
-	starts      serverstart.Tracker
-	confirmedAt float64 // when the endpoint list was last known to be complete, by the node's clock
+	startTracker serverstart.Tracker
+	confirmedAt  float64 // when the endpoint list was last known to be complete, by the node's clock
 
 	watch    *watch // of the endpoint list; nil before the first
 	revision int64  // of the endpoint list
-	serving  bool   // it has had a list with a server that is ready
-	draining bool   // it accepts no more clients
+	serving  bool   // it has received an endpoint list with a ready server
+	draining bool   // it accepts no new clients
 	exited   bool
 
 	wakeAt   simTime        // when runDueWork is called next; notScheduled for never
-	member   *clusterMember // nil: it has no peers
-	deferred []action       // what came while it stood still
-	cpu      processor
+	member   *clusterMember // nil if the node has no peers
+	deferred []action       // actions postponed while the process was frozen
+	cpu      cpuQueue
 }
 
 // startProcess starts a process of the node.
@@ -66,11 +66,11 @@
 	p := &process{
 		sim: n.sim, node: n, servers: servertable.New(node.SlotRetention(&n.deployment)), wakeAt: notScheduled,
 		clientAttempts: map[*clientAttempt]bool{}, descriptors: fdlimit.New(n.sim.experiment.Nodes.Sockets, 0),
-		confirmedAt: serverstart.NeverConfirmed(), cpu: processor{sim: n.sim, requestCost: n.sim.experiment.Nodes.RequestCost.Duration()},
+		confirmedAt: serverstart.NeverConfirmed(), cpu: cpuQueue{sim: n.sim, requestCost: n.sim.experiment.Nodes.RequestCost.Duration()},
 	}
 	p.cachePool, p.originPool = node.PoolConfigs(&n.deployment, n.operatorFile)
 	shortestObjectiveMs, _ := n.deployment.TimeBounds()
-	p.stallTimeoutMs = shortestObjectiveMs * stallShare
+	p.stallTimeoutMs = shortestObjectiveMs * stallTimeoutShare
 	p.descriptors.AddEvictor(fdlimit.Server, p.closeIdleServerConn)
 	p.descriptors.AddEvictor(fdlimit.Client, p.closeIdleClientConn)
 	p.inflight = inflight.New(inflight.Dispatcher[*attempt](p))
@@ -79,18 +79,18 @@
 	p.joinCluster()
 	p.applyEndpoints(fleet.ListCached, nil)
 	p.runDueWork()
-	n.sim.scheduleAfter(reapInterval, actionFunc(p.reapIdle))
+	n.sim.scheduleAfter(reapInterval, actionFunc(p.closeExpiredIdle))
 }
 
-// reapIdle closes connections that have been idle for too long, again and again.
-func (p *process) reapIdle() {
-	if p.exited || p.deferIfStalled(actionFunc(p.reapIdle)) {
+// closeExpiredIdle periodically closes connections whose idle timeout has expired.
+func (p *process) closeExpiredIdle() {
+	if p.exited || p.deferIfStalled(actionFunc(p.closeExpiredIdle)) {
 		return
 	}
 	for _, l := range p.links {
 		l.pool.Reap(p.localNow())
 	}
-	p.sim.scheduleAfter(reapInterval, actionFunc(p.reapIdle))
+	p.sim.scheduleAfter(reapInterval, actionFunc(p.closeExpiredIdle))
 }
 
 // localNow returns the time by the node's own clock, in ms.
@@ -101,21 +101,21 @@
 	return epochMs + (p.sim.nowMs()-epochMs)*(1+p.node.clockDrift) + p.node.clockSkewMs
 }
 
-// toSimTime converts a time of the node's own clock.
-func (p *process) toSimTime(localMs float64) simTime {
+// localToSimTime converts a time of the node's own clock to a time of the simulation.
+func (p *process) localToSimTime(localMs float64) simTime {
 	if p.node.clockDrift == 0 {
 		return simTimeOf(localMs - p.node.clockSkewMs)
 	}
 	return simTimeOf(epochMs + (localMs-p.node.clockSkewMs-epochMs)/(1+p.node.clockDrift))
 }
 
-// uniform draws from [0,1).
+// uniform returns a pseudo-random number from [0,1).
 func (p *process) uniform() float64 {
 	p.drawCount++
 	return fleet.UnitInterval(p.node.deployment.Limits.Seed + p.drawCount)
 }
 
-// runDueWork has the policy do everything that is due, and schedules the next call.
+// runDueWork calls the policy for everything that is due and schedules the next call.
 func (p *process) runDueWork() {
 	if p.exited {
 		return
@@ -124,7 +124,7 @@
 	for range maxDuePerInstant {
 		entry, waitMs := p.inflight.NextDue(now)
 		if waitMs > 0 {
-			p.wakeAfter(durationOf(min(waitMs, maxTimerMs)))
+			p.wakeAfter(durationOf(min(waitMs, maxWakeDelayMs)))
 			return
 		}
 		p.inflight.Decide(now, entry)
@@ -132,7 +132,7 @@
 	p.sim.err = fmt.Errorf("node %d has %d things due at %.3f ms and does not come to rest", p.node.index, maxDuePerInstant, now-epochMs)
 }
 
-// wakeAfter has runDueWork called after some time, unless it is called before.
+// wakeAfter schedules a call of runDueWork after a delay, unless an earlier one is scheduled already.
 func (p *process) wakeAfter(delay time.Duration) {
 	at := p.sim.now + simTime(delay)
 	if p.wakeAt == notScheduled || at < p.wakeAt {
@@ -141,7 +141,7 @@
 	}
 }
 
-// dueWorkTimer is the timer of a process.
+// dueWorkTimer is the timer that calls runDueWork.
 type dueWorkTimer process
 
 func (t *dueWorkTimer) fire() {
@@ -151,13 +151,13 @@
 	}
 }
 
-// wake does what is due.
+// wake handles the timer set by wakeAfter.
 func (p *process) wake() {
 	p.wakeAt = notScheduled
 	p.runDueWork()
 }
 
-// applyEndpoints handles what discovery sends.
+// applyEndpoints applies a full endpoint list or a change to it. Servers missing from a full list are gone.
 func (p *process) applyEndpoints(mode fleet.ListMode, entries []discovery.Entry) {
 	now := p.localNow()
 	endpoints := make([]fleet.Endpoint, 0, len(entries))
@@ -172,17 +172,17 @@
 	p.inflight.Policy.UpdateEndpoints(now, mode, endpoints)
 }
 
-// applyEntry handles one entry of the list.
+// applyEntry applies one entry of the endpoint list.
 func (p *process) applyEntry(now float64, e discovery.Entry) fleet.Endpoint {
-	id, isNew, _ := p.servers.Assign(now, e.ID)
-	if isNew {
+	id, assigned, _ := p.servers.Assign(now, e.ID)
+	if assigned {
 		if int(id) == len(p.links) {
 			p.links = append(p.links, nil)
 		}
 		p.links[id] = p.newServerLink(e)
 	}
 	endpoint := e.Endpoint(id, &p.node.deployment)
-	endpoint.StartedAt = p.starts.Observe(now, e.ID, e.UpSince, p.startsConfirmedAt(now))
+	endpoint.StartedAt = p.startTracker.Observe(now, e.ID, e.UpSince, p.startsConfirmedAt(now))
 	p.links[id].pool.Policy.ServerStarted(endpoint.StartedAt)
 	if p.member != nil && e.Flavor != discovery.OriginFlavor && endpoint.State != fleet.Gone {
 		p.member.participant.AddServer(now, id, e.ID, e.UpSince)
@@ -192,15 +192,15 @@
 	return endpoint
 }
 
-// startsConfirmedAt returns when the list was last known to be complete: an open watch says so with every heartbeat.
+// startsConfirmedAt returns when the endpoint list was last known to be complete. Each heartbeat of an open watch confirms the list.
 func (p *process) startsConfirmedAt(now float64) float64 {
-	if p.confirmedAt != serverstart.NeverConfirmed() && p.watch != nil && p.watch.isOpen() && !p.sim.discovery.stalled {
+	if p.confirmedAt != serverstart.NeverConfirmed() && p.watch != nil && p.watch.isPending() && !p.sim.discovery.stalled {
 		return max(p.confirmedAt, now-float64(fakes.Heartbeat/time.Millisecond))
 	}
 	return p.confirmedAt
 }
 
-// newServerLink returns the link to a server that the process has not seen yet.
+// newServerLink returns the link to a server that is new to the process.
 func (p *process) newServerLink(e discovery.Entry) *serverLink {
 	config := p.cachePool
 	if e.Flavor == discovery.OriginFlavor {
@@ -208,12 +208,12 @@
 	}
 	h := fnv.New64a()
 	_, _ = io.WriteString(h, e.ID) // a hash never fails
-	l := &serverLink{process: p, server: p.sim.serverByAddr(e.HostPort), tickAt: notScheduled}
+	l := &serverLink{process: p, server: p.sim.serverByAddr(e.HostPort), poolTickAt: notScheduled}
 	l.pool = connpool.New(connpool.NewPolicy(config, fleet.Mix(h.Sum64()), p.uniform()), &p.poolCounters, connpool.Owner[*conn, *attempt](l))
 	return l
 }
 
-// setServerState handles a server's state and address.
+// setServerState updates the state and the address of a server.
 func (p *process) setServerState(now float64, id fleet.ServerID, addr string, state fleet.State) {
 	p.servers.SetState(now, id, state)
 	if p.member != nil && state == fleet.Gone {
@@ -225,7 +225,7 @@
 	}
 }
 
-// closeIdleServerConn closes the connection to a server that has been idle longest, to free its descriptor.
+// closeIdleServerConn closes the server connection that has been idle longest, to free its descriptor.
 func (p *process) closeIdleServerConn() bool {
 	var oldest *serverLink
 	var oldestSince float64
@@ -237,7 +237,7 @@
 	return oldest != nil && oldest.pool.CloseOldestUnused()
 }
 
-// closeIdleClientConn closes a client's connection on which nothing is in flight, to free its descriptor.
+// closeIdleClientConn closes an idle client connection, to free its descriptor.
 func (p *process) closeIdleClientConn() bool {
 	if p.idleClients == 0 {
 		return false
@@ -247,8 +247,8 @@
 	return true
 }
 
-// acquireClientConn gives an attempt of a client a connection, a new one where none is idle; false: no descriptor is left for it.
-func (p *process) acquireClientConn() bool {
+// acquireClientConnection takes an idle client connection or opens a new one. It returns false if no descriptor is left.
+func (p *process) acquireClientConnection() bool {
 	if p.idleClients > 0 {
 		p.idleClients--
 		return true
@@ -256,8 +256,8 @@
 	return p.descriptors.Acquire(fdlimit.Client)
 }
 
-// releaseClientConn takes back the connection of a client's attempt, or closes it.
-func (p *process) releaseClientConn(a *clientAttempt, isClosed bool) {
+// releaseClientConnection returns the connection of a client's attempt to the idle ones, or closes it.
+func (p *process) releaseClientConnection(a *clientAttempt, isClosed bool) {
 	if !p.clientAttempts[a] {
 		return
 	}
@@ -269,27 +269,27 @@
 }
 
 // Send implements inflight.Dispatcher.
-func (p *process) Send(now float64, to fleet.ServerID, x *exchange.Exchange, index int, limitMs, sendBy float64) *attempt {
-	return p.links[to].startAttempt(now, x, index, limitMs, sendBy)
+func (p *process) Send(now float64, server fleet.ServerID, x *exchange.Exchange, index int, timeoutMs, sendBy float64) *attempt {
+	return p.links[server].startAttempt(now, x, index, timeoutMs, sendBy)
 }
 
 // Cancel implements inflight.Dispatcher.
-func (p *process) Cancel(_ float64, at fleet.ServerID, a *attempt) {
-	p.links[at].endAttemptLater(a, fleet.Cancelled)
+func (p *process) Cancel(_ float64, server fleet.ServerID, a *attempt) {
+	p.links[server].endAttemptLater(a, fleet.Cancelled)
 }
 
 // CancelUnsent implements inflight.Dispatcher.
-func (p *process) CancelUnsent(_ float64, at fleet.ServerID, a *attempt) {
+func (p *process) CancelUnsent(_ float64, server fleet.ServerID, a *attempt) {
 	if a.progress == exchange.NotConnected {
-		p.links[at].endAttemptLater(a, fleet.Cancelled)
+		p.links[server].endAttemptLater(a, fleet.Cancelled)
 	}
 }
 
-// BodyComplete implements inflight.Dispatcher. Values that pass in pieces are not simulated.
+// BodyComplete implements inflight.Dispatcher. It does nothing, as values that are forwarded in pieces are not simulated.
 func (p *process) BodyComplete(float64, fleet.ServerID, *attempt, float64) {}
 
 // CloseIdle implements inflight.Dispatcher.
-func (p *process) CloseIdle(of fleet.ServerID) { p.links[of].pool.CloseUnused() }
+func (p *process) CloseIdle(server fleet.ServerID) { p.links[server].pool.CloseUnused() }
 
 // WatchList implements inflight.Dispatcher.
 func (p *process) WatchList() { p.sim.discovery.startWatch(p) }
--- a/internal/testbed/simulator/ringowners.go
+++ b/internal/testbed/simulator/ringowners.go
@@ -8,18 +8,18 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// Owners of keys are compared for a limited number of nodes and keys.
+// Limits on the nodes and keys whose owners are compared.
 const (
-	ownershipNodes = 10
-	ownershipKeys  = 1000
+	maxComparedNodes = 10
+	maxComparedKeys  = 1000
 )
 
-// ringExposer is a policy that shows its ring.
-type ringExposer interface {
+// ringPointsProvider is a policy that exposes the points of its ring.
+type ringPointsProvider interface {
 	RingPoints(now float64, near bool, out []fleet.RingPoint) ([]fleet.RingPoint, float64)
 }
 
-// ringKey returns where a key is on the ring.
+// ringKey returns the ring position of a key.
 func ringKey(key string) fleet.Key { return clients.RingPoint([]byte(key)) }
 
 // serverByAddr returns the server at an address.
@@ -27,13 +27,13 @@
 	return s.servers[slices.IndexFunc(s.servers, func(server *server) bool { return server.addr == addr })]
 }
 
-// keyOwners returns the owners of the most popular keys on the whole ring, as the first nodes have it. It is nil for a node that does not
-// show its ring.
+// keyOwners returns the owners of the most popular keys for each of the first nodes. The entry is nil for a node that has exited or whose
+// policy does not expose its ring.
 func (s *Simulation) keyOwners() (owners [][]string) {
 	keys := s.clients.traffic.Keys
-	keys = keys[:min(ownershipKeys, len(keys))]
-	for _, n := range s.nodes[:min(ownershipNodes, len(s.nodes))] {
-		policy, ok := n.process.inflight.Policy.(ringExposer)
+	keys = keys[:min(maxComparedKeys, len(keys))]
+	for _, n := range s.nodes[:min(maxComparedNodes, len(s.nodes))] {
+		policy, ok := n.process.inflight.Policy.(ringPointsProvider)
 		if !ok || n.process.exited {
 			owners = append(owners, nil)
 			continue
@@ -48,9 +48,9 @@
 	return owners
 }
 
-// ownerOf returns the name of the server with the first point from a position on.
+// ownerOf returns the name of the server with the first point at or after a position.
 func (p *process) ownerOf(points []fleet.RingPoint, position float64) (name string) {
-	nearest := 2.0 // more than the whole ring
+	nearest := 2.0 // greater than the length of the ring
 	for _, point := range points {
 		if distance := fleet.ArcLength(position, point.Position); distance < nearest {
 			name, nearest = p.links[point.ID].server.Name, distance
@@ -59,21 +59,21 @@
 	return name
 }
 
-// movedKeyShare returns the share of keys that have another owner now than when the measurement began.
+// movedKeyShare returns the share of keys whose owner differs from that at the start of the measurement.
 func (s *Simulation) movedKeyShare() float64 {
-	moved, all := 0, 0
+	moved, compared := 0, 0
 	for i, names := range s.keyOwners() {
 		if i >= len(s.initialOwners) || len(names) != len(s.initialOwners[i]) {
 			continue
 		}
 		for j, name := range names {
-			if all++; name != s.initialOwners[i][j] {
+			if compared++; name != s.initialOwners[i][j] {
 				moved++
 			}
 		}
 	}
-	if all == 0 {
+	if compared == 0 {
 		return experiment.UnknownMovedKeyShare
 	}
-	return float64(moved) / float64(all)
+	return float64(moved) / float64(compared)
 }
--- a/internal/testbed/simulator/server.go
+++ b/internal/testbed/simulator/server.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// server is one server as nodes reach it. It is the experiment.ServerControl of itself.
+// server is a simulated server with its connections and network faults. It implements experiment.ServerControl.
 type server struct {
 	fakes.ServerSpec
 	sim   *Simulation
@@ -18,42 +18,42 @@
 	addr  string
 
 	faults          fakes.Faults
-	conns           []*conn // open ones; a conn knows its place
+	conns           []*conn // open connections; conn.index is the index in this slice
 	down            bool
 	refusing        bool
 	blackholed      bool
-	blackholedNodes map[int]bool // nodes for which alone it is blackholed
+	blackholedNodes map[int]bool // nodes that cannot reach the server although blackholed is false
 
-	startedMs     float64 // 0: long ago
-	listedID      string
-	generation    int       // how often it was replaced
-	notifiedStart []float64 // by node: the last start that the node was notified of
+	startedMs         float64 // 0 if it started long ago
+	endpointID        string
+	replacements      int       // number of times that it was replaced
+	lastNotifiedStart []float64 // by node: the last start of the server of which the node was notified
 
-	lastReportText string // the load report that was parsed last
+	lastReportText string // text of lastReport
 	lastReport     fleet.LoadReport
 }
 
-func newServer(s *Simulation, place int, spec fakes.ServerSpec) *server {
+func newServer(s *Simulation, index int, spec fakes.ServerSpec) *server {
 	return &server{
-		ServerSpec: spec, sim: s, model: s.cluster.AddServer(spec.Name, spec.Origin, spec.Config), addr: fmt.Sprint("box:", place),
-		blackholedNodes: map[int]bool{}, listedID: spec.Name, notifiedStart: make([]float64, s.experiment.Nodes.Count),
+		ServerSpec: spec, sim: s, model: s.cluster.AddServer(spec.Name, spec.Origin, spec.Config), addr: fmt.Sprint("box:", index),
+		blackholedNodes: map[int]bool{}, endpointID: spec.Name, lastNotifiedStart: make([]float64, s.experiment.Nodes.Count),
 	}
 }
 
 // SetPhase implements experiment.ServerControl.
 func (s *server) SetPhase(phase string) {
-	s.sim.discovery.publish(servermodel.EndpointUpdate{Server: s.model.ID, Name: s.listedID, Phase: phase, Started: s.startedMs})
+	s.sim.discovery.publish(servermodel.EndpointUpdate{Server: s.model.ID, Name: s.endpointID, Phase: phase, Started: s.startedMs})
 }
 
 // AssignNewID implements experiment.ServerControl.
 func (s *server) AssignNewID() {
-	s.generation++
-	s.listedID = fmt.Sprintf("%s.%d", s.Name, s.generation)
+	s.replacements++
+	s.endpointID = fmt.Sprintf("%s.%d", s.Name, s.replacements)
 }
 
 // Kill implements experiment.ServerControl.
 func (s *server) Kill() {
-	s.down, s.blackholed = true, false // the machine of a process that has gone says so
+	s.down, s.blackholed = true, false // after the process has exited, its machine refuses connections
 	clear(s.blackholedNodes)
 	s.sim.cluster.Kill(s.sim.nowMs(), s.model.ID)
 	s.ResetConnections()
@@ -75,7 +75,7 @@
 }
 
 // SetSlowdown implements experiment.ServerControl.
-func (s *server) SetSlowdown(multiple float64) { s.sim.cluster.SetSlowdown(s.model.ID, multiple) }
+func (s *server) SetSlowdown(factor float64) { s.sim.cluster.SetSlowdown(s.model.ID, factor) }
 
 // SetRefusing implements experiment.ServerControl.
 func (s *server) SetRefusing(refusing bool) error {
@@ -101,20 +101,20 @@
 			continue
 		}
 		delete(s.blackholedNodes, node)
-		s.resetConnectionsOf(func(of int) bool { return of == node })
+		s.resetMatchingConnections(func(index int) bool { return index == node })
 	}
 }
 
-// isBlackholed reports whether the server is silent for a node.
+// isBlackholed reports whether packets between the server and a node are dropped.
 func (s *server) isBlackholed(node int) bool { return s.blackholed || s.blackholedNodes[node] }
 
 // ResetConnections implements experiment.ServerControl.
-func (s *server) ResetConnections() { s.resetConnectionsOf(func(int) bool { return true }) }
+func (s *server) ResetConnections() { s.resetMatchingConnections(func(int) bool { return true }) }
 
-// resetConnectionsOf resets the connections of some nodes.
-func (s *server) resetConnectionsOf(isReset func(node int) bool) {
+// resetMatchingConnections resets the connections of the nodes for which matches returns true.
+func (s *server) resetMatchingConnections(matches func(node int) bool) {
 	for i := len(s.conns) - 1; i >= 0; i-- {
-		if i < len(s.conns) && isReset(s.conns[i].link.process.node.index) {
+		if i < len(s.conns) && matches(s.conns[i].link.process.node.index) {
 			s.conns[i].reset()
 		}
 	}
@@ -126,7 +126,7 @@
 	s.conns = append(s.conns, c)
 }
 
-// removeConn removes a connection. The last one takes its place.
+// removeConn removes a connection. The last connection moves to its index.
 func (s *server) removeConn(c *conn) {
 	last := len(s.conns) - 1
 	s.conns[c.index] = s.conns[last]
@@ -135,12 +135,12 @@
 	s.conns = s.conns[:last]
 }
 
-// notifiedOfStart reports whether a node was notified of the server's last start.
+// notifiedOfStart reports whether a node was notified of the server's last start, or must have been by now.
 func (s *server) notifiedOfStart(node int, nowMs float64) bool {
-	return s.startedMs == 0 || s.notifiedStart[node] == s.startedMs || nowMs-s.startedMs > fakes.NotificationDeadlineMs
+	return s.startedMs == 0 || s.lastNotifiedStart[node] == s.startedMs || nowMs-s.startedMs > fakes.NotificationDeadlineMs
 }
 
-// parseReport parses a load report, which stays the same over many responses.
+// parseReport parses a load report. It caches the last one, as many responses carry the same report.
 func (s *server) parseReport(text string) fleet.LoadReport {
 	if text != s.lastReportText || text == "" {
 		s.lastReportText, s.lastReport = strings.Clone(text), upstream.ParseReport([]byte(text))
--- a/internal/testbed/simulator/simulation.go
+++ b/internal/testbed/simulator/simulation.go
@@ -21,54 +21,54 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// How long a message takes from one process to another, through both machines: what fake servers and nodes on loopback show on a machine
-// that is not busy (docs/simulator.md, "Agreement").
+// Delays of a message from one process to another, including the work of both machines. They match fake servers and nodes on loopback on
+// an idle machine (docs/simulator.md, "Agreement").
 const (
-	serverHop = 250 * time.Microsecond // between a node and a server, discovery or another node
-	clientHop = 300 * time.Microsecond // between a client and a node
+	serverHopDelay = 250 * time.Microsecond // between a node and a server, discovery or another node
+	clientHopDelay = 300 * time.Microsecond // between a client and a node
 )
 
 const (
-	// startupLead is how long nodes are there before the load begins.
+	// startupLead is the time between the start of the nodes and the start of the load.
 	startupLead = time.Second
-	// startInterval is the time between the starts of two nodes, so that not all of their timers are due at one time.
-	startInterval = 137 * time.Microsecond
-	// sampleInterval is the time between two looks at the servers.
+	// nodeStartInterval is the time between the starts of two nodes. It prevents that the timers of all nodes are due at the same time.
+	nodeStartInterval = 137 * time.Microsecond
+	// sampleInterval is the time between two samples of the state of the servers.
 	sampleInterval = 100 * time.Millisecond
-	// settleAfterLoad is how long a run goes on after the last request: what is sent after a response would come then.
-	settleAfterLoad = 100 * time.Millisecond
-	// eventsPerCheck is after how many events the context is looked at.
-	eventsPerCheck = 1 << 16
-	// faultStream separates the random numbers of servers' faults from others under the same seed.
-	faultStream = 3
+	// drainAfterLoad is how long a run continues after the last request, to detect attempts that are sent after the response.
+	drainAfterLoad = 100 * time.Millisecond
+	// eventsPerContextCheck is the number of events between two checks of the context.
+	eventsPerContextCheck = 1 << 16
+	// faultRandomStream separates the random numbers of servers' faults from others under the same seed.
+	faultRandomStream = 3
 )
 
 var (
-	errRequestsLeft  = errors.New("have no end") // an event was lost
-	errTooManyEvents = errors.New("too many events")
+	errRequestsUnfinished = errors.New("have no end") // an event was lost, which is a bug in the simulator
+	errTooManyEvents      = errors.New("too many events")
 )
 
-// Simulation is one fleet on its virtual clock. One goroutine may use it.
+// Simulation is one fleet on its virtual clock. It is not safe for concurrent use.
 type Simulation struct {
 	eventQueue
 	experiment *experiment.Experiment
 	options    Options
 	seed       uint64
 
-	cluster      *servermodel.Cluster
-	modelTimerAt simTime // when the cluster is looked at next; notScheduled for never
-	servers      []*server
-	nodes        []*simNode
-	discovery    *discoveryService
-	clients      *clientPopulation
-	peerLinks    *faultrelay.Links // between nodes
-	rng          *rand.Rand        // draws the servers' faults
+	cluster           *servermodel.Cluster
+	completionTimerAt simTime // when the next execution completes; notScheduled if the timer is not set
+	servers           []*server
+	nodes             []*simNode
+	discovery         *discoveryService
+	clients           *clientPopulation
+	peerLinks         *faultrelay.Links // between nodes
+	rng               *rand.Rand        // for faults of servers
 
 	checker       *invariants.Checker
 	recorder      *experiment.ExecutionRecorder
 	result        *experiment.Run
-	initialOwners [][]string // of the first nodes' keys when the measurement began
-	err           error      // ends the run
+	initialOwners [][]string // by node: the owners of the keys at the start of the measurement
+	err           error      // fatal error that ends the run
 }
 
 // notScheduled is the time of a timer that is not set.
@@ -77,7 +77,7 @@
 func newSimulation(x *experiment.Experiment, o Options) (*Simulation, error) {
 	seed := cmp.Or(o.Seed, x.Seed)
 	s := &Simulation{
-		experiment: x, options: o, seed: seed, modelTimerAt: notScheduled, rng: rand.New(rand.NewPCG(seed, faultStream)),
+		experiment: x, options: o, seed: seed, completionTimerAt: notScheduled, rng: rand.New(rand.NewPCG(seed, faultRandomStream)),
 		peerLinks: faultrelay.NewLinks(seed), cluster: servermodel.NewCluster(seed, x.ClassCosts()),
 		recorder: experiment.NewExecutionRecorder(x),
 		checker:  invariants.NewChecker(x.Rules.DrainGrace.Milliseconds(), x.InvariantSlackMs()),
@@ -87,24 +87,24 @@
 		s.servers = append(s.servers, newServer(s, i, spec))
 	}
 	s.discovery = newDiscoveryService(s)
-	start := simTime(startupLead)
-	from := start + simTime(x.Settle.Duration())
-	to := from + simTime(x.Length.Duration())
-	s.result = experiment.NewRun(x, o.Program, seed, from.ms(), to.ms())
-	s.clients = newClientPopulation(s, start, to)
+	loadStart := simTime(startupLead)
+	measurementStart := loadStart + simTime(x.Settle.Duration())
+	loadEnd := measurementStart + simTime(x.Length.Duration())
+	s.result = experiment.NewRun(x, o.Program, seed, measurementStart.ms(), loadEnd.ms())
+	s.clients = newClientPopulation(s, loadStart, loadEnd)
 	x.WarmKeys(s.clients.traffic.Keys, s.preload)
 	if err := s.addNodes(); err != nil {
 		return nil, err
 	}
-	s.schedule(start, actionFunc(s.sample))
-	s.schedule(from, actionFunc(func() { s.initialOwners = s.keyOwners() }))
+	s.schedule(loadStart, actionFunc(s.sample))
+	s.schedule(measurementStart, actionFunc(func() { s.initialOwners = s.keyOwners() }))
 	for _, e := range x.Timeline() {
-		s.schedule(from+simTime(e.At), actionFunc(func() { s.applyStep(e.Step) }))
+		s.schedule(measurementStart+simTime(e.At), actionFunc(func() { s.applyStep(e.Step) }))
 	}
 	return s, nil
 }
 
-// addNodes adds the nodes, to start one after the other.
+// addNodes creates the nodes and schedules their starts.
 func (s *Simulation) addNodes() error {
 	file, err := operatorfile.Read(s.experiment.OperatorFile())
 	if err != nil {
@@ -116,31 +116,31 @@
 			return err
 		}
 		s.nodes = append(s.nodes, n)
-		s.schedule(simTime(i)*simTime(startInterval), actionFunc(n.startProcess))
+		s.schedule(simTime(i)*simTime(nodeStartInterval), actionFunc(n.startProcess))
 	}
 	return nil
 }
 
-// preload stores keys at a cache that was running before.
-func (s *Simulation) preload(place int, keys []string) {
+// preload stores keys at a cache, as if it had been running before the start of the simulation.
+func (s *Simulation) preload(serverIndex int, keys []string) {
 	for _, key := range keys {
-		s.cluster.Preload(s.servers[place].model.ID, key)
+		s.cluster.Preload(s.servers[serverIndex].model.ID, key)
 	}
 }
 
-// play has everything happen until the last request has ended.
-func (s *Simulation) play(ctx context.Context) error {
-	s.clients.scheduleNext()
+// run processes events until the last request has ended.
+func (s *Simulation) run(ctx context.Context) error {
+	s.clients.scheduleNextArrival()
 	latest := s.clients.latestEnd()
 	for s.clients.openRequests > 0 || !s.clients.arrivalsEnded {
-		// Nodes always have something to do: an event that was lost shows by requests that do not end.
+		// Nodes always have timers, so the queue never becomes empty. A lost event shows as a request that does not end.
 		if !s.fireNext() || s.now > latest {
-			return fmt.Errorf("%d requests %w", s.clients.openRequests, errRequestsLeft)
+			return fmt.Errorf("%d requests %w", s.clients.openRequests, errRequestsUnfinished)
 		}
 		if s.err != nil {
 			return s.err
 		}
-		if s.firedCount%eventsPerCheck == 0 {
+		if s.firedCount%eventsPerContextCheck == 0 {
 			if err := ctx.Err(); err != nil {
 				return err
 			}
@@ -148,26 +148,26 @@
 		}
 		if s.options.MaxEvents > 0 && s.firedCount > s.options.MaxEvents {
 			return fmt.Errorf("%w: over %d events at %.1f s of %.1f s", errTooManyEvents, s.options.MaxEvents,
-				time.Duration(s.now).Seconds(), time.Duration(s.clients.to).Seconds())
+				time.Duration(s.now).Seconds(), time.Duration(s.clients.loadEnd).Seconds())
 		}
 	}
-	for end := s.now + simTime(settleAfterLoad); s.hasEventBy(end); {
+	for end := s.now + simTime(drainAfterLoad); s.hasEventDueBy(end); {
 		s.fireNext()
 	}
 	s.finish()
 	return nil
 }
 
-// reportProgress says how much of the load has been played.
+// reportProgress reports the share of the load that is finished.
 func (s *Simulation) reportProgress() {
 	if s.options.Progress != nil {
-		s.options.Progress(float64(s.now-s.clients.from) / float64(s.clients.to-s.clients.from))
+		s.options.Progress(float64(s.now-s.clients.loadStart) / float64(s.clients.loadEnd-s.clients.loadStart))
 	}
 }
 
-// finish checks what is left and completes the result.
+// finish checks the remaining attempts and completes the result.
 func (s *Simulation) finish() {
-	s.clients.checkRemaining()
+	s.clients.checkUncheckedAttempts()
 	for _, server := range s.servers {
 		if c := s.result.RecordCollapses(server.Name, server.Origin, server.model.Collapses, server.model.BlamedShare); c != nil {
 			s.checker.ServerCollapsed(*c)
@@ -179,15 +179,15 @@
 	slices.SortStableFunc(s.result.Requests, func(a, b experiment.Request) int { return cmp.Compare(a.DueMs, b.DueMs) })
 }
 
-// sample looks at the servers again and again while the load is on.
+// sample records the state of the servers periodically until the end of the load.
 func (s *Simulation) sample() {
 	s.result.Samples = append(s.result.Samples, experiment.Sample{AtMs: s.nowMs(), Servers: fakes.SnapshotServers(s.cluster, s.nowMs())})
-	if s.now < s.clients.to {
+	if s.now < s.clients.loadEnd {
 		s.scheduleAfter(sampleInterval, actionFunc(s.sample))
 	}
 }
 
-// newPolicy returns the policy of a node.
+// newPolicy returns a new policy for a node.
 func (s *Simulation) newPolicy(node int, now float64, limits fleet.Limits, slab *fleet.Slab) inflight.Policy {
 	if s.options.NewPolicy != nil {
 		return s.options.NewPolicy(s, node, now, limits, slab)
@@ -195,17 +195,17 @@
 	return decide.New(now, limits, slab)
 }
 
-// modelTimer looks at the cluster when an execution is to end there.
-type modelTimer struct{ sim *Simulation }
+// completionTimer calls deliverCompleted when the next execution in the cluster completes.
+type completionTimer struct{ sim *Simulation }
 
-func (t modelTimer) fire() {
-	if t.sim.now == t.sim.modelTimerAt {
-		t.sim.modelTimerAt = notScheduled
+func (t completionTimer) fire() {
+	if t.sim.now == t.sim.completionTimerAt {
+		t.sim.completionTimerAt = notScheduled
 		t.sim.deliverCompleted()
 	}
 }
 
-// deliverCompleted sends the responses of executions that have ended, and sets the timer for the next end.
+// deliverCompleted sends the responses of completed executions and sets the timer for the next completion.
 func (s *Simulation) deliverCompleted() {
 	for _, e := range s.cluster.Advance(s.nowMs()) {
 		a := e.Tag.(*attempt)
@@ -219,8 +219,8 @@
 	if math.IsInf(next, 1) {
 		return
 	}
-	if at := simTimeOf(next); s.modelTimerAt == notScheduled || at < s.modelTimerAt {
-		s.modelTimerAt = max(at, s.now)
-		s.schedule(s.modelTimerAt, modelTimer{s})
+	if at := simTimeOf(next); s.completionTimerAt == notScheduled || at < s.completionTimerAt {
+		s.completionTimerAt = max(at, s.now)
+		s.schedule(s.completionTimerAt, completionTimer{s})
 	}
 }
--- a/internal/testbed/simulator/simulator.go
+++ b/internal/testbed/simulator/simulator.go
@@ -1,7 +1,7 @@
-// Package simulator plays experiments on a virtual clock: the servers of package servermodel, discovery with its delays, clients with
-// their retries, and any number of nodes, each of them made of the same packages that the node on sockets has between its sockets and
-// its decisions (inflight, connpool, servertable, decide). One goroutine plays a simulation; a seed gives the same run every time,
-// whatever else runs beside it. docs/simulator.md says what is modelled and how far to believe it.
+// Package simulator runs experiments on a virtual clock. It simulates the servers of package servermodel, discovery with its delays,
+// clients with their retries, and any number of nodes. A simulated node uses the same packages as the node on sockets (inflight,
+// connpool, servertable, decide); only the sockets are replaced. A simulation runs in one goroutine, and the same seed always gives the
+// same run. docs/simulator.md describes the model and its limits.
 package simulator
 
 import (
@@ -15,23 +15,23 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// NewPolicyFunc returns the policy of a node that decides in place of package decide.
+// NewPolicyFunc returns the policy that a node uses instead of package decide.
 type NewPolicyFunc func(s *Simulation, node int, now float64, limits fleet.Limits, slab *fleet.Slab) inflight.Policy
 
-// Options say how an experiment is played.
+// Options configure the run of an experiment.
 type Options struct {
-	Program        string        // how reports call what is measured
-	NewPolicy      NewPolicyFunc // nil: package decide
-	NoOperatorFile bool          // without the experiment's operator's file
-	Seed           uint64        // 0: the file's
-	MaxEvents      uint64        // after which the run is given up; 0: no limit
-	Progress       func(done float64)
+	Program        string             // name of the measured program in reports
+	NewPolicy      NewPolicyFunc      // nil for package decide
+	NoOperatorFile bool               // ignore the operator's file of the experiment
+	Seed           uint64             // 0 for the seed of the experiment file
+	MaxEvents      uint64             // the run fails after this many events; 0 for no limit
+	Progress       func(done float64) // called with the finished share of the load; may be nil
 }
 
-// maxValueBytes is the size of the largest value that passes at once; the passing of larger ones in pieces is not modelled.
+// maxValueBytes is the size of the largest value that nodes forward in one piece. Forwarding larger values in pieces is not modelled.
 const maxValueBytes = 64 << 10
 
-// unsupportedActions are the steps that cannot be simulated, with what they would need.
+// unsupportedActions maps each action that cannot be simulated to the unsupported feature that it requires.
 var unsupportedActions = map[string]string{
 	"replace_node": "processes that take over from one another", "standby_node": "a node's admin address", "active_node": "a node's admin address",
 	"exclude": "a node's admin address", "readmit": "a node's admin address",
@@ -40,15 +40,15 @@
 	"hold_node": "processes that the system holds up", "crowd_node": "sockets",
 }
 
-// unsupportedFigures are figures of processes and machines, which a simulated run has none of.
+// unsupportedFigures are figures of processes and machines. A simulated run does not have them.
 var unsupportedFigures = []string{"node_memory_mb", "node_descriptors"}
 
-// Prepare checks that an experiment can be simulated. It returns the experiment without the expectations that cannot be evaluated, and the
-// figures of those.
+// Prepare checks that an experiment can be simulated. It returns a copy of the experiment without the expectations that a simulation
+// cannot evaluate, and the figures of these expectations.
 func Prepare(x *experiment.Experiment) (prepared *experiment.Experiment, skipped []string, err error) {
 	for i, step := range x.Steps {
-		if needs, unsupported := unsupportedActions[step.Action]; unsupported {
-			return nil, nil, x.FieldErrorf(fmt.Sprintf("at[%d].do", i), "%s cannot be simulated: %s", step.Action, needs)
+		if requirement, unsupported := unsupportedActions[step.Action]; unsupported {
+			return nil, nil, x.FieldErrorf(fmt.Sprintf("at[%d].do", i), "%s cannot be simulated: %s", step.Action, requirement)
 		}
 	}
 	file, err := operatorfile.Read(x.OperatorFile())
@@ -62,16 +62,16 @@
 	case x.Load.ValueBytes > maxValueBytes:
 		return nil, nil, x.FieldErrorf("load.bytes", "%d cannot be simulated: values over %d bytes pass in pieces", x.Load.ValueBytes, maxValueBytes)
 	}
-	y := *x
-	y.Expectations = nil
+	supported := *x
+	supported.Expectations = nil
 	for _, e := range x.Expectations {
 		if slices.Contains(unsupportedFigures, e.Figure) {
 			skipped = append(skipped, e.Figure)
 			continue
 		}
-		y.Expectations = append(y.Expectations, e)
+		supported.Expectations = append(supported.Expectations, e)
 	}
-	return &y, skipped, nil
+	return &supported, skipped, nil
 }
 
 // Run plays an experiment and returns what was seen.
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := s.play(ctx); err != nil {
+	if err := s.run(ctx); err != nil {
 		return nil, err
 	}
 	return s.result, nil
--- a/internal/testbed/simulator/stall.go
+++ b/internal/testbed/simulator/stall.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// deferIfStalled keeps an action for later if the process is frozen or busy, and reports whether it did.
+// deferIfStalled postpones an action if the process is frozen or busy, and reports whether it did.
 func (p *process) deferIfStalled(a action) bool {
 	if p.node.frozen && p.node.process == p && !p.exited {
 		p.deferred = append(p.deferred, a)
@@ -14,19 +14,19 @@
 	return p.cpu.deferIfBusy(a)
 }
 
-// whenRunning returns an action of the process, which waits while the process is frozen or busy.
-func (p *process) whenRunning(do func()) action {
+// whenRunning returns an action that is postponed while the process is frozen or busy.
+func (p *process) whenRunning(run func()) action {
 	var a actionFunc
 	a = func() {
 		if !p.deferIfStalled(a) {
-			do()
+			run()
 		}
 	}
 	return a
 }
 
-// thaw has all happen that came while the process was frozen.
-func (p *process) thaw() {
+// resume schedules the actions and handles the datagrams that arrived while the process was frozen.
+func (p *process) resume() {
 	if p.member != nil {
 		p.member.handleInbox()
 	}
@@ -37,19 +37,19 @@
 	}
 }
 
-// processor is the processor of a process: it does one thing after the other, and each request takes its time. What comes meanwhile
-// waits in its order, so that a node that is too slow for its requests looks so. Without a cost it is never busy.
-type processor struct {
-	sim         *Simulation
-	requestCost time.Duration
-	busyUntil   simTime
-	queue       []action
-	isRunning   bool // an action of the queue
+// cpuQueue models the processor time of a process. It runs one action at a time, and each request costs requestCost; later actions wait in
+// order of arrival, so that a node overloaded by its requests responds late. With a requestCost of 0 the process is never busy.
+type cpuQueue struct {
+	sim          *Simulation
+	requestCost  time.Duration
+	busyUntil    simTime
+	queue        []action
+	runningQueue bool // true while an action of the queue runs
 }
 
-// deferIfBusy keeps an action until its turn, and reports whether it has to wait.
-func (c *processor) deferIfBusy(a action) bool {
-	if c.requestCost == 0 || c.isRunning || len(c.queue) == 0 && c.sim.now >= c.busyUntil {
+// deferIfBusy queues an action if the processor is busy, and reports whether it did.
+func (c *cpuQueue) deferIfBusy(a action) bool {
+	if c.requestCost == 0 || c.runningQueue || len(c.queue) == 0 && c.sim.now >= c.busyUntil {
 		return false
 	}
 	c.queue = append(c.queue, a)
@@ -59,31 +59,32 @@
 	return true
 }
 
-// startRequest begins to work on a request that has come, and reports whether that takes time: then the request comes again when it is done.
-func (c *processor) startRequest(a *clientAttempt) bool {
+// chargeRequest starts the processing of a request that has arrived. If that takes time, it queues the request to arrive again afterwards and
+// returns true.
+func (c *cpuQueue) chargeRequest(a *clientAttempt) bool {
 	if c.requestCost == 0 || a.started {
 		return false
 	}
 	a.started = true
 	c.busyUntil = c.sim.now + simTime(c.requestCost)
 	c.queue = slices.Insert(c.queue, 0, action((*requestArrival)(a)))
-	if len(c.queue) == 1 && !c.isRunning {
+	if len(c.queue) == 1 && !c.runningQueue {
 		c.scheduleQueue()
 	}
 	return true
 }
 
-// scheduleQueue has the queue run once the processor is free.
-func (c *processor) scheduleQueue() { c.sim.schedule(c.busyUntil, actionFunc(c.runQueue)) }
+// scheduleQueue schedules runQueue for when the processor is free.
+func (c *cpuQueue) scheduleQueue() { c.sim.schedule(c.busyUntil, actionFunc(c.runQueue)) }
 
-// runQueue runs what has waited, until there is work again.
-func (c *processor) runQueue() {
+// runQueue runs the queued actions until one of them makes the processor busy again.
+func (c *cpuQueue) runQueue() {
 	for len(c.queue) > 0 && c.sim.now >= c.busyUntil {
 		next := c.queue[0]
 		c.queue = c.queue[1:]
-		c.isRunning = true
+		c.runningQueue = true
 		next.fire()
-		c.isRunning = false
+		c.runningQueue = false
 	}
 	if len(c.queue) > 0 {
 		c.scheduleQueue()
--- a/internal/testbed/simulator/system.go
+++ b/internal/testbed/simulator/system.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// applyStep does what the timeline says.
+// applyStep records a step of the timeline as an event and applies it.
 func (s *Simulation) applyStep(step experiment.Step) {
 	s.result.Events = append(s.result.Events, experiment.Event{AtMs: s.nowMs(), Description: step.String()})
 	if err := s.experiment.Apply(step, s, s.seed); err != nil {
@@ -20,10 +20,10 @@
 }
 
 // SetRateFactor implements experiment.System.
-func (s *Simulation) SetRateFactor(multiple float64) { s.clients.rateFactor = multiple }
+func (s *Simulation) SetRateFactor(factor float64) { s.clients.rateFactor = factor }
 
 // Server implements experiment.System.
-func (s *Simulation) Server(place int) experiment.ServerControl { return s.servers[place] }
+func (s *Simulation) Server(index int) experiment.ServerControl { return s.servers[index] }
 
 // Node implements experiment.System.
 func (s *Simulation) Node(index int) experiment.NodeControl { return nodeControl{s.nodes[index]} }
@@ -31,7 +31,7 @@
 // Discovery implements experiment.System.
 func (s *Simulation) Discovery() experiment.DiscoveryControl { return discoveryControl{s.discovery} }
 
-// RelocateDiscovery implements experiment.System. It cannot be simulated.
+// RelocateDiscovery implements experiment.System. It always fails, as moving discovery cannot be simulated.
 func (s *Simulation) RelocateDiscovery() error { return unsupported("moving discovery") }
 
 // UpdateLinks implements experiment.System.
@@ -40,10 +40,10 @@
 	return nil
 }
 
-// unsupported is the error of a step that Prepare refuses.
-func unsupported(what string) error { return fmt.Errorf("%s cannot be simulated", what) }
+// unsupported returns the error for an operation that cannot be simulated. Prepare rejects experiments with such steps.
+func unsupported(operation string) error { return fmt.Errorf("%s cannot be simulated", operation) }
 
-// nodeControl is the experiment.NodeControl of a node.
+// nodeControl implements experiment.NodeControl for a simulated node.
 type nodeControl struct{ node *simNode }
 
 // Kill implements experiment.NodeControl.
@@ -55,7 +55,7 @@
 // Start implements experiment.NodeControl.
 func (c nodeControl) Start() { c.node.restart() }
 
-// ReplaceMachine implements experiment.NodeControl. A simulated node has no disk to lose.
+// ReplaceMachine implements experiment.NodeControl. A simulated node has no disk, so it is only restarted.
 func (c nodeControl) ReplaceMachine() {
 	c.node.terminate()
 	c.node.restart()
@@ -72,31 +72,31 @@
 	}
 }
 
-// Reload implements experiment.NodeControl. It cannot be simulated.
+// Reload implements experiment.NodeControl. It always fails.
 func (c nodeControl) Reload() error { return unsupported("a reload of settings") }
 
-// Hold implements experiment.NodeControl. It cannot be simulated.
+// Hold implements experiment.NodeControl. It always fails.
 func (c nodeControl) Hold(time.Duration) error { return unsupported("a node that is held up") }
 
-// ReloadTruncated implements experiment.NodeControl. It cannot be simulated.
+// ReloadTruncated implements experiment.NodeControl. It always fails.
 func (c nodeControl) ReloadTruncated() error { return unsupported("a reload of settings") }
 
-// Crowd implements experiment.NodeControl. It cannot be simulated.
+// Crowd implements experiment.NodeControl. It always fails.
 func (c nodeControl) Crowd(int, time.Duration) error { return unsupported("a crowd of connections") }
 
-// SetStandby implements experiment.NodeControl. It cannot be simulated.
+// SetStandby implements experiment.NodeControl. It always fails.
 func (c nodeControl) SetStandby(bool) error { return unsupported("standby") }
 
-// Exclude implements experiment.NodeControl. It cannot be simulated.
+// Exclude implements experiment.NodeControl. It always fails.
 func (c nodeControl) Exclude(string, bool) error { return unsupported("a call of operators") }
 
-// Retune implements experiment.NodeControl. It cannot be simulated.
+// Retune implements experiment.NodeControl. It always fails.
 func (c nodeControl) Retune(bool) error { return unsupported("a reload of settings") }
 
-// HotRestart implements experiment.NodeControl. It cannot be simulated.
+// HotRestart implements experiment.NodeControl. It always fails.
 func (c nodeControl) HotRestart() error { return unsupported("a hot restart") }
 
-// discoveryControl is the experiment.DiscoveryControl of the discovery service.
+// discoveryControl implements experiment.DiscoveryControl for the simulated discovery service.
 type discoveryControl struct{ discovery *discoveryService }
 
 // SetDelay implements experiment.DiscoveryControl.
