--- a/internal/testbed/simulator/attempt.go
+++ b/internal/testbed/simulator/attempt.go
@@ -104,7 +104,7 @@
 	c, s := a.conn, a.conn.server
 	node := c.link.process.node.index
 	if c.serverClosed || s.isBlackholed(node) {
-		return // the node gets the reset of a closed connection in an event of its own
+		return // no response: packets are dropped, or the reset of the connection is on its way
 	}
 	sim := s.sim
 	sim.deliverCompleted() // executions that have completed by now free their resources first
--- a/internal/testbed/simulator/clients.go
+++ b/internal/testbed/simulator/clients.go
@@ -11,7 +11,7 @@
 const (
 	// maxRetryWaitFactor is the longest randomized wait of a client before a retry, as a multiple of the configured wait.
 	maxRetryWaitFactor = 1.5
-	// runEndMargin is the time after the latest possible end of all requests at which the run fails.
+	// runEndMargin is the time between the latest possible end of a request and the failure of a run that is still incomplete.
 	runEndMargin = time.Second
 	// nodeProbeInterval is the time between two probes of a node that was marked failed.
 	nodeProbeInterval = 50 * time.Millisecond
--- a/internal/testbed/simulator/discovery.go
+++ b/internal/testbed/simulator/discovery.go
@@ -123,7 +123,8 @@
 	}
 }
 
-// recordNotification records that a node is notified of a change, except for the initial list.
+// recordNotification informs the checker that a node is notified of a change, and adds the notification to the result unless it belongs to
+// the initial list.
 func (d *discoveryService) recordNotification(node int, u *servermodel.EndpointUpdate) {
 	sim := d.sim
 	n := fakes.Notification{
@@ -131,7 +132,7 @@
 	}
 	sim.checker.NodeNotified(n)
 	isInitialEntry := u.Phase == servermodel.InService && u.Started <= 0 && sim.nowMs() <= simTime(startupLead).ms()
-	if !isInitialEntry { // left out of the result, as there is one entry per server and node
+	if !isInitialEntry { // the initial list would add one entry per server and node
 		sim.result.Notifications = append(sim.result.Notifications, n)
 	}
 	sim.servers[u.Server].lastNotifiedStart[node] = u.Started
--- a/internal/testbed/simulator/faultypolicy_test.go
+++ b/internal/testbed/simulator/faultypolicy_test.go
@@ -124,7 +124,7 @@
 	o := Options{NewPolicy: func(_ *Simulation, _ int, now float64, l fleet.Limits, slab *fleet.Slab) inflight.Policy {
 		return alwaysDuePolicy{newCorrectPolicy(now, l, slab)}
 	}}
-	if _, err := Run(context.Background(), parseExperiment(t, smallFleet), o); err == nil || !strings.Contains(err.Error(), "does not come to rest") {
+	if _, err := Run(context.Background(), parseExperiment(t, smallFleet), o); err == nil || !strings.Contains(err.Error(), "policy is still due after") {
 		t.Errorf("%v", err)
 	}
 }
--- a/internal/testbed/simulator/oracle.go
+++ b/internal/testbed/simulator/oracle.go
@@ -14,7 +14,7 @@
 	observeAfterLoad = 10 * time.Second
 	// maxErrorRate is the error rate at which a server counts as down.
 	maxErrorRate = 0.5
-	// minRetryAfterMs is the shortest retry delay that clients are told.
+	// minRetryAfterMs is the shortest RetryAfter of a rejection, in ms.
 	minRetryAfterMs = 50
 	// goldenRatio distributes the indexes of servers over 64 bits.
 	goldenRatio = 0x9e3779b97f4a7c15
@@ -26,10 +26,10 @@
 // shortest wait, rejects requests at once that the origin cannot complete in the time that their priority weight allows, and sends nothing
 // to servers that are warming up. It shows what these simple rules achieve with delayed information, which is not an upper bound.
 type Oracle struct {
-	sim         *Simulation // nil before the first node
+	sim         *Simulation // set when the policy of the first node is created
 	delay       time.Duration
 	states      []serverState        // by server index, as last observed
-	keysByPoint map[fleet.Key]string // for keys of requests, which carry only the ring position
+	keysByPoint map[fleet.Key]string // by ring position, as requests carry no key
 }
 
 // serverState is the state of a server when it was last observed.
--- a/internal/testbed/simulator/process.go
+++ b/internal/testbed/simulator/process.go
@@ -23,9 +23,9 @@
 	reapInterval = 5 * time.Second
 	// maxWakeDelayMs bounds the time between two calls of runDueWork.
 	maxWakeDelayMs = 1000
-	// maxDuePerInstant is the number of due calls at the same time after which the run fails, as the policy is considered stuck in a loop.
+	// maxDuePerInstant bounds the calls of a policy at one time. A policy that is due more often would block the run, so the run fails.
 	maxDuePerInstant = 100_000
-	// stallTimeoutShare is the stall timeout of a response as a share of the shortest latency objective.
+	// stallTimeoutShare is the ratio of the stall timeout of a response to the shortest latency objective.
 	stallTimeoutShare = 1.0 / 4
 )
 
@@ -129,7 +129,7 @@
 		}
 		p.inflight.Decide(now, entry)
 	}
-	p.sim.err = fmt.Errorf("node %d has %d things due at %.3f ms and does not come to rest", p.node.index, maxDuePerInstant, now-epochMs)
+	p.sim.err = fmt.Errorf("node %d: policy is still due after %d calls at %.3f ms", p.node.index, maxDuePerInstant, now-epochMs)
 }
 
 // wakeAfter schedules a call of runDueWork after a delay, unless an earlier one is scheduled already.
@@ -174,8 +174,8 @@
 
 // applyEntry applies one entry of the endpoint list.
 func (p *process) applyEntry(now float64, e discovery.Entry) fleet.Endpoint {
-	id, assigned, _ := p.servers.Assign(now, e.ID)
-	if assigned {
+	id, isNew, _ := p.servers.Assign(now, e.ID)
+	if isNew {
 		if int(id) == len(p.links) {
 			p.links = append(p.links, nil)
 		}
--- a/internal/testbed/simulator/server.go
+++ b/internal/testbed/simulator/server.go
@@ -22,14 +22,14 @@
 	down            bool
 	refusing        bool
 	blackholed      bool
-	blackholedNodes map[int]bool // nodes that cannot reach the server although blackholed is false
+	blackholedNodes map[int]bool // nodes that cannot reach the server even while blackholed is false
 
 	startedMs         float64 // 0 if it started long ago
 	endpointID        string
 	replacements      int       // number of times that it was replaced
 	lastNotifiedStart []float64 // by node: the last start of the server of which the node was notified
 
-	lastReportText string // text of lastReport
+	lastReportText string // the load report from which lastReport was parsed
 	lastReport     fleet.LoadReport
 }
 
--- a/internal/testbed/simulator/simulation.go
+++ b/internal/testbed/simulator/simulation.go
@@ -31,7 +31,7 @@
 const (
 	// startupLead is the time between the start of the nodes and the start of the load.
 	startupLead = time.Second
-	// nodeStartInterval is the time between the starts of two nodes. It prevents that the timers of all nodes are due at the same time.
+	// nodeStartInterval is the time between the starts of two nodes. It keeps their timers from being due all at the same time.
 	nodeStartInterval = 137 * time.Microsecond
 	// sampleInterval is the time between two samples of the state of the servers.
 	sampleInterval = 100 * time.Millisecond
@@ -39,7 +39,7 @@
 	drainAfterLoad = 100 * time.Millisecond
 	// eventsPerContextCheck is the number of events between two checks of the context.
 	eventsPerContextCheck = 1 << 16
-	// faultRandomStream separates the random numbers of servers' faults from others under the same seed.
+	// faultRandomStream is the PCG stream of server faults, independent of other random numbers with the same seed.
 	faultRandomStream = 3
 )
 
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// preload stores keys at a cache, as if it had been running before the start of the simulation.
+// preload stores keys at a cache that counts as running since before the start of the simulation.
 func (s *Simulation) preload(serverIndex int, keys []string) {
 	for _, key := range keys {
 		s.cluster.Preload(s.servers[serverIndex].model.ID, key)
--- a/internal/testbed/simulator/simulator.go
+++ b/internal/testbed/simulator/simulator.go
@@ -74,7 +74,7 @@
 	return &supported, skipped, nil
 }
 
-// Run plays an experiment and returns what was seen.
+// Run runs an experiment on the virtual clock and returns the measurements.
 func Run(ctx context.Context, x *experiment.Experiment, o Options) (*experiment.Run, error) {
 	s, err := newSimulation(x, o)
 	if err != nil {
--- a/internal/testbed/simulator/system.go
+++ b/internal/testbed/simulator/system.go
@@ -76,7 +76,7 @@
 func (c nodeControl) Reload() error { return unsupported("a reload of settings") }
 
 // Hold implements experiment.NodeControl. It always fails.
-func (c nodeControl) Hold(time.Duration) error { return unsupported("a node that is held up") }
+func (c nodeControl) Hold(time.Duration) error { return unsupported("holding up a node process") }
 
 // ReloadTruncated implements experiment.NodeControl. It always fails.
 func (c nodeControl) ReloadTruncated() error { return unsupported("a reload of settings") }
@@ -88,7 +88,7 @@
 func (c nodeControl) SetStandby(bool) error { return unsupported("standby") }
 
 // Exclude implements experiment.NodeControl. It always fails.
-func (c nodeControl) Exclude(string, bool) error { return unsupported("a call of operators") }
+func (c nodeControl) Exclude(string, bool) error { return unsupported("an exclusion by an operator") }
 
 // Retune implements experiment.NodeControl. It always fails.
 func (c nodeControl) Retune(bool) error { return unsupported("a reload of settings") }
