--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -80,7 +80,7 @@
 	if count == 0 {
 		return nil
 	}
-	r.Collapses = append(r.Collapses, invariants.Collapse{Server: server, Origin: isOrigin, BlamedShare: blamedShare})
+	r.Collapses = append(r.Collapses, invariants.Collapse{Server: server, Origin: isOrigin, AvoidableShare: blamedShare})
 	return &r.Collapses[len(r.Collapses)-1]
 }
 
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -172,7 +172,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	s := f.cluster.Servers[id]
-	return s.Collapses, s.BlamedShare
+	return s.Collapses, s.AvoidableShare
 }
 
 // WarmCache stores copies of keys at a server, as if it had been running for long. The last key counts as the one used last.
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -18,7 +18,7 @@
 	notifications     map[nodeServer]map[string][]fakes.Notification // by the id under which a server was listed
 	reportedDrains    map[nodeServer]bool                            // a violation was reported already
 	downtimes         []Downtime
-	crowds            []Crowd
+	crowds            []ConnectionFlood
 	operations        Operations
 	violations        []Violation
 	seen              map[Violation]bool
@@ -78,11 +78,11 @@
 
 // ServerCollapsed checks rule 4.
 func (c *Checker) ServerCollapsed(collapse Collapse) {
-	percent := 100 * collapse.BlamedShare
+	percent := 100 * collapse.AvoidableShare
 	switch {
-	case collapse.Origin && collapse.BlamedShare > coldMissShareLimit:
+	case collapse.Origin && collapse.AvoidableShare > coldMissShareLimit:
 		c.report(ruleOverload, "the origin collapsed, %.0f%% of its load being misses of caches that were warming up", percent)
-	case !collapse.Origin && collapse.BlamedShare >= notifiedShareLimit:
+	case !collapse.Origin && collapse.AvoidableShare >= notifiedShareLimit:
 		c.report(ruleOverload, "%s collapsed while it was warming up, %.0f%% of its load being of nodes that knew so", collapse.Server, percent)
 	}
 }
@@ -111,10 +111,10 @@
 
 // crossedEnd reports whether an attempt crossed the end of its connection, so that its client sends it again on another one.
 func (c *Checker) crossedEnd(attempt *ClientAttempt) bool {
-	if !attempt.FromOpenConnection && !c.wasStopping(attempt.Node, attempt.ConnEndedAt) {
+	if !attempt.ResentAfterConnEnd && !c.wasStopping(attempt.Node, attempt.ConnEndedAt) {
 		return false
 	}
-	if attempt.EndedInOrder && !c.wasStopping(attempt.Node, attempt.ConnEndedAt) && !c.wasCrowded(attempt.Node, attempt.ConnEndedAt) {
+	if attempt.NewConnClosedCleanly && !c.wasStopping(attempt.Node, attempt.ConnEndedAt) && !c.wasCrowded(attempt.Node, attempt.ConnEndedAt) {
 		return false
 	}
 	return attempt.ConnEndedAt > 0 && attempt.ConnEndedAt-attempt.Sent <= crossingLimit+c.slack
@@ -129,7 +129,7 @@
 
 // wasCrowded reports whether silent clients took the descriptors of a node at a time.
 func (c *Checker) wasCrowded(node servermodel.NodeID, at float64) bool {
-	return slices.ContainsFunc(c.crowds, func(d Crowd) bool { return d.Node == node && d.From <= at && at <= d.To })
+	return slices.ContainsFunc(c.crowds, func(d ConnectionFlood) bool { return d.Node == node && d.From <= at && at <= d.To })
 }
 
 // endOfConnection says how the connection of an attempt without a response ended.
@@ -138,7 +138,7 @@
 		return fmt.Sprintf(": sent to node %d at %.0f, deadline after %.0f ms", a.Node, a.Sent, a.Deadline-a.Sent)
 	}
 	return fmt.Sprintf(": node %d ended its connection %.0f ms after it was sent at %.0f, %.0f ms before its deadline (%s), new and in order: %v",
-		a.Node, a.ConnEndedAt-a.Sent, a.Sent, a.Deadline-a.ConnEndedAt, a.EndedBy, a.EndedInOrder)
+		a.Node, a.ConnEndedAt-a.Sent, a.Sent, a.Deadline-a.ConnEndedAt, a.ConnEndReason, a.NewConnClosedCleanly)
 }
 
 // checkTold checks that no server was told that there is more time than the client has left. A process that was frozen reads what came
@@ -168,7 +168,7 @@
 		c.report(ruleAnswer, "request %s was answered twice", attempt.ID)
 	case attempt.Outcome != Unanswered && c.operations.onStandby(attempt.Node, attempt.Sent-c.slack):
 		c.report(ruleAnswer, "request %s was answered by node %d, which has been on standby for longer than its limit", attempt.ID, attempt.Node)
-	case attempt.LeftAt > 0:
+	case attempt.ClientClosedAt > 0:
 	case attempt.Outcome == Unanswered && c.crossedEnd(attempt):
 	case attempt.Outcome == Unanswered && !c.wasDown(attempt):
 		c.report(ruleAnswer, "request %s was never answered%s", attempt.ID, attempt.endOfConnection())
@@ -195,8 +195,8 @@
 			return // a process that stood still reads what came meanwhile when it goes on, and does not know when that was sent
 		}
 		end = attempt.Deadline
-		if attempt.LeftAt > 0 {
-			end = min(end, attempt.LeftAt+departureLimit)
+		if attempt.ClientClosedAt > 0 {
+			end = min(end, attempt.ClientClosedAt+departureLimit)
 		}
 	}
 	for _, x := range executions {
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -44,24 +44,24 @@
 
 // ClientAttempt is one attempt of a request as its client saw it.
 type ClientAttempt struct {
-	ID                 string
-	IdempotencyKey     string
-	Semantics          WriteSemantics
-	DedupWindow        float64 // ms
-	Node               servermodel.NodeID
-	Sent               float64 // when its last byte was written
-	Deadline           float64
-	AnsweredAt         float64 // when the last byte of its response came
-	Outcome            Outcome
-	DuplicateResponse  bool    // a second response came
-	WrongKey           bool    // the response had the value of another key
-	LeftAt             float64 // when its client closed the connection without a response; 0: it did not
-	FromOpenConnection bool    // sent by a client that keeps its connection and sends again, on another one, what crossed its end
-	ConnEndedAt        float64 // when the node ended the connection without a response; 0: it did not
-	EndedBy            string  // how it ended, for people
-	EndedInOrder       bool    // ... and that connection was new and not reset: unless the node was ending, it had read what had come
-	BecomesStricter    bool    // of a class that is non-idempotent while its node has stricter settings
-	ExtraSlack         float64 // beside that of all attempts, where the machine itself stood still
+	ID                   string
+	IdempotencyKey       string
+	Semantics            WriteSemantics
+	DedupWindow          float64 // ms
+	Node                 servermodel.NodeID
+	Sent                 float64 // when its last byte was written
+	Deadline             float64
+	AnsweredAt           float64 // when the last byte of its response came
+	Outcome              Outcome
+	DuplicateResponse    bool    // a second response came
+	WrongKey             bool    // the response had the value of another key
+	ClientClosedAt       float64 // when its client closed the connection without a response; 0: it did not
+	ResentAfterConnEnd   bool    // sent by a client that keeps its connection and sends again, on another one, what crossed its end
+	ConnEndedAt          float64 // when the node ended the connection without a response; 0: it did not
+	ConnEndReason        string  // how it ended, for people
+	NewConnClosedCleanly bool    // ... and that connection was new and not reset: unless the node was ending, it had read what had come
+	BecomesStricter      bool    // of a class that is non-idempotent while its node has stricter settings
+	ExtraSlack           float64 // beside that of all attempts, where the machine itself stood still
 }
 
 // Downtime is a time in which a node did not run, or was being ended.
@@ -72,17 +72,17 @@
 	StopAt   float64 // when it was told so
 }
 
-// Crowd is a time in which silent clients took a node's descriptors: new connections may be shut unread then.
-type Crowd struct {
+// ConnectionFlood is a time in which silent clients took a node's descriptors: new connections may be shut unread then.
+type ConnectionFlood struct {
 	Node     servermodel.NodeID
 	From, To float64
 }
 
 // Collapse is a collapse of a server under overload.
 type Collapse struct {
-	Server      string
-	Origin      bool
-	BlamedShare float64 // at a cache what nodes sent that knew of its start, at the origin misses of caches that were warming up
+	Server         string
+	Origin         bool
+	AvoidableShare float64 // at a cache what nodes sent that knew of its start, at the origin misses of caches that were warming up
 }
 
 // Shares of an overload from which on nodes are to blame for it, as the platform has them.
@@ -93,16 +93,16 @@
 
 // Evidence is all that was seen of a run.
 type Evidence struct {
-	Attempts      []ClientAttempt
-	Executions    []*servermodel.Execution // in the order in which they came
-	Notifications []fakes.Notification     // in their order
-	Downtimes     []Downtime
-	Crowds        []Crowd
-	Operations    Operations
-	Collapses     []Collapse
-	Crashes       []string
-	DrainGrace    float64 // how long requests may be sent to a server that drains or has gone
-	Slack         float64 // added to every limit
+	Attempts         []ClientAttempt
+	Executions       []*servermodel.Execution // in the order in which they came
+	Notifications    []fakes.Notification     // in their order
+	Downtimes        []Downtime
+	ConnectionFloods []ConnectionFlood
+	Operations       Operations
+	Collapses        []Collapse
+	Crashes          []string
+	DrainGrace       float64 // how long requests may be sent to a server that drains or has gone
+	Slack            float64 // added to every limit
 }
 
 // Limits of the protocol, in ms, each of which the slack is added to.
@@ -146,7 +146,7 @@
 	for _, d := range e.Downtimes {
 		c.NodeDown(d)
 	}
-	c.crowds, c.operations = e.Crowds, e.Operations
+	c.crowds, c.operations = e.ConnectionFloods, e.Operations
 	byRequestID := map[string][]*servermodel.Execution{}
 	for _, x := range e.Executions {
 		byRequestID[x.RequestID] = append(byRequestID[x.RequestID], x)
--- a/internal/testbed/invariants/invariants_test.go
+++ b/internal/testbed/invariants/invariants_test.go
@@ -99,7 +99,7 @@
 // endedAttempt is an attempt whose connection a node ended without a response, some time after it was sent.
 func endedAttempt(after float64, change func(*ClientAttempt)) Evidence {
 	return attemptEvidence(attempt(Idempotent, withOutcome(Unanswered), func(a *ClientAttempt) {
-		a.FromOpenConnection = true
+		a.ResentAfterConnEnd = true
 		a.ConnEndedAt = a.Sent + after
 		if change != nil {
 			change(a)
@@ -131,7 +131,7 @@
 
 // leftEvidence is an attempt whose client left 200 ms after it was sent, and an execution so many ms after that.
 func leftEvidence(after float64) Evidence {
-	return attemptEvidence(attempt(Idempotent, withOutcome(Unanswered), func(a *ClientAttempt) { a.LeftAt = a.Sent + 200 }),
+	return attemptEvidence(attempt(Idempotent, withOutcome(Unanswered), func(a *ClientAttempt) { a.ClientClosedAt = a.Sent + 200 }),
 		execution("q", 1+200+after, servermodel.Pending, false))
 }
 
@@ -170,9 +170,9 @@
 			o.SetExcluded(0, originID, "a", false, -1)
 		}), ""},
 		"excluded, another id":  {replacedEvidence(), ""},
-		"stricter class":        {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricter(0, true, -1300) }), "rule 2: non-idempotent request q was sent again"},
-		"not stricter yet":      {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricter(0, true, -1100) }), ""},
-		"not stricter any more": {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricter(0, true, -1300); o.SetStricter(0, false, -1) }), ""},
+		"stricter class":        {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1300) }), "rule 2: non-idempotent request q was sent again"},
+		"not stricter yet":      {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1100) }), ""},
+		"not stricter any more": {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1300); o.SetStricterSettings(0, false, -1) }), ""},
 	})
 }
 
@@ -215,9 +215,9 @@
 		"another node was killed": {downEvidence(1), "rule 1"},
 		"node told to end":        {stoppedEvidence(), "rule 1: request q was never answered"},
 		"crossed the end":         {endedAttempt(crossingLimit+40, nil), ""},
-		"closed, not kept open":   {endedAttempt(1, func(a *ClientAttempt) { a.FromOpenConnection = false }), "rule 1: request q was never answered"},
+		"closed, not kept open":   {endedAttempt(1, func(a *ClientAttempt) { a.ResentAfterConnEnd = false }), "rule 1: request q was never answered"},
 		"read before the end":     {endedAttempt(crossingLimit+60, nil), "rule 1: request q was never answered"},
-		"read and closed, new":    {endedAttempt(1, func(a *ClientAttempt) { a.EndedInOrder = true }), "rule 1: request q was never answered"},
+		"read and closed, new":    {endedAttempt(1, func(a *ClientAttempt) { a.NewConnClosedCleanly = true }), "rule 1: request q was never answered"},
 		"told a little more":      {toldEvidence(toldLimit + 40), ""},
 		"told too much":           {toldEvidence(toldLimit + 60), "rule 1: request q was sent with 210 ms more"},
 		"told more, frozen":       {frozenEvidence(toldEvidence(toldLimit + 60)), ""},
--- a/internal/testbed/invariants/operations.go
+++ b/internal/testbed/invariants/operations.go
@@ -57,8 +57,8 @@
 // StandbyCalls is the number of calls that were recorded.
 func (o *Operations) StandbyCalls() int { return o.calls }
 
-// SetStricter records a signal by which a node reads settings under which requests of some classes may not be repeated, or may again.
-func (o *Operations) SetStricter(node servermodel.NodeID, stricter bool, at float64) {
+// SetStricterSettings records a signal by which a node reads settings under which requests of some classes may not be repeated, or may again.
+func (o *Operations) SetStricterSettings(node servermodel.NodeID, stricter bool, at float64) {
 	o.stricter = setSpan(o.stricter, node, stricter, at, retuningLimit)
 }
 
--- a/internal/testbed/processrunner/loadgenerator.go
+++ b/internal/testbed/processrunner/loadgenerator.go
@@ -143,7 +143,7 @@
 	timeoutMs := l.experiment.AttemptTimeoutMs(r.Class)
 	x, err := c.roundTrip(cmd, time.Now().Add(msDuration(timeoutMs+clientGraceMs(l.experiment))))
 	attempt.Node = servermodel.NodeID(node)
-	attempt.FromOpenConnection, attempt.ConnEndedAt, attempt.EndedBy = false, 0, "" // of the connection before
+	attempt.ResentAfterConnEnd, attempt.ConnEndedAt, attempt.ConnEndReason = false, 0, "" // of the connection before
 	if x.sentMs == 0 {
 		c.close()
 		l.clients.markFailed(node)
@@ -156,10 +156,10 @@
 			return x.response, false
 		}
 		attempt.ConnEndedAt = x.answeredMs
-		attempt.EndedBy = fmt.Sprintf("%v, used before: %v, first connection: %v", err, c.reused, isFirst)
+		attempt.ConnEndReason = fmt.Sprintf("%v, used before: %v, first connection: %v", err, c.reused, isFirst)
 		// A node that was killed may have carried the request on; one that is up has closed between two requests.
 		if c.reused && isFirst && isAlive(l.clients.addrs[node]) {
-			attempt.FromOpenConnection = true
+			attempt.ResentAfterConnEnd = true
 			return x.response, true
 		}
 		l.clients.markFailed(node)
--- a/internal/testbed/processrunner/nodeoperations.go
+++ b/internal/testbed/processrunner/nodeoperations.go
@@ -84,7 +84,7 @@
 		return err
 	}
 	n.mu.Lock()
-	n.operations.SetStricter(servermodel.NodeID(n.index), stricter, fakes.NowMs())
+	n.operations.SetStricterSettings(servermodel.NodeID(n.index), stricter, fakes.NowMs())
 	n.mu.Unlock()
 	n.reload()
 	return nil
--- a/internal/testbed/processrunner/noderunner.go
+++ b/internal/testbed/processrunner/noderunner.go
@@ -56,7 +56,7 @@
 	downtimes    []invariants.Downtime
 	crashes      []string
 	holdUps      []holdUp
-	crowds       []invariants.Crowd
+	crowds       []invariants.ConnectionFlood
 	operations   invariants.Operations
 }
 
@@ -301,7 +301,7 @@
 		c.close()
 	}
 	n.mu.Lock()
-	n.crowds = append(n.crowds, invariants.Crowd{Node: servermodel.NodeID(n.index), From: from, To: fakes.NowMs()})
+	n.crowds = append(n.crowds, invariants.ConnectionFlood{Node: servermodel.NodeID(n.index), From: from, To: fakes.NowMs()})
 	n.mu.Unlock()
 }
 
--- a/internal/testbed/processrunner/persistentclient.go
+++ b/internal/testbed/processrunner/persistentclient.go
@@ -200,11 +200,11 @@
 		a := &unanswered[i].attempt
 		switch {
 		case !timedOut:
-			a.FromOpenConnection = true
-			a.ConnEndedAt, a.EndedBy = end.atMs, fmt.Sprint(end.err)
-			a.EndedInOrder = isNew && !isReset && end.atMs-a.Sent > crossedEndMs // else it was sent as the connection ended, or after
+			a.ResentAfterConnEnd = true
+			a.ConnEndedAt, a.ConnEndReason = end.atMs, fmt.Sprint(end.err)
+			a.NewConnClosedCleanly = isNew && !isReset && end.atMs-a.Sent > crossedEndMs // else it was sent as the connection ended, or after
 		case leaves:
-			a.LeftAt = fakes.NowMs()
+			a.ClientClosedAt = fakes.NowMs()
 		}
 	}
 }
--- a/internal/testbed/processrunner/run.go
+++ b/internal/testbed/processrunner/run.go
@@ -174,7 +174,7 @@
 	}
 	for _, n := range nodes.all {
 		evidence.Downtimes, evidence.Crashes = append(evidence.Downtimes, n.downtimes...), append(evidence.Crashes, n.crashes...)
-		evidence.Crowds = append(evidence.Crowds, n.crowds...)
+		evidence.ConnectionFloods = append(evidence.ConnectionFloods, n.crowds...)
 		evidence.Operations.Add(n.operations)
 	}
 	checker := invariants.CheckAll(evidence)
--- a/internal/testbed/servermodel/execution.go
+++ b/internal/testbed/servermodel/execution.go
@@ -93,7 +93,7 @@
 // collapse has a server collapse under overload.
 func (c *Cluster) collapse(now float64, s *Server, blamedShare float64) {
 	s.Collapses++
-	s.BlamedShare = max(s.BlamedShare, blamedShare)
+	s.AvoidableShare = max(s.AvoidableShare, blamedShare)
 	if s.Config.RecoveryTime > 0 {
 		s.downUntil = now + s.Config.RecoveryTime
 		s.queue.offered = newSlidingWindow(s.Config.OverloadWindow)
--- a/internal/testbed/servermodel/server.go
+++ b/internal/testbed/servermodel/server.go
@@ -19,9 +19,9 @@
 	ErrorRate   float64 // share of executions that fail at once
 	Connections int
 	Collapses   int // how often it collapsed
-	// BlamedShare is the greatest share of an overload that nodes could have avoided: at a cache the work of nodes that had been
+	// AvoidableShare is the greatest share of an overload that nodes could have avoided: at a cache the work of nodes that had been
 	// notified of its start, at the origin the misses of caches that were warming up.
-	BlamedShare float64
+	AvoidableShare float64
 
 	queue         workQueue
 	cache         *lruCache
--- a/internal/testbed/servermodel/servermodel_test.go
+++ b/internal/testbed/servermodel/servermodel_test.go
@@ -115,8 +115,8 @@
 			cluster.Submit(now, cache.ID, Request{RequestID: fmt.Sprint(now), Key: "k", Deadline: now + 50, Class: "read", NodeNotified: c.notified}, nil)
 			cluster.Advance(now)
 		}
-		if cache.Collapsed != c.collapse || cache.Up == c.collapse || (c.collapse && (cache.BlamedShare > 0.5) != c.notified) {
-			t.Errorf("%+v: collapsed %v, blamed share %v", c, cache.Collapsed, cache.BlamedShare)
+		if cache.Collapsed != c.collapse || cache.Up == c.collapse || (c.collapse && (cache.AvoidableShare > 0.5) != c.notified) {
+			t.Errorf("%+v: collapsed %v, blamed share %v", c, cache.Collapsed, cache.AvoidableShare)
 		}
 	}
 	cluster, cache, _ := newTestCluster(cacheConfig) // a warm server rejects what is too much
@@ -158,8 +158,8 @@
 		cluster.Advance(now + 4)
 		cluster.Submit(now+4, origin.ID, Request{RequestID: q, Key: q, Deadline: now + 1e4, Class: "read"}, nil)
 	}
-	if origin.Collapses != 1 || origin.BlamedShare < 0.5 || !origin.Up {
-		t.Fatalf("collapses %d, blamed share %v", origin.Collapses, origin.BlamedShare)
+	if origin.Collapses != 1 || origin.AvoidableShare < 0.5 || !origin.Up {
+		t.Fatalf("collapses %d, blamed share %v", origin.Collapses, origin.AvoidableShare)
 	}
 	now := origin.downUntil - 1
 	if e := execute(cluster, now, origin.ID, Request{RequestID: "x", Key: "x", Class: "read"}); e.Outcome != Rejected {
--- a/internal/testbed/simulator/simulation.go
+++ b/internal/testbed/simulator/simulation.go
@@ -169,7 +169,7 @@
 func (s *Simulation) finish() {
 	s.clients.checkRemaining()
 	for _, server := range s.servers {
-		if c := s.result.RecordCollapses(server.Name, server.Origin, server.model.Collapses, server.model.BlamedShare); c != nil {
+		if c := s.result.RecordCollapses(server.Name, server.Origin, server.model.Collapses, server.model.AvoidableShare); c != nil {
 			s.checker.ServerCollapsed(*c)
 		}
 	}
