--- a/internal/testbed/servermodel/cluster.go
+++ b/internal/testbed/servermodel/cluster.go
@@ -7,33 +7,33 @@
 )
 
 const (
-	// clusterStream separates the cluster's random numbers from others that are drawn under the same seed.
-	clusterStream = 1
-	// maxTrackedMisses bounds the requests that missed at a cache and were not seen at the origin yet.
+	// clusterRandomStream is the PCG stream of the cluster, which keeps its random numbers independent of others with the same seed.
+	clusterRandomStream = 1
+	// maxTrackedMisses bounds the number of requests that missed at a cache and have not reached the origin yet.
 	maxTrackedMisses = 1 << 14
-	// maxFilledCaches is how many of the caches that missed store what the origin returns.
+	// maxFilledCaches is the number of caches that store the origin's response to a request that missed at them.
 	maxFilledCaches = 2
 )
 
-// Cluster is a number of cache servers with their origin.
+// Cluster models cache servers and their origin.
 type Cluster struct {
 	Servers      []*Server
 	Costs        map[string]Cost // by request class
 	ValueSize    int             // bytes of a value
-	FetchThrough bool            // there is no origin: each cache does its work at the origin's cost, and deduplicates writes with the others
+	FetchThrough bool            // there is no origin: caches do its work at its cost and share the records that deduplicate writes
 
-	Executions       []*Execution // all that came, if RecordExecutions
+	Executions       []*Execution // every submitted execution, if RecordExecutions is set
 	RecordExecutions bool
 
-	schedule  completionSchedule
-	rng       *rand.Rand
-	versions  map[string]int           // by key
-	receipts  map[string]storedReceipt // by idempotency key
-	missedBy  map[string][]ServerID    // caches that missed, by request ID
-	completed []*Execution             // what Advance returns next
+	schedule        completionSchedule
+	rng             *rand.Rand
+	versions        map[string]int           // by key
+	receipts        map[string]storedReceipt // by idempotency key
+	missesByRequest map[string][]ServerID    // IDs of the caches that missed, by request ID
+	unreported      []*Execution             // ended executions that Advance has not returned yet
 }
 
-// storedReceipt is the response to a write, for duplicates of it.
+// storedReceipt keeps the response to a write, which is returned for duplicates of the write.
 type storedReceipt struct {
 	storedAt float64
 	value    string
@@ -42,12 +42,12 @@
 // NewCluster returns a cluster without servers that records executions.
 func NewCluster(seed uint64, costs map[string]Cost) *Cluster {
 	return &Cluster{
-		Costs: costs, rng: rand.New(rand.NewPCG(seed, clusterStream)), versions: map[string]int{},
-		receipts: map[string]storedReceipt{}, missedBy: map[string][]ServerID{}, RecordExecutions: true,
+		Costs: costs, rng: rand.New(rand.NewPCG(seed, clusterRandomStream)), versions: map[string]int{},
+		receipts: map[string]storedReceipt{}, missesByRequest: map[string][]ServerID{}, RecordExecutions: true,
 	}
 }
 
-// AddServer adds a server that has long been running.
+// AddServer adds a server that has finished warming up.
 func (c *Cluster) AddServer(name string, origin bool, config ServerConfig) *Server {
 	s := &Server{
 		ID: ServerID(len(c.Servers)), Name: name, Origin: origin, Up: true, Config: config,
@@ -58,7 +58,7 @@
 	return s
 }
 
-// Preload stores a copy of a key at a server, as if it had been read just now.
+// Preload stores the initial version of a key at a server.
 func (c *Cluster) Preload(id ServerID, key string) {
 	c.Servers[id].cache.put(cachedObject{key: key, size: c.ValueSize})
 }
@@ -66,25 +66,25 @@
 // HasCopy reports whether a server has a copy of a key.
 func (c *Cluster) HasCopy(id ServerID, key string) bool { return c.Servers[id].cache.contains(key) }
 
-// Kill ends a server: what it has in work and in its store is lost.
+// Kill stops a server. Its executions end as Killed; Start gives it an empty cache.
 func (c *Cluster) Kill(now float64, id ServerID) {
 	s := c.Servers[id]
 	s.Up = false
-	c.dropWork(now, s)
+	c.killExecutions(now, s)
 }
 
-// dropWork ends all that a server has in work.
-func (c *Cluster) dropWork(now float64, s *Server) {
+// killExecutions ends all running and waiting executions of a server.
+func (c *Cluster) killExecutions(now float64, s *Server) {
 	s.queue.accountBusyTime(now)
-	for _, e := range s.queue.all() { // load reports still count them
+	for _, e := range s.queue.all() { // the queue is cleared afterwards, so that load reports still count them
 		c.finish(now, e, Killed)
 	}
 	s.queue.clear()
 	c.reschedule(s)
 }
 
-// Start starts a server that was killed or has collapsed, or restarts one that is up: its store is empty and, unless it is warm, it
-// has part of its capacity only.
+// Start starts a server that was killed or has collapsed, or restarts one that is up. Its cache is empty. Unless warm is set, it starts
+// with only part of its capacity.
 func (c *Cluster) Start(now float64, id ServerID, warm bool) {
 	s := c.Servers[id]
 	if s.Up {
@@ -101,10 +101,10 @@
 	c.reschedule(s)
 }
 
-// SetSlowdown makes a server's work take the given multiple of its usual time from now on.
+// SetSlowdown multiplies the duration of executions that a server starts from now on.
 func (c *Cluster) SetSlowdown(id ServerID, multiple float64) { c.Servers[id].queue.slowdown = multiple }
 
-// SetPaused pauses a server, or resumes it where it was.
+// SetPaused pauses a server, or resumes its executions with the work that they had left.
 func (c *Cluster) SetPaused(now float64, id ServerID, paused bool) {
 	s := c.Servers[id]
 	s.queue.setPaused(now, paused)
@@ -112,7 +112,7 @@
 	c.reschedule(s)
 }
 
-// OpenConnection counts a connection and charges its handshake, unless the server holds as many as it can.
+// OpenConnection counts a new connection and charges its handshake, unless the server has reached MaxConnections.
 func (c *Cluster) OpenConnection(id ServerID) (accepted bool) {
 	s := c.Servers[id]
 	if s.Config.MaxConnections > 0 && s.Connections >= s.Config.MaxConnections {
@@ -123,12 +123,12 @@
 	return true
 }
 
-// CloseConnection counts a connection out that was accepted.
+// CloseConnection removes an accepted connection from the count.
 func (c *Cluster) CloseConnection(id ServerID) { c.Servers[id].Connections-- }
 
-// NextEvent returns when Advance has something to do, -Inf for at once and +Inf for never.
+// NextEvent returns the time at which Advance has something to do: -Inf for immediately, +Inf for never.
 func (c *Cluster) NextEvent() float64 {
-	if len(c.completed) > 0 {
+	if len(c.unreported) > 0 {
 		return math.Inf(-1)
 	}
 	if len(c.schedule) == 0 {
@@ -137,7 +137,7 @@
 	return c.schedule[0].scheduledEnd
 }
 
-// Advance plays the cluster up to now and returns what has ended since the last call, in order.
+// Advance simulates the cluster up to now and returns the executions that have ended since the last call, in the order of their ends.
 func (c *Cluster) Advance(now float64) []*Execution {
 	for len(c.schedule) > 0 && c.schedule[0].scheduledEnd <= now {
 		s := c.schedule[0]
@@ -145,17 +145,17 @@
 		c.complete(at, s, s.queue.completeNext(c.expireAt(at)))
 		c.reschedule(s)
 	}
-	completed := c.completed
-	c.completed = nil
+	completed := c.unreported
+	c.unreported = nil
 	return completed
 }
 
-// expireAt returns a function that ends an execution whose deadline passed while it waited.
+// expireAt returns a function that ends an execution at the given time because its deadline passed while it waited.
 func (c *Cluster) expireAt(now float64) func(*Execution) {
 	return func(e *Execution) { c.finish(now, e, Expired) }
 }
 
-// finish ends an execution.
+// finish ends an execution with an outcome and attaches the server's load report.
 func (c *Cluster) finish(now float64, e *Execution, outcome Outcome) {
 	e.EndedAt, e.Outcome = now, outcome
 	s := c.Servers[e.Server]
@@ -163,11 +163,11 @@
 	if outcome == Served {
 		e.Warmth = s.queue.warmth(now)
 	}
-	c.completed = append(c.completed, e)
+	c.unreported = append(c.unreported, e)
 }
 
-// reschedule records that a server's next completion may be at another time. Clusters have hundreds of servers, and most of what
-// happens is at one of them.
+// reschedule updates the time of a server's next completion in the schedule. A heap keeps this cheap: clusters have hundreds of servers,
+// and most events change only one of them.
 func (c *Cluster) reschedule(s *Server) {
 	if at := s.queue.nextCompletion(); at != s.scheduledEnd {
 		s.scheduledEnd = at
@@ -175,10 +175,10 @@
 	}
 }
 
-// completionSchedule is a heap of servers by when their next execution ends, and by their IDs where that is equal.
+// completionSchedule is a heap of servers, ordered by the end of their next execution and then by ID.
 type completionSchedule []*Server
 
-// Len, Less, Swap, Push and Pop are those of heap.Interface.
+// Len, Less, Swap, Push and Pop implement heap.Interface.
 func (h completionSchedule) Len() int { return len(h) }
 
 func (h completionSchedule) Less(i, j int) bool {
--- a/internal/testbed/servermodel/execution.go
+++ b/internal/testbed/servermodel/execution.go
@@ -9,13 +9,13 @@
 	"strings"
 )
 
-// missCostShare is the share of its work that a request costs a cache that misses its key.
+// missCostShare is the cost of a miss at a cache, as a share of the cost of a hit.
 const missCostShare = 0.2
 
-// costStream separates the random numbers of costs from others that are drawn under the same hash.
-const costStream = 7
+// costRandomStream is the PCG stream of costs, which keeps them independent of other random numbers with the same seed.
+const costRandomStream = 7
 
-// Submit hands a request to a server. Its execution ends through Advance, also when it ends at once.
+// Submit sends a request to a server. Advance returns the execution once it has ended, even if it ends immediately.
 func (c *Cluster) Submit(now float64, id ServerID, request Request, tag any) *Execution {
 	s := c.Servers[id]
 	e := &Execution{Request: request, Server: id, Tag: tag, Warmth: s.queue.warmth(now)}
@@ -38,7 +38,7 @@
 	return e
 }
 
-// workOf returns what a request costs a server, and counts it as a hit or a miss.
+// workOf returns the work that a request costs a server, and updates the server's counts of hits and reads.
 func (c *Cluster) workOf(s *Server, request *Request) float64 {
 	cost := c.Costs[request.Class]
 	mean := cost.Cache
@@ -59,54 +59,54 @@
 	return work
 }
 
-// draw returns a cost with the given mean that follows from the labels alone.
+// draw returns a random cost with the given mean. The labels are its only seed.
 func (c *Cost) draw(mean float64, labels ...string) float64 {
 	return mean * ((1 - c.Spread) - c.Spread*math.Log(1-hashUniform(labels...)))
 }
 
-// hashUniform returns a number from [0,1) that follows from the labels alone.
+// hashUniform returns a pseudorandom number in [0,1) whose only seed is a hash of the labels.
 func hashUniform(labels ...string) float64 {
 	h := fnv.New64a()
 	for _, label := range labels {
-		_, _ = io.WriteString(h, label+"\x00") // a hash never fails
+		_, _ = io.WriteString(h, label+"\x00") // writing to a hash never fails
 	}
-	return rand.New(rand.NewPCG(h.Sum64(), costStream)).Float64()
+	return rand.New(rand.NewPCG(h.Sum64(), costRandomStream)).Float64()
 }
 
-// countOffered counts what a server is sent, and has it collapse if that is too much.
+// countOffered adds an execution to the work offered to its server, which collapses under overload.
 func (c *Cluster) countOffered(now float64, s *Server, e *Execution) {
-	blamed := e.NodeNotified
+	avoidable := e.NodeNotified
 	if s.Origin {
-		blamed = c.isColdMiss(now, e.RequestID)
+		avoidable = c.isColdMiss(now, e.RequestID)
 	}
 	if s.Config.OverloadWindow <= 0 || !s.Up || s.downUntil > now {
 		return
 	}
-	offered, blamedPart := s.queue.countOffered(now, e.work, blamed)
-	// A server that is warm rejects what is too much and does not collapse; the origin always may.
+	offered, avoidableWork := s.queue.countOffered(now, e.work, avoidable)
+	// A cache that has warmed up rejects excess load and does not collapse. The origin can collapse at any time.
 	limit := s.Config.OverloadMultiple * s.queue.capacity(now) * s.Config.OverloadWindow
 	if offered > limit && (s.Origin || e.Warmth < 1) {
-		c.collapse(now, s, blamedPart/offered)
+		c.collapse(now, s, avoidableWork/offered)
 	}
 }
 
-// collapse has a server collapse under overload.
-func (c *Cluster) collapse(now float64, s *Server, blamedShare float64) {
+// collapse makes a server collapse: it recovers after RecoveryTime or, without one, stays down until Start.
+func (c *Cluster) collapse(now float64, s *Server, avoidableShare float64) {
 	s.Collapses++
-	s.AvoidableShare = max(s.AvoidableShare, blamedShare)
+	s.AvoidableShare = max(s.AvoidableShare, avoidableShare)
 	if s.Config.RecoveryTime > 0 {
 		s.downUntil = now + s.Config.RecoveryTime
 		s.queue.offered = newSlidingWindow(s.Config.OverloadWindow)
-		c.dropWork(now, s)
+		c.killExecutions(now, s)
 		return
 	}
 	s.Collapsed = true
 	c.Kill(now, s.ID)
 }
 
-// isColdMiss reports whether a request comes to the origin because a cache that is warming up missed its key.
+// isColdMiss reports whether a request reaches the origin after a miss at a cache that is still warming up.
 func (c *Cluster) isColdMiss(now float64, requestID string) bool {
-	for _, id := range c.missedBy[requestID] {
+	for _, id := range c.missesByRequest[requestID] {
 		if c.Servers[id].queue.warmth(now) < 1 {
 			return true
 		}
@@ -114,11 +114,11 @@
 	return false
 }
 
-// complete carries out a request once its work is done.
+// complete produces the result of an execution whose work is done.
 func (c *Cluster) complete(now float64, s *Server, e *Execution) {
 	switch {
 	case e.Write && (s.Origin || c.FetchThrough):
-		c.touch(s, e.Key)
+		c.markUsed(s, e.Key)
 		c.applyWrite(now, e)
 	case s.Origin:
 		c.readOrigin(now, e)
@@ -127,14 +127,14 @@
 	}
 }
 
-// touch counts a cache's copy of a key as used.
-func (c *Cluster) touch(s *Server, key string) {
+// markUsed marks a cache's copy of a key as the most recently used.
+func (c *Cluster) markUsed(s *Server, key string) {
 	if !s.Origin {
 		s.cache.get(key)
 	}
 }
 
-// readCache responds with a cache's copy of a key, or that it has none. Writes are misses: the origin carries them out.
+// readCache responds with a cache's copy of a key, or with a miss. Writes always miss, because the origin executes them.
 func (c *Cluster) readCache(now float64, s *Server, e *Execution) {
 	object, found := s.cache.get(e.Key)
 	if c.FetchThrough && !found {
@@ -151,28 +151,28 @@
 	c.finish(now, e, Served)
 }
 
-// trackMiss notes which cache missed, for what the origin returns to be stored there.
+// trackMiss records which cache missed, so that readOrigin can store the value there.
 func (c *Cluster) trackMiss(requestID string, id ServerID) {
-	missed := append(c.missedBy[requestID], id)
-	if c.missedBy[requestID] = missed; len(c.missedBy) > maxTrackedMisses {
-		c.missedBy = map[string][]ServerID{requestID: missed} // the others never reached the origin
+	missed := append(c.missesByRequest[requestID], id)
+	if c.missesByRequest[requestID] = missed; len(c.missesByRequest) > maxTrackedMisses {
+		c.missesByRequest = map[string][]ServerID{requestID: missed} // drops entries of requests that never reached the origin
 	}
 }
 
-// readOrigin responds with the value of a key, which the caches that missed store.
+// readOrigin responds with the value of a key and stores it at the caches that missed.
 func (c *Cluster) readOrigin(now float64, e *Execution) {
 	object := c.currentObject(e.Key)
-	for i, id := range c.missedBy[e.RequestID] {
+	for i, id := range c.missesByRequest[e.RequestID] {
 		if s := c.Servers[id]; i < maxFilledCaches && s.Up {
 			s.cache.put(object)
 		}
 	}
-	delete(c.missedBy, e.RequestID)
+	delete(c.missesByRequest, e.RequestID)
 	e.Value = object.value()
 	c.finish(now, e, Served)
 }
 
-// applyWrite carries a write out, unless it is a duplicate.
+// applyWrite executes a write and invalidates the caches' copies. A duplicate gets the response of the first write instead.
 func (c *Cluster) applyWrite(now float64, e *Execution) {
 	if window := c.Costs[e.Class].DedupWindow; window > 0 && e.IdempotencyKey != "" {
 		if receipt, found := c.receipts[e.IdempotencyKey]; found && now-receipt.storedAt <= window {
@@ -192,12 +192,12 @@
 	c.finish(now, e, Served)
 }
 
-// currentObject is what the origin holds under a key.
+// currentObject returns the current version of a key at the origin.
 func (c *Cluster) currentObject(key string) cachedObject {
 	return cachedObject{key: key, version: c.versions[key], size: c.ValueSize}
 }
 
-// valueOf returns what is stored under a key: the key and its version, so that a reader of the value can check it.
+// valueOf returns the value of a key, which contains the key and its version so that readers can verify it. size pads it.
 func valueOf(key string, version, size int) string {
 	value := key + "|" + strconv.Itoa(version) + "|"
 	return value + strings.Repeat(".", max(0, size-len(value)))
--- a/internal/testbed/servermodel/lrucache.go
+++ b/internal/testbed/servermodel/lrucache.go
@@ -2,28 +2,28 @@
 
 import "container/list"
 
-// lruCache holds objects by their key and drops those that were used longest ago.
+// lruCache stores objects by key and evicts the least recently used.
 type lruCache struct {
 	capacity int        // 0: no limit
-	order    *list.List // of cachedObject, the one used last in front
+	order    *list.List // of cachedObject, most recently used first
 	elements map[string]*list.Element
 }
 
-// cachedObject is a copy of a value.
+// cachedObject is a cached copy of one version of a value.
 type cachedObject struct {
 	key     string
 	version int
 	size    int // bytes of the value
 }
 
-// value returns the copy itself.
+// value returns the value that the object stands for.
 func (o cachedObject) value() string { return valueOf(o.key, o.version, o.size) }
 
 func newLRUCache(capacity int) *lruCache {
 	return &lruCache{capacity: capacity, order: list.New(), elements: map[string]*list.Element{}}
 }
 
-// get returns an object and counts it as used.
+// get returns an object and marks it as the most recently used.
 func (c *lruCache) get(key string) (object cachedObject, found bool) {
 	element := c.elements[key]
 	if element == nil {
@@ -33,10 +33,10 @@
 	return element.Value.(cachedObject), true
 }
 
-// contains reports whether there is an object, without counting it as used.
+// contains reports whether a key is cached, without marking its object as used.
 func (c *lruCache) contains(key string) bool { return c.elements[key] != nil }
 
-// put stores an object, in place of the one under its key.
+// put stores an object, replaces any with the same key, and evicts objects beyond the capacity.
 func (c *lruCache) put(object cachedObject) {
 	if element := c.elements[object.key]; element != nil {
 		element.Value = object
@@ -49,7 +49,7 @@
 	}
 }
 
-// remove drops an object, if there is one.
+// remove deletes the object of a key, if there is one.
 func (c *lruCache) remove(key string) {
 	if element := c.elements[key]; element != nil {
 		c.order.Remove(element)
--- a/internal/testbed/servermodel/server.go
+++ b/internal/testbed/servermodel/server.go
@@ -5,8 +5,8 @@
 	"math/rand/v2"
 )
 
-// reportFade is how much of the hits and reads so far counts in the next load report.
-const reportFade = 2
+// hitCountDecay divides the counts of hits and reads after each load report, so that older ones weigh less.
+const hitCountDecay = 2
 
 // Server is one cache server or the origin.
 type Server struct {
@@ -15,31 +15,31 @@
 	Origin      bool
 	Config      ServerConfig
 	Up          bool
-	Collapsed   bool    // under overload, and not started again
-	ErrorRate   float64 // share of executions that fail at once
+	Collapsed   bool    // down after an overload until it is started again
+	ErrorRate   float64 // share of executions that fail immediately
 	Connections int
-	Collapses   int // how often it collapsed
-	// AvoidableShare is the greatest share of an overload that nodes could have avoided: at a cache the work of nodes that had been
-	// notified of its start, at the origin the misses of caches that were warming up.
+	Collapses   int // number of collapses so far
+	// AvoidableShare is the largest share of the load in any collapse that nodes could have avoided sending. At a cache this is work
+	// from nodes that had been notified of its start, at the origin misses of caches that were warming up.
 	AvoidableShare float64
 
 	queue         workQueue
 	cache         *lruCache
-	downUntil     float64 // it recovers from a collapse until then
+	downUntil     float64 // end of the recovery from the last collapse
 	lastReport    loadReport
-	hits, reads   float64 // since the last report, and some of those before
-	scheduledEnd  float64 // when its next execution ends
-	scheduleIndex int     // place in the cluster's schedule
+	hits, reads   float64 // decayed at each load report
+	scheduledEnd  float64 // when its next execution ends; its key in the cluster's schedule
+	scheduleIndex int     // index in the cluster's schedule
 }
 
-// loadReport is the last load report of a server.
+// loadReport is a load report of a server and the values that it was computed from.
 type loadReport struct {
-	text   string // "" for none since the start
+	text   string // "" if there was none since the start
 	at     float64
-	busyAt float64 // the busy time that it was made of
+	busyAt float64 // BusyTime when the report was made
 }
 
-// loadReport returns the server's load report, which is refreshed now and then and a little off.
+// loadReport returns the server's load report, which is refreshed every ReportInterval and has random noise of up to ReportNoise.
 func (s *Server) loadReport(now float64, rng *rand.Rand) string {
 	if s.lastReport.text != "" && now-s.lastReport.at < s.Config.ReportInterval {
 		return s.lastReport.text
@@ -55,26 +55,26 @@
 			withNoise(min(utilization, 1)), withNoise(float64(len(s.queue.waiting))), s.hits/max(1, s.reads)),
 		at: now, busyAt: busy,
 	}
-	s.hits, s.reads = s.hits/reportFade, s.reads/reportFade
+	s.hits, s.reads = s.hits/hitCountDecay, s.reads/hitCountDecay
 	return s.lastReport.text
 }
 
-// BusyTime returns the time that the server's cores have worked so far, in ms.
+// BusyTime returns the total time that the server's cores have been busy, in ms.
 func (s *Server) BusyTime(now float64) float64 {
 	s.queue.accountBusyTime(now)
-	return s.queue.busy
+	return s.queue.busyTime
 }
 
-// Capacity returns the work that the server can do in a ms, while it is as warm as it is.
+// Capacity returns the work that the server can do per ms at its present warmth.
 func (s *Server) Capacity(now float64) float64 { return s.queue.capacity(now) }
 
-// WarmingUp reports whether the server has not all of its capacity yet.
+// WarmingUp reports whether the server has not reached its full capacity yet.
 func (s *Server) WarmingUp(now float64) bool { return s.queue.warmth(now) < 1 }
 
-// QueueLength returns how many executions wait.
+// QueueLength returns the number of waiting executions.
 func (s *Server) QueueLength() int { return len(s.queue.waiting) }
 
-// Recovering reports whether the server has collapsed and works again after a time.
+// Recovering reports whether the server is down after a collapse and will recover by itself.
 func (s *Server) Recovering(now float64) bool { return s.downUntil > now }
 
 // Backlog returns how long a new execution would wait before it starts, in ms.
--- a/internal/testbed/servermodel/servermodel.go
+++ b/internal/testbed/servermodel/servermodel.go
@@ -1,13 +1,13 @@
-// Package servermodel models how cache servers and their origin behave: cores and queues, slow starts, collapse under overload,
-// stores, load reports, and writes that are deduplicated by their idempotency key.
+// Package servermodel models cache servers and their origin: cores and queues, slow start, collapse under overload, caching,
+// load reports, and the deduplication of writes by idempotency key.
 //
-// It does no I/O and reads no clock: its driver, on sockets or on a virtual clock, passes the time in and collects what has ended.
-// Times and durations are in ms. Chance follows a seed, and what a request costs follows from its ID alone, so that the order of
-// arrivals changes nothing. Nothing here may be used from several goroutines at once.
+// It does no I/O and reads no clock: its driver, which uses sockets or a virtual clock, passes in the time and collects the executions
+// that have ended. Times and durations are in ms. Randomness is seeded. The random part of a request's cost
+// depends only on its ID and key, not on the order of arrival. Nothing in the package is safe for concurrent use.
 package servermodel
 
 type (
-	// ServerID is a server's place in its cluster.
+	// ServerID is a server's index in Cluster.Servers.
 	ServerID int
 	// NodeID is the number of a node that sends requests.
 	NodeID int
@@ -19,12 +19,12 @@
 // The outcomes.
 const (
 	Pending   Outcome = iota // it has not ended
-	Served                   // carried out
-	CacheMiss                // a cache missed the key, or got a write
-	Failed                   // an error, which does not say whether the execution had an effect
-	Rejected                 // the server did not look at it
+	Served                   // executed
+	CacheMiss                // a cache does not have the key, or received a write
+	Failed                   // the server returned an error; the request may have had an effect
+	Rejected                 // the server refused it without executing it
 	Expired                  // its deadline passed before it started
-	Killed                   // its server ended first
+	Killed                   // its server was killed or collapsed first
 )
 
 // String returns the name of the outcome.
@@ -32,69 +32,69 @@
 	return [...]string{"pending", "served", "cache miss", "failed", "rejected", "expired", "killed"}[o]
 }
 
-// NeverRan reports whether the node that sent the request can know that it had no effect.
+// NeverRan reports whether the outcome tells the sending node that the request had no effect.
 func (o Outcome) NeverRan() bool { return o == CacheMiss || o == Rejected || o == Expired }
 
-// Request is one request as it came to a server.
+// Request is a request as it arrived at a server.
 type Request struct {
-	RequestID      string // of the client's attempt that it serves
+	RequestID      string // ID of the client's attempt
 	Key            string
 	IdempotencyKey string // "" for none
-	Class          string // of the request
+	Class          string // request class
 	Write          bool
 	Node           NodeID
-	FirstByte      float64 // when its first byte came
+	FirstByte      float64 // when its first byte arrived
 	LastByte       float64
-	Deadline       float64 // its result is not used after that
-	NodeNotified   bool    // its node had been notified of the server's last start
+	Deadline       float64 // when the client stops waiting for the result
+	NodeNotified   bool    // the node had been notified of the server's last start
 }
 
-// Execution is what a server does for one request.
+// Execution is the processing of one request by a server.
 type Execution struct {
 	Request
 	Server    ServerID
-	StartedAt float64 // 0: it did not start
+	StartedAt float64 // 0: not started
 	EndedAt   float64
 	Outcome   Outcome
-	Applied   bool    // a write was carried out, and not dropped as a duplicate
-	Warmth    float64 // share of the server's capacity that there was when it came or, once it is served, when it ended
+	Applied   bool    // a write took effect and was not dropped as a duplicate
+	Warmth    float64 // share of its full capacity that the server had at arrival or, if served, at the end
 	Value     string
 	Note      string // NoteHit or NoteMiss at a cache
 	Report    string // the server's load report
-	Tag       any    // the driver's
+	Tag       any    // opaque value of the driver
 
 	work, endsAt float64
 }
 
-// Notes of a cache server.
+// Values of Execution.Note, which only cache servers set.
 const (
 	NoteHit  = "hit"
 	NoteMiss = "miss"
 )
 
-// Cost is what the requests of a class cost, in ms of a core of speed 1.
+// Cost describes the work of the requests of a class, in ms on a core of speed 1.
 type Cost struct {
 	Cache, Origin float64 // means
 	Spread        float64 // 0: always the mean; 1: exponentially distributed
-	DedupWindow   float64 // how long writes are deduplicated by their idempotency key; 0: not at all
+	DedupWindow   float64 // how long writes are deduplicated by idempotency key; 0: never
 }
 
-// ServerConfig is what a server is like.
+// ServerConfig describes a server's capacity and behavior.
 type ServerConfig struct {
 	Cores          int
-	Speed          float64 // work that a core does in a ms
-	QueueLimit     int     // executions that may wait beyond those that run
+	Speed          float64 // work that a core does per ms
+	QueueLimit     int     // maximum number of waiting executions
 	MaxConnections int     // 0: no limit
-	Handshake      float64 // work that a new connection costs
+	Handshake      float64 // work of accepting a connection
 
-	StartCapacity float64 // share of its capacity that a server starts with
-	WarmWithin    float64 // time until it has all of it
+	StartCapacity float64 // share of the full capacity right after a start
+	WarmWithin    float64 // time from a start to full capacity
 
-	OverloadMultiple float64 // a server that is sent more than this multiple of its capacity
-	OverloadWindow   float64 // over this time collapses; 0: never
-	RecoveryTime     float64 // time until it works again; 0: it stays down
+	OverloadMultiple float64 // a server collapses if the work offered to it exceeds this multiple of its capacity
+	OverloadWindow   float64 // over this time; 0: it never collapses
+	RecoveryTime     float64 // time from a collapse to recovery; 0: it stays down
 
-	CacheObjects   int     // objects in its store; 0: no limit
-	ReportInterval float64 // load reports are refreshed so often
-	ReportNoise    float64 // and are off by up to this share
+	CacheObjects   int     // maximum number of cached objects; 0: no limit
+	ReportInterval float64 // time between refreshes of the load report
+	ReportNoise    float64 // maximum relative error of reported values
 }
--- a/internal/testbed/servermodel/servermodel_test.go
+++ b/internal/testbed/servermodel/servermodel_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// cacheConfig is a cache server with two cores.
+// cacheConfig configures a cache server with two cores.
 var cacheConfig = ServerConfig{
 	Cores: 2, Speed: 1, QueueLimit: 4, MaxConnections: 3, Handshake: 2, StartCapacity: 0.2, WarmWithin: 10000, OverloadMultiple: 3,
 	OverloadWindow: 1000, CacheObjects: 2, ReportInterval: 500,
 }
 
-// newTestCluster returns a cluster of a cache server and its origin, with three classes of requests of which one is deduplicated.
+// newTestCluster returns a cluster of one cache server and its origin, with three request classes. Writes of class note are deduplicated.
 func newTestCluster(config ServerConfig) (cluster *Cluster, cache, origin *Server) {
 	cluster = NewCluster(1, map[string]Cost{
 		"read": {Cache: 10, Origin: 20}, "pay": {Cache: 10, Origin: 20},
@@ -25,7 +25,7 @@
 	return cluster, cache, origin
 }
 
-// execute plays one request to its end.
+// execute submits a request and advances the cluster until it has ended.
 func execute(cluster *Cluster, now float64, id ServerID, request Request) *Execution {
 	request.Deadline = now + 1e6
 	e := cluster.Submit(now, id, request, nil)
@@ -97,11 +97,11 @@
 	}
 }
 
-// A server that is warming up has part of its capacity, collapses when it is sent more than a multiple of it, and stays down.
+// A server that is warming up has part of its capacity. It collapses if it is sent more than OverloadMultiple times that, and stays down.
 func TestColdServerCollapsesUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		interval float64 // ms between executions
-		notified bool    // the node knows of the start
+		notified bool    // the node has been notified of the start
 		collapse bool
 	}{{0.5, true, true}, {9, true, false}, {0.5, false, true}} {
 		cluster, cache, _ := newTestCluster(cacheConfig)
@@ -116,10 +116,10 @@
 			cluster.Advance(now)
 		}
 		if cache.Collapsed != c.collapse || cache.Up == c.collapse || (c.collapse && (cache.AvoidableShare > 0.5) != c.notified) {
-			t.Errorf("%+v: collapsed %v, blamed share %v", c, cache.Collapsed, cache.AvoidableShare)
+			t.Errorf("%+v: collapsed %v, avoidable share %v", c, cache.Collapsed, cache.AvoidableShare)
 		}
 	}
-	cluster, cache, _ := newTestCluster(cacheConfig) // a warm server rejects what is too much
+	cluster, cache, _ := newTestCluster(cacheConfig) // a warm server rejects excess load instead
 	for now := 0.0; now < 2000; now += 0.5 {
 		cluster.Submit(now, cache.ID, Request{RequestID: fmt.Sprint(now), Key: "k", Deadline: now + 50, Class: "read"}, nil)
 		cluster.Advance(now)
@@ -129,8 +129,8 @@
 	}
 }
 
-// Handshakes count as load once each. A server that is paused is connected to anew by all who give up, and must not collapse because
-// all of its handshakes are counted with every execution.
+// Each handshake counts as load once. Clients of a paused server time out and reconnect; the server must not collapse because all of
+// its pending handshakes are counted with every execution.
 func TestHandshakesCountOnce(t *testing.T) {
 	cluster, _, _ := newTestCluster(cacheConfig)
 	origin := cluster.AddServer("other", true, ServerConfig{Cores: 1, Speed: 1, QueueLimit: 1000, Handshake: 1, OverloadMultiple: 2, OverloadWindow: 1000, RecoveryTime: 3000})
@@ -145,21 +145,21 @@
 	}
 }
 
-// An origin that collapses stops, loses what it has in work and recovers; the share of misses at cold caches is reported.
+// An origin that collapses rejects requests until it recovers. AvoidableShare reports the share of misses at cold caches.
 func TestOriginRecoversFromCollapse(t *testing.T) {
-	quick := cacheConfig
-	quick.Speed = 20
-	cluster, cache, origin := newTestCluster(quick)
+	fastConfig := cacheConfig
+	fastConfig.Speed = 20
+	cluster, cache, origin := newTestCluster(fastConfig)
 	cluster.Kill(0, cache.ID)
 	cluster.Start(1, cache.ID, false)
 	for now := 1.0; origin.Collapses == 0 && now < 2000; now += 5 {
-		q := fmt.Sprint(now)
-		cluster.Submit(now, cache.ID, Request{RequestID: q, Key: q, Deadline: now + 1e4, Class: "read"}, nil)
+		requestID := fmt.Sprint(now)
+		cluster.Submit(now, cache.ID, Request{RequestID: requestID, Key: requestID, Deadline: now + 1e4, Class: "read"}, nil)
 		cluster.Advance(now + 4)
-		cluster.Submit(now+4, origin.ID, Request{RequestID: q, Key: q, Deadline: now + 1e4, Class: "read"}, nil)
+		cluster.Submit(now+4, origin.ID, Request{RequestID: requestID, Key: requestID, Deadline: now + 1e4, Class: "read"}, nil)
 	}
 	if origin.Collapses != 1 || origin.AvoidableShare < 0.5 || !origin.Up {
-		t.Fatalf("collapses %d, blamed share %v", origin.Collapses, origin.AvoidableShare)
+		t.Fatalf("collapses %d, avoidable share %v", origin.Collapses, origin.AvoidableShare)
 	}
 	now := origin.downUntil - 1
 	if e := execute(cluster, now, origin.ID, Request{RequestID: "x", Key: "x", Class: "read"}); e.Outcome != Rejected {
@@ -170,7 +170,7 @@
 	}
 }
 
-// A pause delays work in progress, which is resumed afterwards where it was.
+// A pause delays running work by its length.
 func TestPause(t *testing.T) {
 	cluster, cache, _ := newTestCluster(cacheConfig)
 	cluster.Preload(cache.ID, "k")
@@ -185,8 +185,8 @@
 	}
 }
 
-// Whatever happens, each execution ends exactly once, never before it came, and work is conserved: a server has worked no
-// longer than its cores can.
+// Under random kills, starts, pauses and slowdowns, each execution ends exactly once and not before it arrived, and a server is never
+// busy for longer than its cores allow.
 func TestEachExecutionEndsOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		cluster, cache, origin := newTestCluster(cacheConfig)
@@ -204,20 +204,20 @@
 			now += rapid.Float64Range(0, 30).Draw(r, "ms")
 			count(cluster.Advance(now))
 			id := rapid.SampledFrom([]ServerID{cache.ID, origin.ID}).Draw(r, "server")
-			switch rapid.IntRange(0, 9).Draw(r, "what") {
+			switch rapid.IntRange(0, 9).Draw(r, "action") {
 			case 0:
 				cluster.Kill(now, id)
 			case 1:
 				cluster.Start(now, id, rapid.Bool().Draw(r, "warm"))
 			case 2:
-				cluster.SetPaused(now, id, rapid.Bool().Draw(r, "still"))
+				cluster.SetPaused(now, id, rapid.Bool().Draw(r, "paused"))
 			case 3:
-				cluster.SetSlowdown(id, rapid.Float64Range(0.5, 4).Draw(r, "slow"))
+				cluster.SetSlowdown(id, rapid.Float64Range(0.5, 4).Draw(r, "slowdown"))
 			default:
 				submitted++
 				cluster.Submit(now, id, Request{
 					RequestID: fmt.Sprint(submitted), Key: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(r, "key"),
-					FirstByte: now, LastByte: now, Deadline: now + rapid.Float64Range(0, 200).Draw(r, "patience"), Class: "read",
+					FirstByte: now, LastByte: now, Deadline: now + rapid.Float64Range(0, 200).Draw(r, "timeout"), Class: "read",
 				}, nil)
 			}
 		}
--- a/internal/testbed/servermodel/slidingwindow.go
+++ b/internal/testbed/servermodel/slidingwindow.go
@@ -1,14 +1,14 @@
 package servermodel
 
-// windowSlots is how many slots a window is counted in.
+// windowSlots is the number of time slots that a window is divided into.
 const windowSlots = 24
 
-// slidingWindow sums up work over a window of time that slides, and the part of it of which nodes are to blame.
+// slidingWindow sums offered work over a sliding window of time. It also sums the part that nodes could have avoided sending.
 type slidingWindow struct {
 	length     float64 // ms
 	slotNumber [windowSlots]int64
 	total      [windowSlots]float64
-	blamed     [windowSlots]float64
+	avoidable  [windowSlots]float64
 }
 
 func newSlidingWindow(length float64) slidingWindow {
@@ -19,22 +19,22 @@
 	return w
 }
 
-// add counts work, in ms of a core, and returns the sums over the window that ends now.
-func (w *slidingWindow) add(now, work float64, isBlamed bool) (total, blamed float64) {
+// add adds work, in core-ms, and returns the sums over the window that ends now.
+func (w *slidingWindow) add(now, work float64, isAvoidable bool) (total, avoidable float64) {
 	number := int64(now / w.length * windowSlots)
 	slot := int(number % windowSlots)
 	if w.slotNumber[slot] != number {
-		w.slotNumber[slot], w.total[slot], w.blamed[slot] = number, 0, 0
+		w.slotNumber[slot], w.total[slot], w.avoidable[slot] = number, 0, 0
 	}
 	w.total[slot] += work
-	if isBlamed {
-		w.blamed[slot] += work
+	if isAvoidable {
+		w.avoidable[slot] += work
 	}
 	for i := range w.slotNumber {
 		if w.slotNumber[i] > number-windowSlots {
 			total += w.total[i]
-			blamed += w.blamed[i]
+			avoidable += w.avoidable[i]
 		}
 	}
-	return total, blamed
+	return total, avoidable
 }
--- a/internal/testbed/servermodel/workqueue.go
+++ b/internal/testbed/servermodel/workqueue.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// workQueue is a server's cores with the executions that wait for one.
+// workQueue holds the executions that run on a server's cores and those that wait for a core.
 type workQueue struct {
 	config    ServerConfig
 	startedAt float64 // -Inf: long ago
@@ -14,14 +14,14 @@
 	paused    bool
 	pausedAt  float64
 
-	running endHeap
+	running completionHeap
 	waiting []*Execution
 
-	handshakeDebt       float64 // work of handshakes that the next execution waits for
-	uncountedHandshakes float64 // of that, what has not been counted as offered yet
-	offered             slidingWindow
+	pendingHandshakeWork   float64 // work of handshakes, done before the work of the next execution that starts
+	uncountedHandshakeWork float64 // work of handshakes that has not been counted as offered yet
+	offered                slidingWindow
 
-	busy          float64 // core-ms of work done until busyCountedAt
+	busyTime      float64 // core-ms until busyCountedAt
 	busyCountedAt float64
 }
 
@@ -29,7 +29,7 @@
 	return workQueue{config: config, startedAt: startedAt, slowdown: 1, offered: newSlidingWindow(max(config.OverloadWindow, 1))}
 }
 
-// warmth returns the share of its capacity that the server has: it rises evenly from the start.
+// warmth returns the available share of the full capacity, which rises linearly from StartCapacity to 1 within WarmWithin.
 func (q *workQueue) warmth(now float64) float64 {
 	if q.config.WarmWithin <= 0 || now-q.startedAt >= q.config.WarmWithin {
 		return 1
@@ -37,12 +37,12 @@
 	return q.config.StartCapacity + (1-q.config.StartCapacity)*max(0, now-q.startedAt)/q.config.WarmWithin
 }
 
-// capacity returns the work that can be done in a ms.
+// capacity returns the work that can be done per ms.
 func (q *workQueue) capacity(now float64) float64 {
 	return float64(q.config.Cores) * q.config.Speed * q.warmth(now)
 }
 
-// enqueue starts an execution or has it wait; false: as many wait as can.
+// enqueue starts an execution or appends it to the queue. It returns false if the queue is full.
 func (q *workQueue) enqueue(now float64, e *Execution) bool {
 	if len(q.running) < q.config.Cores && !q.paused {
 		q.start(now, e)
@@ -55,16 +55,16 @@
 	return true
 }
 
-// start starts an execution on a core that is free.
+// start starts an execution. A core must be free.
 func (q *workQueue) start(now float64, e *Execution) {
 	q.accountBusyTime(now)
 	e.StartedAt = now
-	e.endsAt = now + (e.work+q.handshakeDebt)*q.slowdown/(q.config.Speed*q.warmth(now))
-	q.handshakeDebt = 0
+	e.endsAt = now + (e.work+q.pendingHandshakeWork)*q.slowdown/(q.config.Speed*q.warmth(now))
+	q.pendingHandshakeWork = 0
 	heap.Push(&q.running, e)
 }
 
-// startWaiting starts what waits, as far as cores are free. What has expired meanwhile is passed to expire, in its turn.
+// startWaiting starts waiting executions while cores are free. It passes those whose deadline has passed to expire, in queue order.
 func (q *workQueue) startWaiting(now float64, expire func(*Execution)) {
 	for len(q.waiting) > 0 && len(q.running) < q.config.Cores && !q.paused {
 		e := q.waiting[0]
@@ -77,7 +77,7 @@
 	}
 }
 
-// nextCompletion returns when the next execution ends, +Inf for never.
+// nextCompletion returns when the next running execution ends, +Inf for never.
 func (q *workQueue) nextCompletion() float64 {
 	if len(q.running) == 0 || q.paused {
 		return math.Inf(1)
@@ -85,7 +85,7 @@
 	return q.running[0].endsAt
 }
 
-// completeNext takes out the execution that ends next and starts what waits. What has expired by then is passed to expire.
+// completeNext removes the execution that ends next and starts waiting ones. It passes those whose deadline has passed to expire.
 func (q *workQueue) completeNext(expire func(*Execution)) *Execution {
 	at := q.running[0].endsAt
 	q.accountBusyTime(at)
@@ -94,13 +94,13 @@
 	return e
 }
 
-// all returns all executions, those that run first.
+// all returns the running executions, followed by the waiting ones.
 func (q *workQueue) all() []*Execution { return append(slices.Clip(q.running), q.waiting...) }
 
-// clear takes out all executions.
+// clear removes all executions.
 func (q *workQueue) clear() { q.running, q.waiting = nil, nil }
 
-// setPaused pauses the cores, or resumes them where they were.
+// setPaused pauses or resumes the cores. Resuming delays the end of running executions by the length of the pause.
 func (q *workQueue) setPaused(now float64, paused bool) {
 	if q.paused == paused {
 		return
@@ -117,35 +117,35 @@
 
 // addHandshake charges the handshake of a new connection.
 func (q *workQueue) addHandshake() {
-	q.handshakeDebt += q.config.Handshake
-	q.uncountedHandshakes += q.config.Handshake
+	q.pendingHandshakeWork += q.config.Handshake
+	q.uncountedHandshakeWork += q.config.Handshake
 }
 
-// countOffered counts work that is offered, with the handshakes before it. It returns what was offered within the overload window,
-// and the part of that of which nodes are to blame.
+// countOffered adds offered work and the handshakes since the last call. It returns the work offered within the overload window and
+// the part of it that nodes could have avoided sending.
 //
-// A handshake counts once: a server that is paused is connected to again and again, and its debt must not be counted with every
-// execution.
-func (q *workQueue) countOffered(now, work float64, blamed bool) (offered, blamedPart float64) {
-	work += q.uncountedHandshakes
-	q.uncountedHandshakes = 0
-	return q.offered.add(now, work, blamed)
+// Each handshake counts once. Clients keep reconnecting to a paused server; counting all of its pending handshakes with every execution
+// would make it collapse.
+func (q *workQueue) countOffered(now, work float64, avoidable bool) (offered, avoidableWork float64) {
+	work += q.uncountedHandshakeWork
+	q.uncountedHandshakeWork = 0
+	return q.offered.add(now, work, avoidable)
 }
 
-// accountBusyTime counts the work done since it was counted last.
+// accountBusyTime adds the time that cores were busy since the last call.
 func (q *workQueue) accountBusyTime(now float64) {
 	if !q.paused {
-		q.busy += float64(len(q.running)) * max(0, now-q.busyCountedAt)
+		q.busyTime += float64(len(q.running)) * max(0, now-q.busyCountedAt)
 	}
 	q.busyCountedAt = now
 }
 
-// backlog returns how long a new execution would wait, in ms.
+// backlog estimates how long a new execution would wait for a core, in ms.
 func (q *workQueue) backlog(now float64) float64 {
 	if len(q.running) < q.config.Cores && !q.paused {
 		return 0
 	}
-	waitingWork := q.handshakeDebt
+	waitingWork := q.pendingHandshakeWork
 	for _, e := range q.waiting {
 		waitingWork += e.work
 	}
@@ -156,15 +156,15 @@
 	return (remaining + waitingWork*q.slowdown/(q.config.Speed*q.warmth(now))) / float64(q.config.Cores)
 }
 
-// endHeap is a heap of executions by the time at which they end.
-type endHeap []*Execution
+// completionHeap is a heap of executions, ordered by end time.
+type completionHeap []*Execution
 
-// Len, Less, Swap, Push and Pop are those of heap.Interface.
-func (h endHeap) Len() int           { return len(h) }
-func (h endHeap) Less(i, j int) bool { return h[i].endsAt < h[j].endsAt }
-func (h endHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *endHeap) Push(x any)        { *h = append(*h, x.(*Execution)) }
-func (h *endHeap) Pop() any {
+// Len, Less, Swap, Push and Pop implement heap.Interface.
+func (h completionHeap) Len() int           { return len(h) }
+func (h completionHeap) Less(i, j int) bool { return h[i].endsAt < h[j].endsAt }
+func (h completionHeap) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *completionHeap) Push(x any)        { *h = append(*h, x.(*Execution)) }
+func (h *completionHeap) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
