--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -9,49 +9,49 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// Checker checks the rules while a run goes on, for runs of which not everything can be kept. What it handles has to come in the
-// order of its times, but for attempts, each of which is checked once it has ended. It must not be used from several goroutines.
+// Checker checks the rules during a run, for runs whose records are too large to keep. Events must be passed in order of time, except
+// for attempts, which are checked once they have ended. It is not safe for concurrent use.
 type Checker struct {
 	WrongKeyResponses []WrongKeyResponse
 
 	drainGrace, slack float64
-	notifications     map[nodeServer]map[string][]fakes.Notification // by the id under which a server was listed
-	reportedDrains    map[nodeServer]bool                            // a violation was reported already
+	notifications     map[nodeServer]map[string][]fakes.Notification // by the id under which the server was listed
+	reportedDrains    map[nodeServer]bool                            // pairs with a reported violation of rule 3
 	downtimes         []Downtime
-	crowds            []ConnectionFlood
+	connectionFloods  []ConnectionFlood
 	operations        Operations
 	violations        []Violation
-	seen              map[Violation]bool
+	reported          map[Violation]bool
 }
 
-// nodeServer is one server as one node sees it.
+// nodeServer identifies a pair of a node and a server that it sends to.
 type nodeServer struct {
 	node   servermodel.NodeID
 	server servermodel.ServerID
 }
 
-// NewChecker returns a checker that has seen nothing yet. drainGrace is how long requests may be sent to a server that drains, slack
-// is added to every limit; both are in ms.
+// NewChecker returns an empty checker. drainGrace is how long requests may be sent to a draining server, and slack is added to every
+// limit; both are in ms.
 func NewChecker(drainGrace, slack float64) *Checker {
 	return &Checker{
 		drainGrace: drainGrace, slack: slack, notifications: map[nodeServer]map[string][]fakes.Notification{},
-		reportedDrains: map[nodeServer]bool{}, seen: map[Violation]bool{},
+		reportedDrains: map[nodeServer]bool{}, reported: map[Violation]bool{},
 	}
 }
 
-// report records a violation. It returns false for one that was recorded before: an attempt is checked again when more of its
-// executions have come.
+// report records a violation. It returns false for a duplicate, which occurs because an attempt is checked again after more of its
+// executions arrive.
 func (c *Checker) report(rule int, format string, args ...any) (isNew bool) {
 	v := Violation{rule, fmt.Sprintf(format, args...)}
-	if c.seen[v] {
+	if c.reported[v] {
 		return false
 	}
-	c.seen[v] = true
+	c.reported[v] = true
 	c.violations = append(c.violations, v)
 	return true
 }
 
-// Violations returns those found so far, in the order of the rules.
+// Violations returns the violations found so far, ordered by rule.
 func (c *Checker) Violations() []Violation {
 	out := slices.Clone(c.violations)
 	slices.SortStableFunc(out, func(a, b Violation) int { return cmp.Compare(a.Rule, b.Rule) })
@@ -63,7 +63,7 @@
 	c.report(ruleCrash, "a node crashed: %s", description)
 }
 
-// NodeDown records when a node did not run.
+// NodeDown records a time in which a node was down.
 func (c *Checker) NodeDown(d Downtime) { c.downtimes = append(c.downtimes, d) }
 
 // NodeUp ends the last downtime of a node.
@@ -76,79 +76,80 @@
 	}
 }
 
-// ServerCollapsed checks rule 4.
+// ServerCollapsed checks rule 4 for a collapse.
 func (c *Checker) ServerCollapsed(collapse Collapse) {
 	percent := 100 * collapse.AvoidableShare
 	switch {
 	case collapse.Origin && collapse.AvoidableShare > coldMissShareLimit:
 		c.report(ruleOverload, "the origin collapsed, %.0f%% of its load being misses of caches that were warming up", percent)
 	case !collapse.Origin && collapse.AvoidableShare >= notifiedShareLimit:
-		c.report(ruleOverload, "%s collapsed while it was warming up, %.0f%% of its load being of nodes that knew so", collapse.Server, percent)
+		c.report(ruleOverload, "%s collapsed while it was warming up, %.0f%% of its load being from nodes that had been notified of its start", collapse.Server, percent)
 	}
 }
 
-// AttemptEnded checks rules 1 and 2 for an attempt that has ended, with all the executions that it had so far.
+// AttemptEnded checks rules 1 and 2 for an attempt that has ended. executions are all of its executions so far.
 func (c *Checker) AttemptEnded(attempt ClientAttempt, executions []*servermodel.Execution) {
 	slices.SortStableFunc(executions, func(a, b *servermodel.Execution) int { return cmp.Compare(a.FirstByte, b.FirstByte) })
-	if attempt.BecomesStricter && c.operations.isStricter(attempt.Node, attempt.Sent) {
+	if attempt.BecomesStricter && c.operations.hasStricterSettings(attempt.Node, attempt.Sent) {
 		attempt.Semantics = NonIdempotent
 	}
 	c.checkResponse(&attempt, executions)
-	c.checkTold(&attempt, executions)
+	c.checkForwardedDeadline(&attempt, executions)
 	c.checkSentAfterAnswer(&attempt, executions)
 	c.checkEffects(&attempt, executions)
 }
 
-// wasDown reports whether the node of an attempt did not run all the while, until the attempt had to have its response.
+// wasDown reports whether the node of an attempt was down at any time between the request and its deadline. Graceful stops do not count.
 func (c *Checker) wasDown(attempt *ClientAttempt) bool {
 	return slices.ContainsFunc(c.downtimes, func(d Downtime) bool {
 		if d.Node != attempt.Node || d.From > attempt.Deadline+attempt.ExtraSlack || d.To < attempt.Sent-c.slack {
 			return false
 		}
-		return !d.Stopped // what a node had taken before it ended, it owed
+		return !d.Stopped // a stopping node still has to answer the requests that it has read
 	})
 }
 
-// crossedEnd reports whether an attempt crossed the end of its connection, so that its client sends it again on another one.
-func (c *Checker) crossedEnd(attempt *ClientAttempt) bool {
+// crossedConnEnd reports whether a request and the node's close of its connection crossed on the way, so that the node never read the
+// request and its client may resend it on another connection.
+func (c *Checker) crossedConnEnd(attempt *ClientAttempt) bool {
 	if !attempt.ResentAfterConnEnd && !c.wasStopping(attempt.Node, attempt.ConnEndedAt) {
 		return false
 	}
-	if attempt.NewConnClosedCleanly && !c.wasStopping(attempt.Node, attempt.ConnEndedAt) && !c.wasCrowded(attempt.Node, attempt.ConnEndedAt) {
+	if attempt.NewConnClosedCleanly && !c.wasStopping(attempt.Node, attempt.ConnEndedAt) && !c.hadConnectionFlood(attempt.Node, attempt.ConnEndedAt) {
 		return false
 	}
-	return attempt.ConnEndedAt > 0 && attempt.ConnEndedAt-attempt.Sent <= crossingLimit+c.slack
+	return attempt.ConnEndedAt > 0 && attempt.ConnEndedAt-attempt.Sent <= connEndRaceLimit+c.slack
 }
 
-// wasStopping reports whether a node had been told to end at a time, and was not back.
+// wasStopping reports whether a node was between the request for a graceful stop and its next start at a time.
 func (c *Checker) wasStopping(node servermodel.NodeID, at float64) bool {
 	return slices.ContainsFunc(c.downtimes, func(d Downtime) bool {
 		return d.Node == node && d.Stopped && d.StopAt <= at && at <= d.To
 	})
 }
 
-// wasCrowded reports whether silent clients took the descriptors of a node at a time.
-func (c *Checker) wasCrowded(node servermodel.NodeID, at float64) bool {
-	return slices.ContainsFunc(c.crowds, func(d ConnectionFlood) bool { return d.Node == node && d.From <= at && at <= d.To })
+// hadConnectionFlood reports whether a connection flood exhausted the descriptors of a node at a time.
+func (c *Checker) hadConnectionFlood(node servermodel.NodeID, at float64) bool {
+	return slices.ContainsFunc(c.connectionFloods, func(d ConnectionFlood) bool { return d.Node == node && d.From <= at && at <= d.To })
 }
 
-// endOfConnection says how the connection of an attempt without a response ended.
-func (a *ClientAttempt) endOfConnection() string {
+// describeConnEnd describes for a violation how the connection of an unanswered attempt ended.
+func (a *ClientAttempt) describeConnEnd() string {
 	if a.ConnEndedAt == 0 {
 		return fmt.Sprintf(": sent to node %d at %.0f, deadline after %.0f ms", a.Node, a.Sent, a.Deadline-a.Sent)
 	}
-	return fmt.Sprintf(": node %d ended its connection %.0f ms after it was sent at %.0f, %.0f ms before its deadline (%s), new and in order: %v",
+	return fmt.Sprintf(": node %d ended its connection %.0f ms after it was sent at %.0f, %.0f ms before its deadline (%s), new and closed without reset: %v",
 		a.Node, a.ConnEndedAt-a.Sent, a.Sent, a.Deadline-a.ConnEndedAt, a.ConnEndReason, a.NewConnClosedCleanly)
 }
 
-// checkTold checks that no server was told that there is more time than the client has left. A process that was frozen reads what came
-// meanwhile when it goes on, and does not know when that was sent.
-func (c *Checker) checkTold(attempt *ClientAttempt, executions []*servermodel.Execution) {
+// checkForwardedDeadline checks that the deadlines which a node forwards to servers do not exceed the client's. Nodes that were down are
+// exempt: a process resumed from a pause reads the requests that arrived meanwhile and cannot know when they were sent.
+func (c *Checker) checkForwardedDeadline(attempt *ClientAttempt, executions []*servermodel.Execution) {
 	if c.wasDown(attempt) {
 		return
 	}
 	for _, x := range executions {
-		if x.Node == attempt.Node && x.Deadline > 0 && x.Deadline > attempt.Deadline+toldLimit+c.slack {
+		if x.Node == attempt.Node && x.Deadline > 0 && x.Deadline > attempt.Deadline+deadlineExcessLimit+c.slack {
 			c.report(ruleAnswer, "request %s was sent with %.0f ms more than its client had left: to node %d at %.0f, by that one to a server %.0f ms later",
 				attempt.ID, x.Deadline-attempt.Deadline, attempt.Node, attempt.Sent, x.FirstByte-attempt.Sent)
 			return
@@ -156,7 +157,7 @@
 	}
 }
 
-// checkResponse checks the first half of rule 1: one right response in time.
+// checkResponse checks the first part of rule 1: an attempt has exactly one response, in time and with the right value.
 func (c *Checker) checkResponse(attempt *ClientAttempt, executions []*servermodel.Execution) {
 	lateness := attempt.AnsweredAt - attempt.Deadline
 	switch {
@@ -169,15 +170,15 @@
 	case attempt.Outcome != Unanswered && c.operations.onStandby(attempt.Node, attempt.Sent-c.slack):
 		c.report(ruleAnswer, "request %s was answered by node %d, which has been on standby for longer than its limit", attempt.ID, attempt.Node)
 	case attempt.ClientClosedAt > 0:
-	case attempt.Outcome == Unanswered && c.crossedEnd(attempt):
+	case attempt.Outcome == Unanswered && c.crossedConnEnd(attempt):
 	case attempt.Outcome == Unanswered && !c.wasDown(attempt):
-		c.report(ruleAnswer, "request %s was never answered%s", attempt.ID, attempt.endOfConnection())
+		c.report(ruleAnswer, "request %s was never answered%s", attempt.ID, attempt.describeConnEnd())
 	case attempt.Outcome != Unanswered && lateness > c.slack+attempt.ExtraSlack && !c.wasDown(attempt):
 		c.report(ruleAnswer, "request %s was answered %.0f ms late", attempt.ID, lateness)
 	}
 }
 
-// recordWrongKey records a response with a wrong value, with the last execution before it.
+// recordWrongKey records a response with the value of another key, and the last execution before it.
 func (c *Checker) recordWrongKey(attempt *ClientAttempt, executions []*servermodel.Execution) {
 	for _, x := range slices.Backward(executions) {
 		if x.Node == attempt.Node && x.FirstByte <= attempt.AnsweredAt {
@@ -187,16 +188,16 @@
 	}
 }
 
-// checkSentAfterAnswer checks the second half of rule 1: nothing is sent to servers after the response.
+// checkSentAfterAnswer checks the second part of rule 1: a node sends nothing to servers after the response.
 func (c *Checker) checkSentAfterAnswer(attempt *ClientAttempt, executions []*servermodel.Execution) {
 	end := attempt.AnsweredAt
 	if attempt.Outcome == Unanswered {
 		if c.wasDown(attempt) {
-			return // a process that stood still reads what came meanwhile when it goes on, and does not know when that was sent
+			return // a process resumed from a pause cannot know when the requests that it then reads were sent
 		}
 		end = attempt.Deadline
 		if attempt.ClientClosedAt > 0 {
-			end = min(end, attempt.ClientClosedAt+departureLimit)
+			end = min(end, attempt.ClientClosedAt+clientCloseLimit)
 		}
 	}
 	for _, x := range executions {
@@ -207,7 +208,7 @@
 	}
 }
 
-// checkEffects checks rule 2.
+// checkEffects checks rule 2 for an attempt.
 func (c *Checker) checkEffects(attempt *ClientAttempt, executions []*servermodel.Execution) {
 	if attempt.Semantics == Idempotent {
 		return
@@ -232,7 +233,7 @@
 	}
 }
 
-// mayFollow reports whether an execution may be sent after an earlier one of the same attempt, and reports a violation if not.
+// mayFollow returns whether an execution may be sent after an earlier one of the same attempt, and records a violation if not.
 func (c *Checker) mayFollow(attempt *ClientAttempt, earlier, x *servermodel.Execution) bool {
 	switch {
 	case earlier.Outcome.NeverRan() && earlier.EndedAt <= x.FirstByte:
@@ -246,7 +247,7 @@
 	return true
 }
 
-// NodeNotified records a notification of a node by discovery about a server.
+// NodeNotified records that the discovery service notified a node about a server.
 func (c *Checker) NodeNotified(n fakes.Notification) {
 	key := nodeServer{n.Node, n.Server}
 	if c.notifications[key] == nil {
@@ -255,8 +256,8 @@
 	c.notifications[key][n.Name] = append(c.notifications[key][n.Name], n)
 }
 
-// ExecutionArrived checks rule 3: nothing is sent to a server after the grace, once its node was notified of its drain or its end
-// under every id that it is listed under.
+// ExecutionArrived checks rule 3: a node sends nothing to a server once the drain grace has passed after the notification that the
+// server drains or has ended. If the server is listed under several ids, this applies once each of them has been notified.
 func (c *Checker) ExecutionArrived(x *servermodel.Execution) {
 	if id, ok := c.operations.excludedID(x.Node, x.Server, x.FirstByte, c.drainGrace+c.slack); ok && !c.hasOtherID(x, id) {
 		c.report(ruleDrain, "request %s was sent to server %d, which node %d has to leave out", x.RequestID, x.Server, x.Node)
@@ -275,7 +276,7 @@
 	}
 }
 
-// hasOtherID reports whether the node of an execution has been notified of its server under another id than one.
+// hasOtherID reports whether the node of an execution was notified that the server is in service under an id other than the given one.
 func (c *Checker) hasOtherID(x *servermodel.Execution, id string) bool {
 	for name, notifications := range c.notifications[nodeServer{x.Node, x.Server}] {
 		if name != id && slices.ContainsFunc(notifications, func(n fakes.Notification) bool { return n.AtMs <= x.FirstByte && n.Phase == fakes.InService }) {
@@ -285,7 +286,7 @@
 	return false
 }
 
-// mayReceive reports whether a node may send to a server at a time, by its notifications of one id of the server.
+// mayReceive reports whether a node may send to a server at a time, given the node's notifications for one id of the server.
 func (c *Checker) mayReceive(notifications []fakes.Notification, at float64) bool {
 	inService := true
 	var drainedAt float64
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -1,12 +1,12 @@
-// Package invariants checks the four rules that every node has to keep, by what clients and fake servers saw and never by what a node
-// says of itself:
+// Package invariants checks the four rules that every node must follow. It relies on observations of clients and fake servers only, never
+// on what a node reports about itself:
 //
-//  1. each request is answered once, in time and with the right value, and nothing is sent to servers for it afterwards;
-//  2. a write has the effects that its class allows;
-//  3. nothing is sent to a server some time after its drain was announced;
+//  1. each request is answered once, in time and with the right value, and nothing is sent to servers on its behalf afterwards;
+//  2. a write takes effect no more often than its class allows;
+//  3. nothing is sent to a server once the grace after its drain notification has passed;
 //  4. no server collapses under an overload that nodes could have avoided.
 //
-// It does no I/O. Times are Unix ms, durations ms.
+// It does no I/O. Times are in Unix ms, durations in ms.
 package invariants
 
 import (
@@ -23,8 +23,8 @@
 const (
 	Unanswered Outcome = iota
 	Completed          // with a value
-	Rejected           // a retry is harmless
-	Aborted            // nothing is promised
+	Rejected           // the request had no effect
+	Aborted            // the request may have had an effect
 )
 
 // String returns the name of the outcome.
@@ -32,17 +32,17 @@
 	return [...]string{"unanswered", "completed", "rejected", "aborted"}[o]
 }
 
-// WriteSemantics is what a class of requests allows when one is sent to servers several times.
+// WriteSemantics tells whether a request of a class may be sent to servers more than once.
 type WriteSemantics uint8
 
-// The semantics.
+// The write semantics.
 const (
 	Idempotent   WriteSemantics = iota // it may run any number of times
 	Deduplicated                       // servers drop duplicates within the deduplication window
 	NonIdempotent
 )
 
-// ClientAttempt is one attempt of a request as its client saw it.
+// ClientAttempt is one attempt of a request, as observed by its client.
 type ClientAttempt struct {
 	ID                   string
 	IdempotencyKey       string
@@ -51,28 +51,28 @@
 	Node                 servermodel.NodeID
 	Sent                 float64 // when its last byte was written
 	Deadline             float64
-	AnsweredAt           float64 // when the last byte of its response came
+	AnsweredAt           float64 // when the last byte of the response arrived
 	Outcome              Outcome
-	DuplicateResponse    bool    // a second response came
+	DuplicateResponse    bool    // a second response arrived
 	WrongKey             bool    // the response had the value of another key
 	ClientClosedAt       float64 // when its client closed the connection without a response; 0: it did not
-	ResentAfterConnEnd   bool    // sent by a client that keeps its connection and sends again, on another one, what crossed its end
+	ResentAfterConnEnd   bool    // on a persistent connection, whose client resends requests that cross the end of the connection
 	ConnEndedAt          float64 // when the node ended the connection without a response; 0: it did not
-	ConnEndReason        string  // how it ended, for people
-	NewConnClosedCleanly bool    // ... and that connection was new and not reset: unless the node was ending, it had read what had come
-	BecomesStricter      bool    // of a class that is non-idempotent while its node has stricter settings
-	ExtraSlack           float64 // beside that of all attempts, where the machine itself stood still
+	ConnEndReason        string  // for violation messages
+	NewConnClosedCleanly bool    // the connection was new and closed without a reset, so a node that was not stopping had read the request
+	BecomesStricter      bool    // the class becomes non-idempotent while the node has stricter settings
+	ExtraSlack           float64 // in addition to Evidence.Slack, for stalls of the machine
 }
 
-// Downtime is a time in which a node did not run, or was being ended.
+// Downtime is a time in which a node was down, paused or stopping.
 type Downtime struct {
 	Node     servermodel.NodeID
 	From, To float64
-	Stopped  bool    // it was told to end, and owes a response to what it had taken
-	StopAt   float64 // when it was told so
+	Stopped  bool    // a graceful stop: the node must still answer the requests that it has read
+	StopAt   float64 // when the graceful stop was requested
 }
 
-// ConnectionFlood is a time in which silent clients took a node's descriptors: new connections may be shut unread then.
+// ConnectionFlood is a time in which idle connections exhausted a node's descriptors. The node may then close new connections unread.
 type ConnectionFlood struct {
 	Node     servermodel.NodeID
 	From, To float64
@@ -82,37 +82,37 @@
 type Collapse struct {
 	Server         string
 	Origin         bool
-	AvoidableShare float64 // at a cache what nodes sent that knew of its start, at the origin misses of caches that were warming up
+	AvoidableShare float64 // as servermodel.Server.AvoidableShare
 }
 
-// Shares of an overload from which on nodes are to blame for it, as the platform has them.
+// Limits of the platform on Collapse.AvoidableShare, beyond which an overload breaks rule 4.
 const (
 	notifiedShareLimit = 2.0 / 3
 	coldMissShareLimit = 0.3
 )
 
-// Evidence is all that was seen of a run.
+// Evidence contains all observations of a run.
 type Evidence struct {
 	Attempts         []ClientAttempt
-	Executions       []*servermodel.Execution // in the order in which they came
-	Notifications    []fakes.Notification     // in their order
+	Executions       []*servermodel.Execution // in order of arrival
+	Notifications    []fakes.Notification     // in order of time
 	Downtimes        []Downtime
 	ConnectionFloods []ConnectionFlood
 	Operations       Operations
 	Collapses        []Collapse
 	Crashes          []string
-	DrainGrace       float64 // how long requests may be sent to a server that drains or has gone
-	Slack            float64 // added to every limit
+	DrainGrace       float64 // how long requests may be sent to a server that drains or has ended, in ms
+	Slack            float64 // added to every limit, in ms
 }
 
-// Limits of the protocol, in ms, each of which the slack is added to.
+// Limits of the protocol, in ms. The slack is added to each.
 const (
-	crossingLimit  = 100 // a request that crosses the end of its connection was not taken
-	departureLimit = 100 // what is sent to servers later than this after a client has left is sent for nobody
-	toldLimit      = 150 // by which the time told to a server may exceed what is left to the client
+	connEndRaceLimit    = 100 // a connection that ends within this time of a request may have crossed it
+	clientCloseLimit    = 100 // after a client has closed its connection, until nothing is sent to servers on its behalf
+	deadlineExcessLimit = 150 // by which a deadline forwarded to a server may exceed the client's
 )
 
-// Rules of violations.
+// Values of Violation.Rule.
 const (
 	ruleCrash    = 0 // not one of the four: a node crashed
 	ruleAnswer   = 1
@@ -123,21 +123,21 @@
 
 // Violation is one broken rule.
 type Violation struct {
-	Rule        int // 1 to 4; 0: a node that crashed
+	Rule        int // 1 to 4, or 0 for a crash of a node
 	Description string
 }
 
-// String names the rule and says how it was broken.
+// String returns the rule's number and the description.
 func (v Violation) String() string { return fmt.Sprintf("rule %d: %s", v.Rule, v.Description) }
 
 // WrongKeyResponse is a response with the value of another key, and the last execution before it.
 type WrongKeyResponse struct {
-	SentAt float64 // when that execution came to its server
+	SentAt float64 // when that execution arrived at its server
 	Node   servermodel.NodeID
 	Server servermodel.ServerID
 }
 
-// CheckAll has a checker look at all of the evidence.
+// CheckAll passes all of the evidence to a new checker and returns it.
 func CheckAll(e Evidence) *Checker {
 	c := NewChecker(e.DrainGrace, e.Slack)
 	for _, n := range e.Notifications {
@@ -146,7 +146,7 @@
 	for _, d := range e.Downtimes {
 		c.NodeDown(d)
 	}
-	c.crowds, c.operations = e.ConnectionFloods, e.Operations
+	c.connectionFloods, c.operations = e.ConnectionFloods, e.Operations
 	byRequestID := map[string][]*servermodel.Execution{}
 	for _, x := range e.Executions {
 		byRequestID[x.RequestID] = append(byRequestID[x.RequestID], x)
@@ -164,10 +164,10 @@
 	return c
 }
 
-// openEndMs is the length of a downtime whose end is not known yet: longer than any run.
-const openEndMs = 3.6e6
+// openDowntimeMs is the provisional length of a downtime whose end is not known yet. It exceeds the length of any run.
+const openDowntimeMs = 3.6e6
 
-// OpenDowntime returns a downtime that begins at a time and has no end yet.
+// OpenDowntime returns a downtime that starts at a time and has no known end yet.
 func OpenDowntime(node servermodel.NodeID, fromMs float64) Downtime {
-	return Downtime{Node: node, From: fromMs, To: fromMs + openEndMs}
+	return Downtime{Node: node, From: fromMs, To: fromMs + openDowntimeMs}
 }
--- a/internal/testbed/invariants/invariants_test.go
+++ b/internal/testbed/invariants/invariants_test.go
@@ -13,7 +13,7 @@
 	originID servermodel.ServerID = 1
 )
 
-// execution is one at the origin that takes 10 ms.
+// execution returns an execution at the origin that takes 10 ms.
 func execution(requestID string, at float64, outcome servermodel.Outcome, applied bool) *servermodel.Execution {
 	return &servermodel.Execution{
 		Request: servermodel.Request{RequestID: requestID, FirstByte: at, LastByte: at},
@@ -21,7 +21,7 @@
 	}
 }
 
-// attempt is one that breaks no rule, sent at 1 ms and answered at 100 of 1,000 ms, with changes.
+// attempt returns an attempt that breaks no rule, with changes applied. It is sent at 1 ms, answered at 100 ms and has until 1,001 ms.
 func attempt(semantics WriteSemantics, changes ...func(*ClientAttempt)) ClientAttempt {
 	a := ClientAttempt{
 		ID: "q", IdempotencyKey: "m", Semantics: semantics, DedupWindow: 500, Sent: 1, Deadline: 1001, AnsweredAt: 100, Outcome: Completed,
@@ -36,18 +36,18 @@
 
 func answeredAt(at float64) func(*ClientAttempt) { return func(a *ClientAttempt) { a.AnsweredAt = at } }
 
-// attemptEvidence is what was seen of one attempt.
+// attemptEvidence returns the evidence of one attempt.
 func attemptEvidence(a ClientAttempt, executions ...*servermodel.Execution) Evidence {
 	return Evidence{Attempts: []ClientAttempt{a}, Executions: executions, DrainGrace: 500, Slack: 50}
 }
 
-// drainEvidence is an execution at a cache whose node was notified of its drain, and of more.
-func drainEvidence(sentAt float64, more ...fakes.Notification) Evidence {
+// drainEvidence returns evidence of an execution at a cache after its node was notified of the cache's drain and received laterNotifications.
+func drainEvidence(sentAt float64, laterNotifications ...fakes.Notification) Evidence {
 	e := attemptEvidence(attempt(Idempotent))
 	x := execution("other", sentAt, servermodel.Served, false)
 	x.Server = cacheID
 	e.Executions = []*servermodel.Execution{x}
-	e.Notifications = append([]fakes.Notification{notification(0, "a", fakes.InService), notification(1000, "a", fakes.Terminating)}, more...)
+	e.Notifications = append([]fakes.Notification{notification(0, "a", fakes.InService), notification(1000, "a", fakes.Terminating)}, laterNotifications...)
 	return e
 }
 
@@ -55,8 +55,8 @@
 	return fakes.Notification{AtMs: at, Name: name, Phase: phase}
 }
 
-// operatedEvidence is an attempt with two executions at the origin, of which the first failed, beside what operators did.
-func operatedEvidence(a ClientAttempt, operate func(*Operations)) Evidence {
+// operationsEvidence returns evidence of an attempt with a failed and a served execution at the origin, and of operations on its node.
+func operationsEvidence(a ClientAttempt, operate func(*Operations)) Evidence {
 	a.BecomesStricter = true
 	e := attemptEvidence(a, execution("q", 10, servermodel.Failed, false), execution("q", 40, servermodel.Served, true))
 	e.Notifications = []fakes.Notification{notification(0, "a", fakes.InService)}
@@ -64,40 +64,40 @@
 	return e
 }
 
-// replacedEvidence is an execution at a server that was excluded under the id of the machine before it.
+// replacedEvidence returns evidence of an execution at a server that was excluded under the id of the machine that it replaced.
 func replacedEvidence() Evidence {
-	e := operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetExcluded(0, originID, "a", true, -900) })
+	e := operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetExcluded(0, originID, "a", true, -900) })
 	replaced := notification(5, "a.1", fakes.InService)
 	replaced.Server = originID
 	e.Notifications = append(e.Notifications, replaced)
 	return e
 }
 
-// takeoverEvidence is an execution at a cache past the grace of its drain, at a node of which a process starts beside another one.
+// takeoverEvidence returns evidence of an execution at a cache after its drain grace, sent by a node with a takeover.
 func takeoverEvidence(ready float64) Evidence {
 	e := drainEvidence(3700)
 	e.Operations.Takeovers = []Takeover{{Node: 0, From: 900, Ready: ready}}
 	return e
 }
 
-// downEvidence is an attempt that was not answered, while a node was down.
+// downEvidence returns evidence of an unanswered attempt at node 0 during a downtime of the given node.
 func downEvidence(node servermodel.NodeID) Evidence {
 	e := attemptEvidence(attempt(Idempotent, withOutcome(Unanswered)))
 	e.Downtimes = []Downtime{{Node: node, From: 500, To: 900}}
 	return e
 }
 
-// killedLaterEvidence is an attempt that was not answered, whose node was killed 100 ms after its deadline and the slack, and which had to wait
-// for responses before its own for some time beyond its deadline.
-func killedLaterEvidence(waited float64) Evidence {
+// killedAfterDeadlineEvidence returns evidence of an unanswered attempt whose node was killed 100 ms after the deadline. waitMs is how long
+// beyond its deadline the attempt waited for earlier responses on its connection.
+func killedAfterDeadlineEvidence(waitMs float64) Evidence {
 	e := downEvidence(0)
-	e.Attempts[0].ExtraSlack = waited
+	e.Attempts[0].ExtraSlack = waitMs
 	e.Downtimes[0].From, e.Downtimes[0].To = 1101, 1500
 	return e
 }
 
-// endedAttempt is an attempt whose connection a node ended without a response, some time after it was sent.
-func endedAttempt(after float64, change func(*ClientAttempt)) Evidence {
+// connEndEvidence returns evidence of an attempt whose node closed the connection without a response, some time after the request was sent.
+func connEndEvidence(after float64, change func(*ClientAttempt)) Evidence {
 	return attemptEvidence(attempt(Idempotent, withOutcome(Unanswered), func(a *ClientAttempt) {
 		a.ResentAfterConnEnd = true
 		a.ConnEndedAt = a.Sent + after
@@ -107,15 +107,15 @@
 	}))
 }
 
-// stoppedEvidence is an attempt that was not answered by a node that was told to end.
+// stoppedEvidence returns evidence of an unanswered attempt at a node that was stopped gracefully.
 func stoppedEvidence() Evidence {
 	e := downEvidence(0)
 	e.Downtimes[0].Stopped = true
 	return e
 }
 
-// toldEvidence is an attempt of which a server was told that there is so much more time than its client had left, in ms.
-func toldEvidence(excess float64) Evidence {
+// forwardedDeadlineEvidence returns evidence of an attempt that was forwarded to a server with a deadline excess ms after the client's.
+func forwardedDeadlineEvidence(excess float64) Evidence {
 	e := attemptEvidence(attempt(Idempotent))
 	e.Executions = append(e.Executions, &servermodel.Execution{Request: servermodel.Request{
 		RequestID: e.Attempts[0].ID, FirstByte: e.Attempts[0].Sent, Deadline: e.Attempts[0].Deadline + excess,
@@ -123,19 +123,19 @@
 	return e
 }
 
-// frozenEvidence adds that the node was frozen for a while.
+// frozenEvidence adds a pause of the node's process.
 func frozenEvidence(e Evidence) Evidence {
 	e.Downtimes = []Downtime{{Node: 0, From: 0, To: 50}}
 	return e
 }
 
-// leftEvidence is an attempt whose client left 200 ms after it was sent, and an execution so many ms after that.
-func leftEvidence(after float64) Evidence {
+// clientClosedEvidence returns evidence of an attempt whose client closed its connection after 200 ms, and of an execution some ms later.
+func clientClosedEvidence(after float64) Evidence {
 	return attemptEvidence(attempt(Idempotent, withOutcome(Unanswered), func(a *ClientAttempt) { a.ClientClosedAt = a.Sent + 200 }),
 		execution("q", 1+200+after, servermodel.Pending, false))
 }
 
-// ruleCase is what was seen of a run, and what has to be found in it.
+// ruleCase is the evidence of a run and the violation expected in it.
 type ruleCase struct {
 	evidence Evidence
 	want     string // start of the first violation; "" for none
@@ -154,29 +154,29 @@
 	}
 }
 
-// What binds a node after its operators have done something to it.
+// Operations on a node change what the rules require of it, each after its own limit or grace.
 func TestOperations(t *testing.T) {
 	checkEach(t, map[string]ruleCase{
-		"news in a takeover":      {takeoverEvidence(1750), ""},
-		"news after a takeover":   {takeoverEvidence(1650), "rule 3: request other was sent to server 0"},
-		"on standby, in time":     {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStandby(0, true, -3990, 4000) }), ""},
-		"on standby for too long": {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStandby(0, true, -4200, 4000) }), "rule 1: request q was answered by node 0, which has been on standby"},
-		"called back":             {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStandby(0, true, -9000, 4000); o.SetStandby(0, false, -60, 2000) }), ""},
-		"excluded":                {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetExcluded(0, originID, "a", true, -700) }), "rule 3: request q was sent to server 1, which node 0 has to leave out"},
-		"excluded within grace":   {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetExcluded(0, originID, "a", true, -400) }), ""},
-		"excluded twice, back": {operatedEvidence(attempt(Idempotent), func(o *Operations) {
+		"notified in a takeover":  {takeoverEvidence(1750), ""},
+		"sent after a takeover":   {takeoverEvidence(1650), "rule 3: request other was sent to server 0"},
+		"on standby, in time":     {operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetStandby(0, true, -3990, 4000) }), ""},
+		"on standby for too long": {operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetStandby(0, true, -4200, 4000) }), "rule 1: request q was answered by node 0, which has been on standby"},
+		"active again":            {operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetStandby(0, true, -9000, 4000); o.SetStandby(0, false, -60, 2000) }), ""},
+		"excluded":                {operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetExcluded(0, originID, "a", true, -700) }), "rule 3: request q was sent to server 1, which node 0 has to leave out"},
+		"excluded within grace":   {operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetExcluded(0, originID, "a", true, -400) }), ""},
+		"excluded twice, back": {operationsEvidence(attempt(Idempotent), func(o *Operations) {
 			o.SetExcluded(0, originID, "a", true, -900)
 			o.SetExcluded(0, originID, "a", true, -800)
 			o.SetExcluded(0, originID, "a", false, -1)
 		}), ""},
 		"excluded, another id":  {replacedEvidence(), ""},
-		"stricter class":        {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1300) }), "rule 2: non-idempotent request q was sent again"},
-		"not stricter yet":      {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1100) }), ""},
-		"not stricter any more": {operatedEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1300); o.SetStricterSettings(0, false, -1) }), ""},
+		"stricter class":        {operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1300) }), "rule 2: non-idempotent request q was sent again"},
+		"not stricter yet":      {operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1100) }), ""},
+		"not stricter any more": {operationsEvidence(attempt(Idempotent), func(o *Operations) { o.SetStricterSettings(0, true, -1300); o.SetStricterSettings(0, false, -1) }), ""},
 	})
 }
 
-// Each violation is found, and what only looks like one is not reported.
+// Each kind of violation is found, and similar cases that the rules allow are not reported.
 func TestEachRule(t *testing.T) {
 	duplicated := func(a *ClientAttempt) { a.DuplicateResponse = true }
 	wrongKey := func(a *ClientAttempt) { a.WrongKey = true }
@@ -198,7 +198,7 @@
 		"after the window":        {attemptEvidence(attempt(Deduplicated, answeredAt(900)), execution("q", 10, failed, false), execution("q", 700, served, false)), "rule 2: deduplicated request q was sent again after its"},
 		"rejected though it ran":  {attemptEvidence(attempt(NonIdempotent, withOutcome(Rejected)), execution("q", 10, served, true)), "rule 2: non-idempotent request q was rejected"},
 		"rejected unseen":         {attemptEvidence(attempt(NonIdempotent, withOutcome(Rejected)), execution("q", 10, rejected, false)), ""},
-		"rejected, dropped later": {attemptEvidence(attempt(Deduplicated, withOutcome(Rejected)), execution("q", 10, served, true)), ""},
+		"rejected, deduplicated":  {attemptEvidence(attempt(Deduplicated, withOutcome(Rejected)), execution("q", 10, served, true)), ""},
 		"past a drain":            {drainEvidence(1700), "rule 3: request other was sent to server 0"},
 		"within the grace":        {drainEvidence(1400), ""},
 		"back in service":         {drainEvidence(1700, notification(1600, "a", fakes.InService)), ""},
@@ -207,21 +207,21 @@
 		"overload, nodes knew":    {Evidence{Collapses: []Collapse{{"box", false, 0.9}}}, "rule 4: box collapsed"},
 		"overload, nodes did not": {Evidence{Collapses: []Collapse{{"box", false, 0.5}}}, ""},
 		"origin, cold misses":     {Evidence{Collapses: []Collapse{{"origin", true, 0.5}}}, "rule 4: the origin"},
-		"origin, all together":    {Evidence{Collapses: []Collapse{{"origin", true, 0.1}}}, ""},
+		"origin, few misses":      {Evidence{Collapses: []Collapse{{"origin", true, 0.1}}}, ""},
 		"crash":                   {Evidence{Crashes: []string{"node 1: signal"}}, "rule 0: a node crashed"},
 		"node killed meanwhile":   {downEvidence(0), ""},
-		"killed after its time":   {killedLaterEvidence(0), "rule 1: request q was never answered"},
-		"killed while it waited":  {killedLaterEvidence(100), ""},
+		"killed after its time":   {killedAfterDeadlineEvidence(0), "rule 1: request q was never answered"},
+		"killed while it waited":  {killedAfterDeadlineEvidence(100), ""},
 		"another node was killed": {downEvidence(1), "rule 1"},
 		"node told to end":        {stoppedEvidence(), "rule 1: request q was never answered"},
-		"crossed the end":         {endedAttempt(crossingLimit+40, nil), ""},
-		"closed, not kept open":   {endedAttempt(1, func(a *ClientAttempt) { a.ResentAfterConnEnd = false }), "rule 1: request q was never answered"},
-		"read before the end":     {endedAttempt(crossingLimit+60, nil), "rule 1: request q was never answered"},
-		"read and closed, new":    {endedAttempt(1, func(a *ClientAttempt) { a.NewConnClosedCleanly = true }), "rule 1: request q was never answered"},
-		"told a little more":      {toldEvidence(toldLimit + 40), ""},
-		"told too much":           {toldEvidence(toldLimit + 60), "rule 1: request q was sent with 210 ms more"},
-		"told more, frozen":       {frozenEvidence(toldEvidence(toldLimit + 60)), ""},
-		"its client has left":     {leftEvidence(departureLimit + 40), ""},
-		"sent after it has left":  {leftEvidence(departureLimit + 60), "rule 1: request q was sent to a server"},
+		"crossed the end":         {connEndEvidence(connEndRaceLimit+40, nil), ""},
+		"closed, not persistent":  {connEndEvidence(1, func(a *ClientAttempt) { a.ResentAfterConnEnd = false }), "rule 1: request q was never answered"},
+		"read before the end":     {connEndEvidence(connEndRaceLimit+60, nil), "rule 1: request q was never answered"},
+		"read and closed, new":    {connEndEvidence(1, func(a *ClientAttempt) { a.NewConnClosedCleanly = true }), "rule 1: request q was never answered"},
+		"deadline within limit":   {forwardedDeadlineEvidence(deadlineExcessLimit + 40), ""},
+		"deadline too late":       {forwardedDeadlineEvidence(deadlineExcessLimit + 60), "rule 1: request q was sent with 210 ms more"},
+		"late deadline, frozen":   {frozenEvidence(forwardedDeadlineEvidence(deadlineExcessLimit + 60)), ""},
+		"client has closed":       {clientClosedEvidence(clientCloseLimit + 40), ""},
+		"sent after its close":    {clientClosedEvidence(clientCloseLimit + 60), "rule 1: request q was sent to a server"},
 	})
 }
