--- a/internal/testbed/faultsearch/encode.go
+++ b/internal/testbed/faultsearch/encode.go
@@ -9,7 +9,7 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// normalize returns an experiment as its file would be read: with what it leaves out, and checked.
+// normalize encodes an experiment and parses it again, which fills in defaults and validates it.
 func normalize(x *experiment.Experiment) (*experiment.Experiment, error) {
 	text, err := EncodeTOML(x)
 	if err != nil {
@@ -18,34 +18,34 @@
 	return experiment.Parse(x.Name+".toml", text)
 }
 
-// EncodeTOML returns an experiment as a file. Fields with a zero value are left out, so that they are read back with their defaults.
+// EncodeTOML returns the text of an experiment's file. It omits fields with a zero value, so that parsing the file sets their defaults.
 func EncodeTOML(x *experiment.Experiment) (string, error) {
-	all, err := toMap(x)
+	fields, err := toMap(x)
 	if err != nil {
 		return "", fmt.Errorf("encoding experiment %s: %w", x.Name, err)
 	}
-	removeZeroFields(all)
+	removeZeroFields(fields)
 	var text bytes.Buffer
-	if err := toml.NewEncoder(&text).Encode(all); err != nil {
+	if err := toml.NewEncoder(&text).Encode(fields); err != nil {
 		return "", fmt.Errorf("encoding experiment %s: %w", x.Name, err)
 	}
 	return text.String(), nil
 }
 
-// toMap returns an experiment as tables of TOML.
+// toMap converts an experiment to nested TOML tables.
 func toMap(x *experiment.Experiment) (map[string]any, error) {
 	text, err := toml.Marshal(x)
 	if err != nil {
 		return nil, err
 	}
-	all := map[string]any{}
-	return all, toml.Unmarshal(text, &all)
+	fields := map[string]any{}
+	return fields, toml.Unmarshal(text, &fields)
 }
 
-// nodeField names a node by its number, of which 0 is one.
+// nodeField is the field that holds a node's number. It is kept when it is 0, which is the first node.
 const nodeField = "node"
 
-// removeZeroFields removes the fields of a table with a zero value, in its tables too.
+// removeZeroFields removes fields with a zero value from a table and from the tables nested in it.
 func removeZeroFields(table map[string]any) {
 	for name, value := range table {
 		isFirstNode := name == nodeField && value == int64(0)
@@ -55,7 +55,7 @@
 	}
 }
 
-// isZero reports whether a value says no more than that it is left out. Tables and arrays are stripped of what does not.
+// isZero reports whether a value is zero or empty. It first removes zero fields from tables and from tables in arrays.
 func isZero(value any) bool {
 	switch value := value.(type) {
 	case map[string]any:
--- a/internal/testbed/faultsearch/faultsearch_test.go
+++ b/internal/testbed/faultsearch/faultsearch_test.go
@@ -10,7 +10,7 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// A seed always gives the same experiment, its file is read back as that, and other seeds give others.
+// A seed always generates the same experiment, different seeds generate different ones, and an encoded experiment is decoded unchanged.
 func TestGeneratedExperimentsAreFiles(t *testing.T) {
 	r := DefaultRanges()
 	seen := map[string]uint64{}
@@ -19,7 +19,7 @@
 		if err != nil {
 			t.Fatalf("seed %d: %v", seed+1, err)
 		}
-		text, err := EncodeTOML(x)
+		encoded, err := EncodeTOML(x)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -27,25 +27,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if other, err := EncodeTOML(again); err != nil || other != text {
+		if other, err := EncodeTOML(again); err != nil || other != encoded {
 			t.Fatalf("seed %d gives two experiments", seed+1)
 		}
-		back, err := experiment.Parse(x.Name+".toml", text)
+		decoded, err := experiment.Parse(x.Name+".toml", encoded)
 		if err != nil {
-			t.Fatalf("seed %d is not read back: %v\n%s", seed+1, err, text)
+			t.Fatalf("seed %d is not read back: %v\n%s", seed+1, err, encoded)
 		}
-		if !reflect.DeepEqual(back.Steps, x.Steps) || !reflect.DeepEqual(back.Fleet, x.Fleet) || !reflect.DeepEqual(back.Classes, x.Classes) ||
-			!reflect.DeepEqual(back.Nodes, x.Nodes) || back.Load != x.Load {
+		if !reflect.DeepEqual(decoded.Steps, x.Steps) || !reflect.DeepEqual(decoded.Fleet, x.Fleet) || !reflect.DeepEqual(decoded.Classes, x.Classes) ||
+			!reflect.DeepEqual(decoded.Nodes, x.Nodes) || decoded.Load != x.Load {
 			t.Fatalf("seed %d is read back as another experiment", seed+1)
 		}
-		if earlier, found := seen[text]; found {
+		if earlier, found := seen[encoded]; found {
 			t.Errorf("seeds %d and %d give one experiment", earlier, seed+1)
 		}
-		seen[text] = seed + 1
+		seen[encoded] = seed + 1
 	}
 }
 
-// A scenario is shrunk to what it needs, and no further.
+// Shrinking keeps the one fault and the number of nodes that the failure needs, and stays within the limit of calls.
 func TestShrink(t *testing.T) {
 	r := DefaultRanges()
 	r.Faults, r.FaultKinds = [2]int{3, 3}, []string{"kill", "slow", "reset"}
@@ -56,7 +56,7 @@
 		}
 		kind := x.Steps[int(seed)%3].Action
 		calls := 0
-		isBad := func(y *experiment.Experiment) bool {
+		reproduces := func(y *experiment.Experiment) bool {
 			calls++
 			for _, s := range y.Steps {
 				if s.Action == kind && y.Nodes.Count >= min(3, x.Nodes.Count) {
@@ -65,14 +65,14 @@
 			}
 			return false
 		}
-		smallest := Shrink(x, 60, isBad)
+		smallest := Shrink(x, 60, reproduces)
 		if len(smallest.Steps) != 1 || smallest.Steps[0].Action != kind || smallest.Nodes.Count > 5 || smallest.Nodes.Count < min(3, x.Nodes.Count) || calls > 60 {
 			t.Errorf("seed %d: %d faults, %d nodes, %d calls", seed+1, len(smallest.Steps), smallest.Nodes.Count, calls)
 		}
 	}
 }
 
-// A file of ranges that cannot be used is refused with its field.
+// The error for an invalid file of ranges names the field.
 func TestInvalidRanges(t *testing.T) {
 	for text, want := range map[string]string{
 		"nodes = [0, 3]":        "nodes: from 0 to 3 is not a range above 0",
@@ -91,7 +91,7 @@
 	}
 }
 
-// Every file of ranges in the repository can be read and drawn from.
+// Every file of ranges in the repository is valid and generates an experiment.
 func TestRangesOfTheRepository(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/hunts/*.toml")
 	if err != nil || len(files) == 0 {
--- a/internal/testbed/faultsearch/generate.go
+++ b/internal/testbed/faultsearch/generate.go
@@ -12,24 +12,24 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// sampleStream separates the random numbers of ranges from others under the same seed.
+// sampleStream is the PCG stream of Generate, which keeps its random numbers independent of others with the same seed.
 const sampleStream = 23
 
-// What experiments have that are not drawn.
+// Fixed parameters of generated experiments.
 const (
 	settleTime      = 6 * tomlfile.Duration(time.Second)
-	firstFault      = 2 * tomlfile.Duration(time.Second) // after the settling time
+	firstFault      = 2 * tomlfile.Duration(time.Second) // earliest fault, after the settling time
 	maxRate         = 2500                               // requests a second
-	queuePerCore    = 50                                 // of the origin
+	queuePerCore    = 50                                 // queue limit of the origin
 	minCacheObjects = 20
 	minConnections  = 100
 	connsPerNode    = 6
 	costSpread      = 0.6
-	assumedHitShare = 0.5 // from which the origin's load follows
+	assumedHitShare = 0.5 // for estimating the origin's load
 	writeWorkFactor = 1.2 // cost of a write at the origin, relative to a read
 )
 
-// sampler draws from ranges.
+// sampler draws random values from ranges.
 type sampler struct{ *rand.Rand }
 
 func (s sampler) integer(r Range[int]) int { return r[0] + s.IntN(max(1, r[1]-r[0]+1)) }
@@ -40,7 +40,7 @@
 	return (r[0] + tomlfile.Duration(s.Float64()*float64(r[1]-r[0]))).Round(time.Millisecond)
 }
 
-// Generate returns the experiment of a seed.
+// Generate returns the experiment that a seed determines.
 func (r *Ranges) Generate(seed uint64) (*experiment.Experiment, error) {
 	s := sampler{rand.New(rand.NewPCG(seed, sampleStream))}
 	x := &experiment.Experiment{
@@ -54,7 +54,7 @@
 	return normalize(x)
 }
 
-// generateLoad draws a fleet and a load on it. Rates follow from how busy servers are to be.
+// generateLoad draws a fleet and its load. It derives the request rate and the origin's size from the drawn utilization.
 func (r *Ranges) generateLoad(s sampler, x *experiment.Experiment) {
 	zones := s.integer(r.Zones)
 	for i := range zones {
@@ -81,7 +81,7 @@
 	x.Classes = generateClasses(s, writeShare, cacheWorkMs, originWorkMs)
 }
 
-// generateClasses draws the classes of requests: reads and, if there are any, two kinds of writes.
+// generateClasses draws the request classes: reads and, unless writeShare is 0, two classes of writes.
 func generateClasses(s sampler, writeShare, cacheWorkMs, originWorkMs float64) []experiment.ClassConfig {
 	read := experiment.ClassConfig{
 		Name: "read", Share: roundToMilli(1 - writeShare), PriorityWeight: 1,
@@ -101,7 +101,7 @@
 	return []experiment.ClassConfig{read, note, sale}
 }
 
-// generateFault draws a fault in the first half of the experiment.
+// generateFault draws a fault that starts in the first half of the experiment.
 func (r *Ranges) generateFault(s sampler, x *experiment.Experiment) experiment.Step {
 	kind := r.FaultKinds[s.IntN(len(r.FaultKinds))]
 	step := experiment.Step{
@@ -110,7 +110,7 @@
 	}
 	switch faultTargets[kind] {
 	case onCaches:
-		if step.Share = roundToMilli(0.1 + 0.4*s.Float64()); s.IntN(3) == 0 { // one in three is of a single cache
+		if step.Share = roundToMilli(0.1 + 0.4*s.Float64()); s.IntN(3) == 0 { // a third of the faults affect a single cache
 			step.Share, step.Server = 0, fmt.Sprint("box-", s.IntN(x.CacheCount()))
 		}
 	case onZone:
@@ -137,10 +137,10 @@
 	return step
 }
 
-// roundToMilli rounds to three digits.
+// roundToMilli rounds to three decimal places.
 func roundToMilli(v float64) float64 { return math.Round(v*1000) / 1000 }
 
-// ms returns a time in ms, rounded to microseconds.
+// ms converts milliseconds to a duration, rounded to microseconds.
 func ms(v float64) tomlfile.Duration {
 	return tomlfile.Duration(v * float64(time.Millisecond)).Round(time.Microsecond)
 }
--- a/internal/testbed/faultsearch/ranges.go
+++ b/internal/testbed/faultsearch/ranges.go
@@ -1,6 +1,6 @@
-// Package faultsearch looks for scenarios that a node does badly on: it generates experiments with fleets, loads and faults drawn from
-// ranges, each from its seed alone, and shrinks what is found to the least that still shows it. It does no I/O beside reading a file of
-// ranges, and plays nothing itself.
+// Package faultsearch generates experiments for finding scenarios that nodes handle badly. It draws fleets, loads and faults from ranges;
+// the seed alone determines the experiment. It also shrinks a failing experiment to a smaller one that still fails. It does not run
+// experiments, and its only I/O is reading files of ranges.
 package faultsearch
 
 import (
@@ -10,10 +10,10 @@
 	"mintspring/internal/config/tomlfile"
 )
 
-// Range is the two ends between which a figure is drawn evenly.
+// Range holds the lower and upper bound of a uniformly distributed value.
 type Range[T any] [2]T
 
-// Ranges are what experiments are drawn from. docs/simulator.md says what the fields of its file are.
+// Ranges are the ranges that experiments are drawn from. docs/simulator.md documents the fields of its file.
 type Ranges struct {
 	Name           string                   `toml:"name"`
 	Nodes          Range[int]               `toml:"nodes"`
@@ -22,30 +22,30 @@
 	Cores          Range[int]               `toml:"cores"`
 	Keys           Range[int]               `toml:"keys"`
 	ZipfExponent   Range[float64]           `toml:"zipf"`
-	CacheShare     Range[float64]           `toml:"keeps"` // of the keys, in all caches together
+	CacheShare     Range[float64]           `toml:"keeps"` // capacity of all caches together, relative to the number of keys
 	WriteShare     Range[float64]           `toml:"writes"`
-	CacheLoad      Range[float64]           `toml:"box_load"`    // share of the caches' cores that reads need if all hit
-	OriginLoad     Range[float64]           `toml:"origin_load"` // share of the origin's cores that is needed if half of the reads hit
+	CacheLoad      Range[float64]           `toml:"box_load"`    // utilization of the caches' cores by reads if all of them hit
+	OriginLoad     Range[float64]           `toml:"origin_load"` // utilization of the origin's cores if assumedHitShare of the reads hit
 	Retries        Range[int]               `toml:"retries"`
-	Faults         Range[int]               `toml:"troubles"` // their number
+	Faults         Range[int]               `toml:"troubles"` // number of faults
 	Length         Range[tomlfile.Duration] `toml:"length"`
 	FaultDuration  Range[tomlfile.Duration] `toml:"lasts"`
 	FaultKinds     []string                 `toml:"kinds"`
 	DiscoveryDelay Range[tomlfile.Duration] `toml:"discovery_late"`
 }
 
-// faultTarget is what a fault happens to.
+// faultTarget is the kind of component that a fault affects.
 type faultTarget uint8
 
 const (
 	onSystem faultTarget = iota
-	onCaches             // one cache, or a share of them
+	onCaches             // one cache or a share of the caches
 	onZone
 	onNode
 	onOrigin
 )
 
-// faultTargets are the faults that can be drawn, by the names that files use.
+// faultTargets maps each fault that can be drawn, by its name in files, to its target.
 var faultTargets = map[string]faultTarget{
 	"kill": onCaches, "replace": onCaches, "drain": onCaches, "halt": onCaches, "slow": onCaches, "refuse": onCaches, "reset": onCaches,
 	"errors": onCaches, "resets": onCaches, "lost_answers": onCaches, "half_answers": onCaches, "surplus": onCaches, "spoilt": onCaches,
@@ -55,16 +55,16 @@
 	"discovery_late": onSystem, "discovery_down": onSystem, "rate": onSystem,
 }
 
-// Faults of the origin, which are actions on one server.
+// Faults of the origin. Experiments express them as the actions slow and halt on the origin.
 const (
 	originSlow = "origin_slow"
 	originHalt = "origin_halt"
 )
 
-// maxWriteShare bounds the share of writes: without reads there is nothing to generate a load from.
+// maxWriteShare bounds the share of writes, because the request rate is derived from the share of reads.
 const maxWriteShare = 0.9
 
-// DefaultRanges returns the ranges of a file that says nothing.
+// DefaultRanges returns the ranges of an empty file.
 func DefaultRanges() *Ranges {
 	const second = tomlfile.Duration(1e9)
 	return &Ranges{
@@ -78,7 +78,7 @@
 	}
 }
 
-// ReadRanges reads and checks a file of ranges. What it leaves out has the default.
+// ReadRanges reads and validates a file of ranges. Omitted fields have their defaults.
 func ReadRanges(name string) (*Ranges, error) {
 	r := DefaultRanges()
 	file, err := tomlfile.Read(name, r)
--- a/internal/testbed/faultsearch/shrink.go
+++ b/internal/testbed/faultsearch/shrink.go
@@ -14,31 +14,31 @@
 	minShrunkLength = 3 * tomlfile.Duration(time.Second)
 )
 
-// change makes an experiment smaller; false: it cannot be made so.
+// change makes an experiment smaller in one way. It returns false if that is not possible.
 type change func(*experiment.Experiment) bool
 
-// shrinker makes an experiment smaller.
+// shrinker holds the state of Shrink.
 type shrinker struct {
-	smallest *experiment.Experiment
-	attempts int // that are left
-	isBad    func(*experiment.Experiment) bool
+	current      *experiment.Experiment // the smallest that reproduces the failure
+	attemptsLeft int                    // remaining calls of reproduces
+	reproduces   func(*experiment.Experiment) bool
 }
 
-// Shrink makes an experiment smaller for as long as it is still bad: fewer faults, shorter ones, fewer nodes and servers, less time. It calls
-// isBad a limited number of times.
-func Shrink(x *experiment.Experiment, attempts int, isBad func(*experiment.Experiment) bool) *experiment.Experiment {
-	s := &shrinker{smallest: x, attempts: attempts, isBad: isBad}
-	for s.shrinkOnce() && s.attempts > 0 {
+// Shrink returns a smaller experiment that still reproduces a failure: with fewer and shorter faults, fewer nodes, servers and retries,
+// and less time. It calls reproduces at most attempts times.
+func Shrink(x *experiment.Experiment, attempts int, reproduces func(*experiment.Experiment) bool) *experiment.Experiment {
+	s := &shrinker{current: x, attemptsLeft: attempts, reproduces: reproduces}
+	for s.shrinkOnce() && s.attemptsLeft > 0 {
 	}
-	return s.smallest
+	return s.current
 }
 
-// shrinkOnce tries each way to make the experiment smaller, and reports whether one did.
+// shrinkOnce tries each change once and reports whether any was kept.
 func (s *shrinker) shrinkOnce() (isSmaller bool) {
-	for i := len(s.smallest.Steps) - 1; i >= 0; i-- {
+	for i := len(s.current.Steps) - 1; i >= 0; i-- {
 		isSmaller = s.try(removeStep(i)) || isSmaller
 	}
-	for i := range s.smallest.Steps {
+	for i := range s.current.Steps {
 		isSmaller = s.try(halveFault(i)) || isSmaller
 	}
 	for _, c := range []change{halveNodes, halveFleet, shortenRun, removeRetry} {
@@ -47,23 +47,23 @@
 	return isSmaller
 }
 
-// try makes a change, and keeps it if the experiment is still bad.
+// try applies a change and keeps it if the experiment still reproduces the failure.
 func (s *shrinker) try(c change) bool {
-	candidate := *s.smallest
-	candidate.Steps = slices.Clone(s.smallest.Steps)
-	candidate.Fleet.Groups = slices.Clone(s.smallest.Fleet.Groups)
-	if s.attempts <= 0 || !c(&candidate) {
+	candidate := *s.current
+	candidate.Steps = slices.Clone(s.current.Steps)
+	candidate.Fleet.Groups = slices.Clone(s.current.Fleet.Groups)
+	if s.attemptsLeft <= 0 || !c(&candidate) {
 		return false
 	}
 	normalized, err := normalize(&candidate)
 	if err != nil {
-		return false // the steps name what is not there any more
+		return false // a step refers to a node or server that the change removed
 	}
-	s.attempts--
-	if !s.isBad(normalized) {
+	s.attemptsLeft--
+	if !s.reproduces(normalized) {
 		return false
 	}
-	s.smallest = normalized
+	s.current = normalized
 	return true
 }
 
@@ -86,7 +86,7 @@
 	return x.Nodes.Count >= 1
 }
 
-// halveFleet halves the fleet and its load.
+// halveFleet halves the number of caches, the origin's capacity and the request rate.
 func halveFleet(x *experiment.Experiment) bool {
 	group, origin := &x.Fleet.Groups[0], &x.Fleet.Origin
 	group.Count, x.Load.Rate = group.Count/2, math.Round(x.Load.Rate/2)
--- a/internal/testbed/faultsearch/soak.go
+++ b/internal/testbed/faultsearch/soak.go
@@ -11,44 +11,45 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// Streams separate the random numbers of soak runs from others under the same seed, and those of what operators do from the rest.
+// PCG streams of soak runs, of their operators' actions and of their system call faults. They keep the random numbers of each
+// independent of others with the same seed.
 const (
 	soakStream      = 37
 	operationStream = 38
-	systemStream    = 39
+	syscallStream   = 39
 )
 
-// Sizes and times of a soak run. It is played with real processes, several at a time.
+// Sizes and times of a soak run. Several runs with real processes share a machine.
 const (
 	soakSettle         = 1500 * time.Millisecond
 	soakLength         = 9 * time.Second
 	soakFirstFault     = 300 * time.Millisecond
 	soakLastFault      = 5500 * time.Millisecond
-	soakHoldUp         = 150 * time.Millisecond // the longest that the protocol's page allows for
+	soakPause          = 150 * time.Millisecond // the longest pause of a process that the protocol allows
 	soakKeys           = 200
 	soakValueBytes     = 80
-	soakHorizon        = 4 * time.Second // what a stop, and the start after it, take together at most
-	soakStandby        = 4800 * time.Millisecond
-	lastStandby        = 1500 * time.Millisecond // when it begins at the latest, so that its end is seen too
+	maxRestartTime     = 4 * time.Second // upper bound on a stop and the start after it
+	standbyDuration    = 4800 * time.Millisecond
+	lastStandby        = 1500 * time.Millisecond // latest start of a standby, so that it ends within the run
 	lastTakeover       = 4500 * time.Millisecond
-	soakOriginFailures = 0.3
-	soakCrowd          = 300                   // connections, which is more than a node has descriptors
-	soakStartup        = 80 * time.Millisecond // about what a successor takes until it serves
-	operationsIn       = 3                     // one run in so many has operators that do more than stop nodes
+	originFailureShare = 0.3
+	floodConnections   = 300                   // more connections than a node has descriptors
+	successorStartup   = 80 * time.Millisecond // approximate time from a successor's start until it serves
+	runsPerOperated    = 3                     // one in this many runs has operations beyond stopping nodes
 )
 
-// signalPauses are the times between two signals of a series.
+// signalPauses are the possible intervals between two signals to a node.
 var signalPauses = []time.Duration{0, time.Millisecond, 5 * time.Millisecond, 50 * time.Millisecond, 300 * time.Millisecond, 700 * time.Millisecond}
 
-// soakServerFaults and soakSystemFaults are the faults beside which nodes are signalled.
+// soakServerFaults and soakSystemFaults are the faults that can occur while nodes are signalled. A fault listed twice is twice as likely.
 var (
 	soakServerFaults = []string{"kill", "replace", "drain", "halt", "halt", "slow", "reset", "refuse", "cut", "errors", "resets", "half_answers", "spoilt", "lost_answers"}
 	soakSystemFaults = []string{"discovery_down", "discovery_silent", "discovery_late", "discovery_moves", "discovery_anew", "server_clocks"}
 )
 
-// GenerateSoak returns the soak run of a seed: a small fleet whose nodes are stopped and started, signalled in series and held up, while
-// servers and the discovery service have faults, and clients go on using their connections until these end. Nothing but its rules is
-// expected of it.
+// GenerateSoak returns the soak run that a seed determines: a small fleet whose nodes are stopped, started, signalled repeatedly and paused
+// while servers and the discovery service have faults. Clients keep using their connections until these end. The run has to follow the
+// rules of package invariants and has no other expectations.
 func GenerateSoak(seed uint64) (*experiment.Experiment, error) {
 	s := sampler{rand.New(rand.NewPCG(seed, soakStream))}
 	x := &experiment.Experiment{
@@ -57,9 +58,9 @@
 	}
 	s.soakFleet(x)
 	operations := sampler{rand.New(rand.NewPCG(seed, operationStream))}
-	operated := operations.IntN(operationsIn) == 0
+	hasOperations := operations.IntN(runsPerOperated) == 0
 	for node := range x.Nodes.Count {
-		if operated {
+		if hasOperations {
 			operations.soakOperations(x, node)
 		} else {
 			s.soakStops(x, node)
@@ -75,8 +76,8 @@
 	return normalize(x)
 }
 
-// soakFaultPlans are faults of system calls beside which soak runs can be played, in the form of syscalltrace.ParseFaultPlan: those that
-// Linux documents for sockets, once in a while or for a moment.
+// soakFaultPlans are system call faults that can be injected into soak runs, in the format of syscalltrace.ParseFaultPlan. They are errors
+// that Linux documents for sockets, injected at random or for short periods.
 var soakFaultPlans = []string{
 	"calls=accept,errno=ECONNABORTED,share=0.05",
 	"calls=accept,errno=ENFILE,from=2s,for=300ms,every=2s",
@@ -85,7 +86,7 @@
 	"calls=connect,errno=EADDRNOTAVAIL,from=2s,for=700ms,every=2s",
 	"calls=socket,errno=EMFILE,from=2s,for=700ms,every=2s",
 	"calls=connect,errno=ENETUNREACH,from=2s,for=700ms,every=2s",
-	"calls=connect+socket,errno=ENFILE,for=400ms,every=2s", // also as a process starts
+	"calls=connect+socket,errno=ENFILE,for=400ms,every=2s", // from the start of the process
 	"calls=open,errno=EMFILE,path=node-,for=300ms,every=1s",
 	"calls=read+write,errno=short,share=0.2",
 	"calls=read+write,errno=EINTR,share=0.05",
@@ -95,13 +96,13 @@
 	"calls=server-write,errno=ENOBUFS,share=0.01",
 }
 
-// SoakFaultPlan returns the plan of failing system calls of a seed.
+// SoakFaultPlan returns the system call fault plan that a seed determines.
 func SoakFaultPlan(seed uint64) string {
-	s := sampler{rand.New(rand.NewPCG(seed, systemStream))}
+	s := sampler{rand.New(rand.NewPCG(seed, syscallStream))}
 	return fmt.Sprintf("%s,seed=%d", soakFaultPlans[s.IntN(len(soakFaultPlans))], seed)
 }
 
-// soakFleet draws the fleet, the classes of requests and the load.
+// soakFleet draws the fleet, the request classes and the load.
 func (s sampler) soakFleet(x *experiment.Experiment) {
 	x.Fleet.Zones = []string{"a", "b"}[:1+s.IntN(2)]
 	group := experiment.ServerGroup{Count: 3 + s.IntN(4)}
@@ -121,11 +122,11 @@
 	x.Classes = s.soakClasses()
 }
 
-// soakClasses draws classes of each effect. Deadlines are short in two runs of three.
+// soakClasses draws request classes that cover each effect. Timeouts are short in two of three runs.
 func (s sampler) soakClasses() []experiment.ClassConfig {
-	longest := []float64{350, 800, 2500}[s.IntN(3)]
+	maxTimeoutMs := []float64{350, 800, 2500}[s.IntN(3)]
 	class := func(name string, share float64, effect string, write bool) experiment.ClassConfig {
-		timeout := longest * (0.6 + 0.4*s.Float64())
+		timeout := maxTimeoutMs * (0.6 + 0.4*s.Float64())
 		return experiment.ClassConfig{
 			Name: name, Share: share, Effect: effect, Write: write, PriorityWeight: 1 + float64(s.IntN(3)),
 			LatencyObjective: ms(timeout / 3), Timeout: ms(timeout), CacheWork: ms(2 + 4*s.Float64()), OriginWork: ms(4 + 10*s.Float64()),
@@ -140,94 +141,94 @@
 	}
 }
 
-// soakStops draws, for one node, a stop among a series of signals, hold-ups within it, and perhaps a crowd of connections.
+// soakStops draws, for one node, a stop or kill with a restart. It may add other signals, pauses and a flood of connections around it.
 func (s sampler) soakStops(x *experiment.Experiment, node int) {
 	at := soakFirstFault + time.Duration(s.Int64N(int64(soakLastFault-soakFirstFault)))
-	add := func(action string, at time.Duration, value float64, late time.Duration) {
+	addStep := func(action string, at time.Duration, value float64, delay time.Duration) {
 		x.Steps = append(x.Steps, experiment.Step{
-			Time: tomlfile.Duration(at).Round(time.Millisecond), Action: action, Node: &node, Value: value, Delay: tomlfile.Duration(late),
+			Time: tomlfile.Duration(at).Round(time.Millisecond), Action: action, Node: &node, Value: value, Delay: tomlfile.Duration(delay),
 		})
 	}
-	for range s.IntN(3) { // before the stop, within milliseconds of it or long before
-		add([]string{"hangup_node", "spoil_node"}[s.IntN(2)], max(soakFirstFault, at-signalPauses[s.IntN(len(signalPauses))]), 0, 0)
+	for range s.IntN(3) { // up to 700 ms before the stop
+		addStep([]string{"hangup_node", "spoil_node"}[s.IntN(2)], max(soakFirstFault, at-signalPauses[s.IntN(len(signalPauses))]), 0, 0)
 	}
 	if s.IntN(4) == 0 {
-		add("crowd_node", max(soakFirstFault, at-300*time.Millisecond), soakCrowd, soakHorizon)
+		addStep("crowd_node", max(soakFirstFault, at-300*time.Millisecond), floodConnections, maxRestartTime)
 	}
-	if s.IntN(5) == 0 { // killed outright, and back
-		add("kill_node", at, 0, 0)
-		add("start_node", at+50*time.Millisecond, 0, 0)
+	if s.IntN(5) == 0 { // killed instead of stopped, then started again
+		addStep("kill_node", at, 0, 0)
+		addStep("start_node", at+50*time.Millisecond, 0, 0)
 		return
 	}
 	if s.IntN(2) == 0 {
-		x.Steps = append(x.Steps, s.soakHang(at)...)
+		x.Steps = append(x.Steps, s.soakServerHang(at)...)
 	}
-	add("stop_node", at, 0, 0)
+	addStep("stop_node", at, 0, 0)
 	for range s.IntN(3) {
-		add("hangup_node", at+signalPauses[s.IntN(len(signalPauses))], 0, 0)
+		addStep("hangup_node", at+signalPauses[s.IntN(len(signalPauses))], 0, 0)
 	}
-	for _, holdAt := range s.soakHoldUps(at, time.Second) {
-		add("hold_node", holdAt, 0, soakHoldUp)
+	for _, pauseAt := range s.soakPauses(at, time.Second) {
+		addStep("hold_node", pauseAt, 0, soakPause)
 	}
-	add("start_node", at+time.Millisecond, 0, 0) // once it has ended
+	addStep("start_node", at+time.Millisecond, 0, 0) // takes effect once the node has stopped
 }
 
-// soakOperations draws what operators do to one node: it is replaced by other processes, one after the other, or put on standby and called
-// back; meanwhile it gets other settings and bad ones, and leaves out a server.
+// soakOperations draws operations on one node: either up to three hot restarts or a period on standby, together with reloads of changed or
+// invalid settings, pauses, exclusions of servers and a flood of connections.
 func (s sampler) soakOperations(x *experiment.Experiment, node int) {
-	add := func(action string, at time.Duration, duration tomlfile.Duration) *experiment.Step {
+	addStep := func(action string, at time.Duration, duration tomlfile.Duration) *experiment.Step {
 		x.Steps = append(x.Steps, experiment.Step{Time: tomlfile.Duration(at).Round(time.Millisecond), Action: action, Node: &node, Duration: duration})
 		return &x.Steps[len(x.Steps)-1]
 	}
-	between := func(from, to time.Duration) time.Duration { return from + time.Duration(s.Int64N(int64(to-from))) }
-	at := between(soakFirstFault, lastTakeover)
+	randomBetween := func(from, to time.Duration) time.Duration { return from + time.Duration(s.Int64N(int64(to-from))) }
+	at := randomBetween(soakFirstFault, lastTakeover)
 	if s.IntN(3) == 0 {
-		at = between(soakFirstFault, lastStandby)
-		add("standby_node", at, tomlfile.Duration(soakStandby))
+		at = randomBetween(soakFirstFault, lastStandby)
+		addStep("standby_node", at, tomlfile.Duration(standbyDuration))
 	} else {
-		for i := range 1 + s.IntN(3) { // one waits for the one before
-			add("replace_node", at+time.Duration(i)*signalPauses[s.IntN(len(signalPauses))], 0)
+		for i := range 1 + s.IntN(3) { // each waits for the one before to complete
+			addStep("replace_node", at+time.Duration(i)*signalPauses[s.IntN(len(signalPauses))], 0)
 		}
 	}
 	if s.IntN(2) == 0 {
-		retuneAt := max(soakFirstFault, at+between(-time.Second, time.Second))
-		add("retune_node", retuneAt, ms(1500+2000*s.Float64()))
-		x.Steps = append(x.Steps, experiment.Step{ // writes fail that may be repeated before, and not after
+		retuneAt := max(soakFirstFault, at+randomBetween(-time.Second, time.Second))
+		addStep("retune_node", retuneAt, ms(1500+2000*s.Float64()))
+		x.Steps = append(x.Steps, experiment.Step{ // makes writes fail that may be retried before the reload and not after it
 			Time: tomlfile.Duration(retuneAt).Round(time.Millisecond), Action: []string{"errors", "resets"}[s.IntN(2)], Server: "origin",
-			Value: soakOriginFailures, Duration: tomlfile.Duration(soakStandby),
+			Value: originFailureShare, Duration: tomlfile.Duration(standbyDuration),
 		})
 	}
 	for range s.IntN(3) {
-		add([]string{"hangup_node", "spoil_node"}[s.IntN(2)], max(soakFirstFault, at+between(-time.Second, time.Second)), 0)
+		addStep([]string{"hangup_node", "spoil_node"}[s.IntN(2)], max(soakFirstFault, at+randomBetween(-time.Second, time.Second)), 0)
 	}
-	for _, holdAt := range s.soakHoldUps(at, []time.Duration{soakStartup, time.Second}[s.IntN(2)]) {
-		add("hold_node", holdAt, 0).Delay = tomlfile.Duration(soakHoldUp)
+	for _, pauseAt := range s.soakPauses(at, []time.Duration{successorStartup, time.Second}[s.IntN(2)]) {
+		addStep("hold_node", pauseAt, 0).Delay = tomlfile.Duration(soakPause)
 	}
 	for range s.IntN(3) {
-		step := add("exclude", max(soakFirstFault, at+between(-2*time.Second, time.Second)), ms(1000+3000*s.Float64()))
+		step := addStep("exclude", max(soakFirstFault, at+randomBetween(-2*time.Second, time.Second)), ms(1000+3000*s.Float64()))
 		step.Server = fmt.Sprint("box-", s.IntN(x.CacheCount()))
 	}
 	if s.IntN(3) == 0 {
-		step := add("crowd_node", max(soakFirstFault, at+between(-time.Second, soakStartup)), 0)
-		step.Value, step.Delay = soakCrowd, tomlfile.Duration(soakHorizon)
+		step := addStep("crowd_node", max(soakFirstFault, at+randomBetween(-time.Second, successorStartup)), 0)
+		step.Value, step.Delay = floodConnections, tomlfile.Duration(maxRestartTime)
 	}
 }
 
-// soakHoldUps draws when a node is held up within a time, twice at most. Between two of these it runs for as long as it stood still: one
-// right after the other would be a longer one than the protocol's page allows for.
-func (s sampler) soakHoldUps(from time.Duration, within time.Duration) (times []time.Duration) {
+// soakPauses draws the times of at most two pauses of a node within a period. The node runs for at least soakPause between them, because
+// two consecutive pauses would amount to a longer one than the protocol allows.
+func (s sampler) soakPauses(from time.Duration, within time.Duration) (times []time.Duration) {
 	for range s.IntN(3) {
 		times = append(times, from+time.Duration(s.Int64N(int64(within))))
 	}
 	slices.Sort(times)
 	if len(times) == 2 {
-		times[1] = max(times[1], times[0]+2*soakHoldUp)
+		times[1] = max(times[1], times[0]+2*soakPause)
 	}
 	return times
 }
 
-// soakHang has caches and the origin hang through the whole of a stop.
-func (s sampler) soakHang(stopAt time.Duration) []experiment.Step {
+// soakServerHang makes a share of the caches and the origin hang throughout a stop.
+func (s sampler) soakServerHang(stopAt time.Duration) []experiment.Step {
 	at := tomlfile.Duration(max(soakFirstFault, stopAt-200*time.Millisecond)).Round(time.Millisecond)
 	duration := ms(1000 + 2500*s.Float64())
 	return []experiment.Step{
@@ -236,7 +237,7 @@
 	}
 }
 
-// soakServerFault draws a fault of caches.
+// soakServerFault draws a fault of one cache or of a share of the caches.
 func (s sampler) soakServerFault(x *experiment.Experiment) experiment.Step {
 	step := experiment.Step{
 		Action: soakServerFaults[s.IntN(len(soakServerFaults))],
@@ -250,14 +251,14 @@
 	case "errors", "resets", "half_answers", "spoilt", "lost_answers":
 		step.Value = roundToMilli(0.05 + 0.4*s.Float64())
 	case "slow":
-		step.Value = 30 // longer than an attempt may be silent
+		step.Value = 30 // slows responses beyond the timeout of an attempt
 	case "replace", "reset":
 		step.Duration = 0
 	}
 	return step
 }
 
-// soakSystemFault draws a fault of the discovery service or of clocks.
+// soakSystemFault draws a fault of the discovery service or of the servers' clocks.
 func (s sampler) soakSystemFault() experiment.Step {
 	step := experiment.Step{
 		Action:   soakSystemFaults[s.IntN(len(soakSystemFaults))],
--- a/internal/testbed/faultsearch/soak_test.go
+++ b/internal/testbed/faultsearch/soak_test.go
@@ -8,8 +8,8 @@
 	"mintspring/internal/testbed/syscalltrace"
 )
 
-// Each seed gives a run that can be played with real processes, the same each time; together they have every kind of fault, each series
-// of signals, short deadlines and each effect.
+// Each seed always generates the same valid run, which real processes can execute. Together the runs have every kind of fault and
+// operation, and enough of them have short timeouts.
 func TestGenerateSoak(t *testing.T) {
 	actions, shortDeadlines := map[string]int{}, 0
 	for seed := uint64(1); seed <= 200; seed++ {
@@ -36,7 +36,7 @@
 	}
 }
 
-// generateSoakTwice returns the run of a seed, which can be played and is the same the second time.
+// generateSoakTwice returns the run of a seed after checking that it can be executed and that a second call generates the same steps.
 func generateSoakTwice(t *testing.T, seed uint64) *experiment.Experiment {
 	t.Helper()
 	x, err := GenerateSoak(seed)
--- a/internal/testbed/faultsearch/steps_test.go
+++ b/internal/testbed/faultsearch/steps_test.go
@@ -7,7 +7,7 @@
 	"mintspring/internal/testbed/simulator"
 )
 
-// Every kind of fault that is drawn can be simulated.
+// The simulator supports every kind of fault, and each of them is drawn.
 func TestEveryFaultCanBeSimulated(t *testing.T) {
 	r := DefaultRanges()
 	r.Faults = [2]int{3, 3}
@@ -34,6 +34,6 @@
 		}
 	}
 	if !slices.IsSorted(r.FaultKinds) {
-		t.Error("the kinds have no order, so that a seed does not give one experiment")
+		t.Error("the kinds are not sorted, so a seed does not determine the experiment")
 	}
 }
