--- a/internal/testbed/faultsearch/generate.go
+++ b/internal/testbed/faultsearch/generate.go
@@ -20,7 +20,7 @@
 	settleTime      = 6 * tomlfile.Duration(time.Second)
 	firstFault      = 2 * tomlfile.Duration(time.Second) // earliest fault, after the settling time
 	maxRate         = 2500                               // requests a second
-	queuePerCore    = 50                                 // queue limit of the origin
+	queuePerCore    = 50                                 // queue limit of the origin, per core
 	minCacheObjects = 20
 	minConnections  = 100
 	connsPerNode    = 6
--- a/internal/testbed/faultsearch/soak.go
+++ b/internal/testbed/faultsearch/soak.go
@@ -35,7 +35,7 @@
 	originFailureShare = 0.3
 	floodConnections   = 300                   // more connections than a node has descriptors
 	successorStartup   = 80 * time.Millisecond // approximate time from a successor's start until it serves
-	runsPerOperated    = 3                     // one in this many runs has operations beyond stopping nodes
+	operationsOdds     = 3                     // one in this many runs has operations beyond stopping nodes
 )
 
 // signalPauses are the possible intervals between two signals to a node.
@@ -58,7 +58,7 @@
 	}
 	s.soakFleet(x)
 	operations := sampler{rand.New(rand.NewPCG(seed, operationStream))}
-	hasOperations := operations.IntN(runsPerOperated) == 0
+	hasOperations := operations.IntN(operationsOdds) == 0
 	for node := range x.Nodes.Count {
 		if hasOperations {
 			operations.soakOperations(x, node)
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -56,9 +56,9 @@
 	DuplicateResponse    bool    // a second response arrived
 	WrongKey             bool    // the response had the value of another key
 	ClientClosedAt       float64 // when its client closed the connection without a response; 0: it did not
-	ResentAfterConnEnd   bool    // on a persistent connection, whose client resends requests that cross the end of the connection
+	ResentAfterConnEnd   bool    // the client resends the request on another connection if it crossed the end of this one
 	ConnEndedAt          float64 // when the node ended the connection without a response; 0: it did not
-	ConnEndReason        string  // for violation messages
+	ConnEndReason        string  // how the connection ended, for violation messages
 	NewConnClosedCleanly bool    // the connection was new and closed without a reset, so a node that was not stopping had read the request
 	BecomesStricter      bool    // the class becomes non-idempotent while the node has stricter settings
 	ExtraSlack           float64 // in addition to Evidence.Slack, for stalls of the machine
@@ -107,7 +107,7 @@
 
 // Limits of the protocol, in ms. The slack is added to each.
 const (
-	connEndRaceLimit    = 100 // a connection that ends within this time of a request may have crossed it
+	connEndRaceLimit    = 100 // a request sent at most this long before its connection ended may not have been read
 	clientCloseLimit    = 100 // after a client has closed its connection, until nothing is sent to servers on its behalf
 	deadlineExcessLimit = 150 // by which a deadline forwarded to a server may exceed the client's
 )
--- a/internal/testbed/invariants/operations.go
+++ b/internal/testbed/invariants/operations.go
@@ -8,7 +8,7 @@
 
 // Limits on how long an operation may take to come into effect, in ms.
 const (
-	settingsReloadLimit = 1200 // from the signal until requests have the settings of their new classes
+	settingsReloadLimit = 1200 // from the signal until the reloaded settings must apply
 	takeoverLimit       = 2000 // from the successor's readiness until rule 3 applies again
 )
 
--- a/internal/testbed/servermodel/server.go
+++ b/internal/testbed/servermodel/server.go
@@ -19,8 +19,8 @@
 	ErrorRate   float64 // share of executions that fail immediately
 	Connections int
 	Collapses   int // number of collapses so far
-	// AvoidableShare is the largest share of the load in any collapse that nodes could have avoided sending. At a cache this is work
-	// from nodes that had been notified of its start, at the origin misses of caches that were warming up.
+	// AvoidableShare is the share of an overload that nodes could have avoided, for the collapse where it was largest. At a cache this is
+	// the work from nodes that had been notified of its start. At the origin it is the misses of caches that were warming up.
 	AvoidableShare float64
 
 	queue         workQueue
--- a/internal/testbed/servermodel/servermodel.go
+++ b/internal/testbed/servermodel/servermodel.go
@@ -2,8 +2,8 @@
 // load reports, and the deduplication of writes by idempotency key.
 //
 // It does no I/O and reads no clock: its driver, which uses sockets or a virtual clock, passes in the time and collects the executions
-// that have ended. Times and durations are in ms. Randomness is seeded. The random part of a request's cost
-// depends only on its ID and key, not on the order of arrival. Nothing in the package is safe for concurrent use.
+// that have ended. Times and durations are in ms. Randomness is seeded. The random part of a request's cost depends only on its ID and
+// key, not on the order of arrival. Nothing in the package is safe for concurrent use.
 package servermodel
 
 type (
@@ -90,8 +90,8 @@
 	StartCapacity float64 // share of the full capacity right after a start
 	WarmWithin    float64 // time from a start to full capacity
 
-	OverloadMultiple float64 // a server collapses if the work offered to it exceeds this multiple of its capacity
-	OverloadWindow   float64 // over this time; 0: it never collapses
+	OverloadMultiple float64 // ratio of offered work to capacity above which a server collapses
+	OverloadWindow   float64 // time over which offered work is summed; 0: the server never collapses
 	RecoveryTime     float64 // time from a collapse to recovery; 0: it stays down
 
 	CacheObjects   int     // maximum number of cached objects; 0: no limit
--- a/internal/testbed/servermodel/servermodel_test.go
+++ b/internal/testbed/servermodel/servermodel_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-// A duplicate of a write is dropped within the deduplication window and carried out after it.
+// A duplicate of a write is dropped within the deduplication window and applied after it.
 func TestWritesAreDeduplicatedWithinTheWindow(t *testing.T) {
 	cluster, _, origin := newTestCluster(cacheConfig)
 	isApplied := func(now float64, requestID string) bool {
