--- a/internal/testbed/processrunner/client.go
+++ b/internal/testbed/processrunner/client.go
@@ -20,7 +20,7 @@
 const (
 	// dialTimeout is how long a node may take to accept a connection before it counts as dead.
 	dialTimeout = time.Second
-	// clientBufferBytes is the size of a connection's read buffer.
+	// clientBufferBytes is the size of a client connection's read buffer.
 	clientBufferBytes = 2048
 )
 
@@ -28,7 +28,7 @@
 type client struct {
 	netConn net.Conn
 	reader  *bufio.Reader
-	reused  bool // a command was answered on it before
+	reused  bool // a response has been received on it
 }
 
 // dial connects to a node.
@@ -42,10 +42,10 @@
 
 // close closes the connection.
 func (c *client) close() {
-	_ = c.netConn.Close() // nothing is to be sent on it any more
+	_ = c.netConn.Close() // nothing more is sent on it
 }
 
-// command is one command of the clients' protocol.
+// command is one command of the client protocol.
 type command struct {
 	Key, ID, Options, Value string
 	Write                   bool
@@ -64,30 +64,30 @@
 	return b
 }
 
-// commandOptions returns the options of a command: class, tenant and the time that it has.
+// commandOptions returns the options of a command: its request class, tenant and timeout.
 func commandOptions(class, tenant string, timeoutMs int64) string {
 	return fmt.Sprintf("c=%s,t=%s,d=%d", class, tenant, timeoutMs)
 }
 
-// response is what a node answered.
+// response is a node's response to a command.
 type response struct {
 	Outcome      invariants.Outcome
 	Value        string
-	RetryAfterMs float64 // of a rejection
-	Error        string  // of an abort
+	RetryAfterMs float64 // set for a rejection
+	Error        string  // set for an abort
 }
 
-// exchange is a command with its response, and when each was complete, in Unix ms.
+// exchange is the response to a command, and the Unix times in ms at which the command was fully sent and the response fully read.
 type exchange struct {
 	response
-	sentMs     float64 // 0: it was not sent
+	sentMs     float64 // 0 if the command was not sent
 	answeredMs float64
 }
 
-// errMalformedResponse says that a response does not follow the protocol.
+// errMalformedResponse reports a response that does not follow the protocol.
 var errMalformedResponse = errors.New("malformed response")
 
-// send writes bytes, and has reading and writing end at a deadline. It returns when the last byte was written.
+// send sets the connection's read and write deadline, writes b, and returns the time at which the last byte was written.
 func (c *client) send(b []byte, deadline time.Time) (sentMs float64, err error) {
 	if err := c.netConn.SetDeadline(deadline); err != nil {
 		return 0, err
@@ -96,7 +96,7 @@
 	return fakes.NowMs(), err
 }
 
-// roundTrip sends a command and reads its response until a deadline.
+// roundTrip sends a command and reads its response; both must finish by the deadline.
 func (c *client) roundTrip(cmd *command, deadline time.Time) (exchange, error) {
 	sentMs, err := c.send(cmd.encode(), deadline)
 	if err != nil {
@@ -125,7 +125,7 @@
 	return response{Outcome: invariants.Aborted, Error: line}, nil
 }
 
-// parseError reads an error: "BUSY", perhaps with the time after which to retry in ms, is a rejection.
+// parseError parses an error response. "BUSY", optionally followed by a retry delay in ms, is a rejection; any other error is an abort.
 func parseError(text string) response {
 	fields := strings.Fields(text)
 	if len(fields) == 0 || fields[0] != "BUSY" {
@@ -140,7 +140,7 @@
 	return rejection
 }
 
-// readFirstOfArray reads an array of which the first line has been read, and returns its first element.
+// readFirstOfArray reads an array whose header line has already been read, and returns its first element.
 func readFirstOfArray(r *bufio.Reader, line string) (first string, err error) {
 	count, err := strconv.Atoi(line[1:])
 	if err != nil || count < 1 {
@@ -162,7 +162,7 @@
 	return first, nil
 }
 
-// readLine reads a line without its end. There are no empty ones.
+// readLine reads a line and strips its terminator. An empty line is an error.
 func readLine(r *bufio.Reader) (string, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -174,7 +174,7 @@
 	return line, nil
 }
 
-// readBulk reads a bulk string of which the first line has been read; a null is an empty one.
+// readBulk reads a bulk string whose header line has already been read. A null bulk string is returned as "".
 func readBulk(r *bufio.Reader, line string) (string, error) {
 	const end = "\r\n"
 	length, err := strconv.Atoi(line[1:])
@@ -191,18 +191,18 @@
 	return string(b[:length]), nil
 }
 
-// SingleRequest is one request that a person sends to a node, to try it.
+// SingleRequest is one request sent to a node by hand.
 type SingleRequest struct {
 	Addr           string
 	Class, Tenant  string
 	Key            string
-	Value          string // of a write
+	Value          string // used by writes only
 	Write          bool
-	IdempotencyKey string // of a write; "" for a new one
+	IdempotencyKey string // used by writes only; "" generates one
 	Timeout        time.Duration
 }
 
-// Send sends the request and returns the value that came back. A rejection or an abort is an error.
+// Send sends the request and returns the value in the response. A rejection or an abort is an error.
 func (s *SingleRequest) Send() (string, error) {
 	c, err := dial(s.Addr)
 	if err != nil {
--- a/internal/testbed/processrunner/clientpool.go
+++ b/internal/testbed/processrunner/clientpool.go
@@ -10,20 +10,20 @@
 	"mintspring/internal/testbed/fakes"
 )
 
-// probeInterval is the time between two looks at a dead node.
+// probeInterval is the delay before a dead node that failed a probe can be probed again.
 const probeInterval = 50 * time.Millisecond
 
-// descriptorShare is the share of a node's descriptors that clients hold for requests at most, by the operators' service page.
-const descriptorShare = 1.0 / 3
+// maxDescriptorShare is the largest share of a node's file descriptors that clients may use for requests, as the operators' service page
+// states.
+const maxDescriptorShare = 1.0 / 3
 
-// errNoNode says that clients may use no connection more: they hold all that they may hold for requests, or nodes are on standby.
-var errNoNode = errors.New("each node is on standby, or clients hold a third of its descriptors for requests")
+// errNoConnectionAllowed reports that no node accepts another client connection: each is on standby or has reached its connection limit.
+var errNoConnectionAllowed = errors.New("every node is on standby or has reached its limit of client connections")
 
-// clientPool keeps the clients' connections to nodes, as a load balancer in front of the nodes would. It may be used from any
-// goroutine.
+// clientPool keeps the clients' connections to nodes, as a load balancer in front of the nodes would. It is safe for concurrent use.
 type clientPool struct {
 	addrs    []string // by node
-	maxInUse int      // connections to one node that are in use at a time; 0: no limit
+	maxInUse int      // limit of connections in use per node; 0 for no limit
 
 	mu       sync.Mutex // guards the fields below
 	inUse    []int      // by node
@@ -32,21 +32,22 @@
 }
 
 func newClientPool(addrs []string, failureNotice time.Duration, weights []int) *clientPool {
-	noticeMs := float64(failureNotice) / float64(time.Millisecond)
+	failureNoticeMs := float64(failureNotice) / float64(time.Millisecond)
 	return &clientPool{
-		addrs: addrs, balancer: experiment.NewNodeBalancer(len(addrs), noticeMs, weights),
+		addrs: addrs, balancer: experiment.NewNodeBalancer(len(addrs), failureNoticeMs, weights),
 		idle: make([][]*client, len(addrs)), inUse: make([]int, len(addrs)),
 	}
 }
 
-// limitInUse keeps clients to their share of the nodes' descriptors, of which some are in use by others.
-func (p *clientPool) limitInUse(descriptors, others int) {
-	p.maxInUse = max(1, int(descriptorShare*float64(descriptors))-others)
+// limitInUse limits the pool's connections to each node to the clients' share of its descriptors, less those reserved for other clients.
+func (p *clientPool) limitInUse(descriptors, reserved int) {
+	p.maxInUse = max(1, int(maxDescriptorShare*float64(descriptors))-reserved)
 }
 
-// get returns a connection to the node that is picked next; a new one is never one that was used before. The caller has to release it.
-func (p *clientPool) get(fresh bool) (node int, c *client, err error) {
-	node, c, err = p.pick(fresh)
+// get returns a connection to the next node picked by the balancer. With requireNew it opens a connection instead of reusing an idle one.
+// The caller must call release, unless get returns an error.
+func (p *clientPool) get(requireNew bool) (node int, c *client, err error) {
+	node, c, err = p.pick(requireNew)
 	if c != nil || err != nil {
 		return node, c, err
 	}
@@ -57,50 +58,50 @@
 	return node, c, err
 }
 
-// release ends the use of a connection.
+// release decrements the number of connections in use to a node.
 func (p *clientPool) release(node int) {
 	p.mu.Lock()
 	p.inUse[node]--
 	p.mu.Unlock()
 }
 
-// pick picks a node on which clients may use one connection more, with an idle connection to it if there is one and it need not be a fresh
-// one.
-func (p *clientPool) pick(fresh bool) (node int, c *client, err error) {
+// pick picks a node that is below its connection limit and counts a connection to it as in use. Unless requireNew is set, it also returns
+// an idle connection to the node if there is one.
+func (p *clientPool) pick(requireNew bool) (node int, c *client, err error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for range p.addrs {
-		node = p.pickNode(fresh)
+		node = p.pickNode(requireNew)
 		isFull := p.maxInUse > 0 && p.inUse[node] >= p.maxInUse
-		if isFull || p.balancer.OnStandby(node) && (fresh || len(p.idle[node]) == 0) {
+		if isFull || p.balancer.OnStandby(node) && (requireNew || len(p.idle[node]) == 0) {
 			continue
 		}
 		p.inUse[node]++
-		if last := len(p.idle[node]) - 1; last >= 0 && !fresh {
+		if last := len(p.idle[node]) - 1; last >= 0 && !requireNew {
 			c, p.idle[node] = p.idle[node][last], p.idle[node][:last]
 		}
 		return node, c, nil
 	}
-	return node, nil, errNoNode
+	return node, nil, errNoConnectionAllowed
 }
 
-// pickNode picks a node and has dead ones probed. Called with the mutex held.
-func (p *clientPool) pickNode(fresh bool) int {
-	node, probe := p.balancer.Pick(fakes.NowMs(), func(node int) bool { return !fresh && len(p.idle[node]) > 0 })
-	for _, dead := range probe {
-		go p.probe(dead) // ends within the timeouts of a probe
+// pickNode picks a node and starts probes of the dead nodes that the balancer wants probed. Called with the mutex held.
+func (p *clientPool) pickNode(requireNew bool) int {
+	node, toProbe := p.balancer.Pick(fakes.NowMs(), func(node int) bool { return !requireNew && len(p.idle[node]) > 0 })
+	for _, dead := range toProbe {
+		go p.probe(dead) // bounded by the timeouts of a ping
 	}
 	return node
 }
 
-// setStandby has a node take no new connections, or take them again.
+// setStandby sets whether a node is on standby and so accepts no new connections.
 func (p *clientPool) setStandby(node int, standby bool) {
 	p.mu.Lock()
 	p.balancer.SetStandby(node, standby)
 	p.mu.Unlock()
 }
 
-// onStandby reports whether a node takes no new connections.
+// onStandby reports whether a node is on standby and so accepts no new connections.
 func (p *clientPool) onStandby(node int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -118,7 +119,7 @@
 	p.mu.Unlock()
 }
 
-// markFailed records that a node could not be reached, and closes the connections to it.
+// markFailed records that a node could not be reached, and closes the idle connections to it.
 func (p *clientPool) markFailed(node int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -129,20 +130,20 @@
 	p.idle[node] = nil
 }
 
-// put takes a connection back on which a response came, or closes it.
-func (p *clientPool) put(node int, c *client, drop bool) {
+// put returns a connection to the pool after a response, or closes it if closeConn is set.
+func (p *clientPool) put(node int, c *client, closeConn bool) {
 	c.reused = true
 	p.mu.Lock()
 	p.balancer.MarkHealthy(node)
-	if !drop {
+	if !closeConn {
 		p.idle[node] = append(p.idle[node], c)
 	}
 	p.mu.Unlock()
-	if !drop {
+	if !closeConn {
 		return
 	}
 	if tcp, ok := c.netConn.(*net.TCPConn); ok {
-		_ = tcp.SetLinger(0) // a port in TIME_WAIT for each request would use them up; fails only if it is closed
+		_ = tcp.SetLinger(0) // avoids TIME_WAIT, which would exhaust the local ports; fails only on a closed connection
 	}
 	c.close()
 }
--- a/internal/testbed/processrunner/faultynode_test.go
+++ b/internal/testbed/processrunner/faultynode_test.go
@@ -39,7 +39,7 @@
 type faultyNode struct {
 	fault      nodeFault
 	httpClient http.Client
-	caches     []string // in the order of the first list, whatever discovery says later
+	caches     []string // as first listed; later changes are ignored
 	origin     string
 
 	done  chan struct{}
@@ -62,7 +62,7 @@
 		if err := n.readList(config.Discovery); err != nil {
 			return nil, err
 		}
-		go n.watch(config.Discovery)
+		go n.watchList(config.Discovery)
 		go n.acceptLoop(listener)
 		return func() { n.stop(listener) }, nil
 	}
@@ -82,16 +82,16 @@
 }
 
 func (n *faultyNode) stop(listener net.Listener) {
-	_ = listener.Close() // no more clients come whatever it says
+	_ = listener.Close() // the node stops even if closing fails
 	close(n.done)
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for conn := range n.conns {
-		_ = conn.Close() // its client may have closed it
+		_ = conn.Close() // serve may have closed it already
 	}
 }
 
-// readList reads the list of servers once.
+// readList reads the endpoint list once.
 func (n *faultyNode) readList(discovery string) (err error) {
 	response, err := n.httpClient.Get("http://" + discovery + "/catalog/members")
 	if err != nil {
@@ -117,8 +117,8 @@
 	return nil
 }
 
-// watch is notified of changes of the list and ignores them.
-func (n *faultyNode) watch(discovery string) {
+// watchList subscribes to changes of the endpoint list and ignores them.
+func (n *faultyNode) watchList(discovery string) {
 	ctx, stop := context.WithCancel(context.Background())
 	go func() {
 		<-n.done
@@ -132,23 +132,23 @@
 	if err != nil {
 		return
 	}
-	defer func() { _ = response.Body.Close() }() // the watch is over
-	_, _ = io.Copy(io.Discard, response.Body)    // until the node is stopped
+	defer func() { _ = response.Body.Close() }() // the watch has ended by then
+	_, _ = io.Copy(io.Discard, response.Body)    // returns when the node is stopped
 }
 
 // serve answers the commands of one client.
 func (n *faultyNode) serve(conn net.Conn) {
-	defer func() { _ = conn.Close() }() // its client may have closed it
+	defer func() { _ = conn.Close() }() // stop may have closed it already
 	reader := redcon.NewReader(conn)
-	for number := 0; ; number++ {
-		words, err := reader.ReadCommand()
+	for requestNumber := 0; ; requestNumber++ {
+		parsed, err := reader.ReadCommand()
 		if err != nil {
 			return
 		}
 		answer := []byte(pingResponse)
-		if len(words.Args) >= 4 {
-			cmd := &command{Key: string(words.Args[1]), ID: string(words.Args[2]), Options: string(words.Args[3]), Write: len(words.Args) > 4}
-			answer = n.answer(cmd, number)
+		if len(parsed.Args) >= 4 {
+			cmd := &command{Key: string(parsed.Args[1]), ID: string(parsed.Args[2]), Options: string(parsed.Args[3]), Write: len(parsed.Args) > 4}
+			answer = n.answer(cmd, requestNumber)
 		}
 		if _, err := conn.Write(answer); err != nil {
 			return
@@ -156,10 +156,10 @@
 	}
 }
 
-// answer carries a command out and returns what the client gets.
-func (n *faultyNode) answer(cmd *command, number int) []byte {
-	isFifth := number%5 == 0
-	value := n.execute(cmd, number)
+// answer executes a command and returns the bytes to send to the client.
+func (n *faultyNode) answer(cmd *command, requestNumber int) []byte {
+	isFifth := requestNumber%5 == 0
+	value := n.execute(cmd, requestNumber)
 	if isFifth && n.fault == answersLate {
 		time.Sleep(800 * time.Millisecond)
 	}
@@ -179,8 +179,8 @@
 	return answer
 }
 
-// execute reads from a cache and then the origin, or writes at the origin.
-func (n *faultyNode) execute(cmd *command, number int) (value string) {
+// execute reads from a cache and, on a miss, from the origin, or writes to the origin.
+func (n *faultyNode) execute(cmd *command, requestNumber int) (value string) {
 	if cmd.Write {
 		value = n.callOrigin(cmd)
 		if n.fault == doublesWrites {
@@ -189,31 +189,31 @@
 		return value
 	}
 	if n.fault == overloadsCache {
-		for range 20 { // each read is many at the first cache
-			go n.readCache(n.caches[0], &command{Key: cmd.Key, ID: fmt.Sprint(cmd.ID, number), Options: cmd.Options})
+		for range 20 { // each read causes 20 more at the first cache
+			go n.readCache(n.caches[0], &command{Key: cmd.Key, ID: fmt.Sprint(cmd.ID, requestNumber), Options: cmd.Options})
 		}
 	}
-	if value = n.readCache(n.caches[number%len(n.caches)], cmd); value == "" {
+	if value = n.readCache(n.caches[requestNumber%len(n.caches)], cmd); value == "" {
 		value = n.callOrigin(cmd)
 	}
 	return value
 }
 
-// readCache returns the value that a cache has, "" for none.
+// readCache returns the value in a cache, or "" on a miss or an error.
 func (n *faultyNode) readCache(addr string, cmd *command) string {
 	c, err := dial(addr)
 	if err != nil {
 		return ""
 	}
 	defer c.close()
-	x, err := c.roundTrip(cmd, time.Now().Add(500*time.Millisecond))
-	if err != nil || x.Outcome != invariants.Completed {
+	result, err := c.roundTrip(cmd, time.Now().Add(500*time.Millisecond))
+	if err != nil || result.Outcome != invariants.Completed {
 		return ""
 	}
-	return x.Value
+	return result.Value
 }
 
-// callOrigin reads or writes at the origin and returns the value, "" for none.
+// callOrigin reads from or writes to the origin and returns the value, or "" on an error.
 func (n *faultyNode) callOrigin(cmd *command) string {
 	method := http.MethodGet
 	if cmd.Write {
@@ -229,7 +229,7 @@
 	if err != nil {
 		return ""
 	}
-	defer func() { _ = response.Body.Close() }() // it has been read
+	defer func() { _ = response.Body.Close() }() // the body has been read by then
 	text, err := io.ReadAll(response.Body)
 	if err != nil || response.StatusCode != http.StatusOK {
 		return ""
@@ -237,10 +237,10 @@
 	return string(text)
 }
 
-// maxBusyRuns is how often a run is repeated on a machine that is too busy for it.
+// maxBusyRuns is the largest number of runs per fault when the machine is too busy for a valid one.
 const maxBusyRuns = 3
 
-// A node that breaks a rule is found from outside, and one that does the same without breaking it is not.
+// The invariant checks detect each fault of a node by observing only clients and servers, and report nothing for a node without a fault.
 func TestFaultyNodesAreFound(t *testing.T) {
 	drain := "[[at]]\ntime = \"300ms\"\ndo = \"drain\"\nbox = \"box-0\"\n"
 	restart := "[[at]]\ntime = \"100ms\"\ndo = \"kill\"\nbox = \"box-0\"\nfor = \"200ms\"\n"
@@ -256,12 +256,12 @@
 	} {
 		t.Run(string(fault), func(t *testing.T) {
 			t.Parallel()
-			text := strings.Replace(small(t), "count = 3", "count = 3\nfall_after = \"500ms\"\nroom = 2000\nconnections = 4000", 1)
+			text := strings.Replace(smallExperiment(t), "count = 3", "count = 3\nfall_after = \"500ms\"\nroom = 2000\nconnections = 4000", 1)
 			text = strings.Replace(text, "[fleet]", "[fleet]\ndiscovery_late = \"10ms\"", 1)
-			run, found := playFaulty(t, parse(t, text+c.steps), fault)
+			run, found := playWithFault(t, parseExperiment(t, text+c.steps), fault)
 			isValid := run.Verdict(true).IsValid
 			for i := 1; i < maxBusyRuns && !isValid && !strings.Contains(found, c.want); i++ {
-				run, found = playFaulty(t, parse(t, text+c.steps), fault)
+				run, found = playWithFault(t, parseExperiment(t, text+c.steps), fault)
 				isValid = run.Verdict(true).IsValid
 			}
 			if !isValid {
@@ -276,10 +276,10 @@
 	}
 }
 
-// playFaulty plays an experiment with faulty nodes and returns the violations as text.
-func playFaulty(t *testing.T, x *experiment.Experiment, fault nodeFault) (run *experiment.Run, found string) {
+// playWithFault runs an experiment with faulty nodes and returns the violations as text.
+func playWithFault(t *testing.T, x *experiment.Experiment, fault nodeFault) (run *experiment.Run, found string) {
 	t.Helper()
-	run = play(t, x, serveFaulty(fault))
+	run = playInProcess(t, x, serveFaulty(fault))
 	for _, v := range run.Violations {
 		found += v.String() + "\n"
 	}
--- a/internal/testbed/processrunner/inprocess.go
+++ b/internal/testbed/processrunner/inprocess.go
@@ -13,7 +13,7 @@
 	"mintspring/internal/node"
 )
 
-// ServeInProcess is a ServeFunc that runs the real node within this process. It logs nothing.
+// ServeInProcess is a ServeFunc that runs the real node within this process, with logging disabled.
 func ServeInProcess(file string, listener net.Listener) (stop func(), err error) {
 	config, err := platform.Load(func(name string) string {
 		if name == "LB_CONFIG" {
@@ -28,12 +28,12 @@
 	log.SetOutput(io.Discard)
 	n := node.New(config.NodeConfig(), log)
 	served := make(chan struct{})
-	go func() { // ends when the node is stopped
+	go func() { // ends when stop is called
 		defer close(served)
-		_ = n.Serve(listener) // it ends with an error when the listener is closed
+		_ = n.Serve(listener) // returns an error once the listener is closed
 	}()
 	return func() {
-		_ = listener.Close() // no more clients come whatever it says
+		_ = listener.Close() // the node stops even if closing fails
 		n.Stop(0, time.Second)
 		<-served
 	}, nil
--- a/internal/testbed/processrunner/loadgenerator.go
+++ b/internal/testbed/processrunner/loadgenerator.go
@@ -17,16 +17,16 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// progressEvery is after how many arrivals progress is reported.
-const progressEvery = 64
+// arrivalsPerProgressReport is the number of arrivals between two progress reports.
+const arrivalsPerProgressReport = 64
 
-// loadGenerator is the clients of one run.
+// loadGenerator generates the load of one run, and records its attempts and requests.
 type loadGenerator struct {
 	experiment     *experiment.Experiment
 	traffic        *experiment.TrafficGenerator
 	clients        *clientPool
-	rateFactorBits atomic.Uint64 // a float64: the multiple of the rate that steps have set
-	value          string        // what writes write
+	rateFactorBits atomic.Uint64 // bits of a float64: the factor that timeline steps apply to the configured rate
+	value          string        // the value that writes send
 	running        sync.WaitGroup
 
 	mu       sync.Mutex // guards the fields below
@@ -46,7 +46,7 @@
 
 func (l *loadGenerator) rateFactor() float64 { return math.Float64frombits(l.rateFactorBits.Load()) }
 
-// run sends requests until a time, and returns when all of them have ended. Arrivals do not wait for responses.
+// run sends requests until the given time, and returns when all of them have ended. Arrivals do not wait for responses.
 func (l *loadGenerator) run(from, until time.Time, progress func(done float64)) {
 	due := from
 	for count := 0; ; count++ {
@@ -57,7 +57,7 @@
 		if wait := time.Until(due); wait > 0 {
 			time.Sleep(wait)
 		}
-		if progress != nil && count%progressEvery == 0 {
+		if progress != nil && count%arrivalsPerProgressReport == 0 {
 			progress(float64(due.Sub(from)) / float64(until.Sub(from)))
 		}
 		request := l.traffic.NextRequest(unixMs(due))
@@ -67,21 +67,21 @@
 	l.running.Wait()
 }
 
-// startPersistentClients starts, for each node, clients that go on using one connection as long as it stays open. They end at a time.
+// startPersistentClients starts persistent clients for each node. They run until the given time.
 func (l *loadGenerator) startPersistentClients(seed uint64, until time.Time) {
-	for node, addr := range l.clients.addrs {
-		for i := range l.experiment.Load.PersistentClients {
+	for nodeIndex, addr := range l.clients.addrs {
+		for clientIndex := range l.experiment.Load.PersistentClients {
 			p := &persistentClient{
-				load: l, node: servermodel.NodeID(node), addr: addr,
-				traffic: experiment.NewTrafficGenerator(l.experiment, seed+persistentSeeds+uint64(node<<persistentNodeBits+i)),
-				random:  rand.New(rand.NewPCG(seed, uint64(node<<persistentNodeBits+i))),
+				load: l, node: servermodel.NodeID(nodeIndex), addr: addr,
+				traffic: experiment.NewTrafficGenerator(l.experiment, seed+persistentSeedOffset+uint64(nodeIndex<<clientIndexBits+clientIndex)),
+				random:  rand.New(rand.NewPCG(seed, uint64(nodeIndex<<clientIndexBits+clientIndex))),
 			}
 			l.running.Go(func() { p.run(until) })
 		}
 	}
 }
 
-// runRequest sends a request and, where its class allows that, its retries.
+// runRequest sends a request and, if its request class allows them, its retries.
 func (l *loadGenerator) runRequest(r *experiment.GeneratedRequest) {
 	for {
 		attempt, answer := l.sendAttempt(r)
@@ -96,10 +96,10 @@
 	l.mu.Unlock()
 }
 
-// msDuration converts ms to a duration.
+// msDuration converts milliseconds to a duration.
 func msDuration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// command returns what is sent for an attempt.
+// command returns the command of an attempt.
 func (l *loadGenerator) command(r *experiment.GeneratedRequest, id string) *command {
 	class := &l.experiment.Classes[r.Class]
 	timeoutMs := int64(l.experiment.AttemptTimeoutMs(r.Class))
@@ -116,7 +116,7 @@
 	return cmd
 }
 
-// sendAttempt makes the next attempt of a request, at the first node that can be reached.
+// sendAttempt makes the next attempt of a request, at the first node that can be reached within experiment.MaxConnects connections.
 func (l *loadGenerator) sendAttempt(r *experiment.GeneratedRequest) (invariants.ClientAttempt, response) {
 	attempt := l.traffic.NewAttempt(r, fakes.NowMs())
 	cmd := l.command(r, attempt.ID)
@@ -132,42 +132,43 @@
 	return attempt, answer
 }
 
-// sendOnce sends a command on one connection. It reports whether the client sends it again on another one: it was not sent, or crossed
-// the end of a connection that the node closed between two commands.
-func (l *loadGenerator) sendOnce(r *experiment.GeneratedRequest, attempt *invariants.ClientAttempt, cmd *command, isFirst bool) (answer response, sendAgain bool) {
-	node, c, err := l.clients.get(!isFirst)
-	if err != nil { // the node is dead, the machine is short of ports, or clients hold all that they may
+// sendOnce sends a command on one connection. It reports whether to send the command again on another connection: either it was not sent,
+// or the node closed an idle reused connection while the command was in transit.
+func (l *loadGenerator) sendOnce(r *experiment.GeneratedRequest, attempt *invariants.ClientAttempt, cmd *command, isFirstConnection bool) (answer response, sendAgain bool) {
+	node, c, err := l.clients.get(!isFirstConnection)
+	if err != nil { // the node is dead, the machine has no free port, or the clients have reached their connection limit
 		return response{}, true
 	}
 	defer l.clients.release(node)
 	timeoutMs := l.experiment.AttemptTimeoutMs(r.Class)
-	x, err := c.roundTrip(cmd, time.Now().Add(msDuration(timeoutMs+clientGraceMs(l.experiment))))
+	result, err := c.roundTrip(cmd, time.Now().Add(msDuration(timeoutMs+clientGraceMs(l.experiment))))
 	attempt.Node = servermodel.NodeID(node)
-	attempt.FromOpenConnection, attempt.ConnEndedAt, attempt.EndedBy = false, 0, "" // of the connection before
-	if x.sentMs == 0 {
+	attempt.FromOpenConnection, attempt.ConnEndedAt, attempt.EndedBy = false, 0, "" // drop the values of the previous connection
+	if result.sentMs == 0 {
 		c.close()
 		l.clients.markFailed(node)
-		return x.response, true
+		return result.response, true
 	}
-	attempt.Sent, attempt.Deadline = x.sentMs, x.sentMs+timeoutMs
+	attempt.Sent, attempt.Deadline = result.sentMs, result.sentMs+timeoutMs
 	if err != nil {
 		c.close()
 		if errors.Is(err, os.ErrDeadlineExceeded) {
-			return x.response, false
+			return result.response, false
 		}
-		attempt.ConnEndedAt = x.answeredMs
-		attempt.EndedBy = fmt.Sprintf("%v, used before: %v, first connection: %v", err, c.reused, isFirst)
-		// A node that was killed may have carried the request on; one that is up has closed between two requests.
-		if c.reused && isFirst && isAlive(l.clients.addrs[node]) {
+		attempt.ConnEndedAt = result.answeredMs
+		attempt.EndedBy = fmt.Sprintf("%v, used before: %v, first connection: %v", err, c.reused, isFirstConnection)
+		// A node that is still alive closed the idle connection, so the command can be sent again. A killed node may have executed the
+		// request.
+		if c.reused && isFirstConnection && isAlive(l.clients.addrs[node]) {
 			attempt.FromOpenConnection = true
-			return x.response, true
+			return result.response, true
 		}
 		l.clients.markFailed(node)
-		return x.response, false
+		return result.response, false
 	}
-	attempt.Outcome, attempt.AnsweredAt = x.Outcome, x.answeredMs
+	attempt.Outcome, attempt.AnsweredAt = result.Outcome, result.answeredMs
 	attempt.DuplicateResponse = c.reader.Buffered() > 0
-	attempt.WrongKey = x.Outcome == invariants.Completed && !experiment.IsValueOf(x.Value, r.Key)
+	attempt.WrongKey = result.Outcome == invariants.Completed && !experiment.IsValueOf(result.Value, r.Key)
 	l.clients.put(node, c, attempt.DuplicateResponse || l.experiment.Load.DropsConnections())
-	return x.response, false
+	return result.response, false
 }
--- a/internal/testbed/processrunner/loadtest.go
+++ b/internal/testbed/processrunner/loadtest.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// maxPendingArrivals is how many arrivals may wait for a free client.
+	// maxPendingArrivals is the largest number of arrivals waiting for a free client.
 	maxPendingArrivals = 1 << 14
-	// loadTestArrivalStream separates the arrivals' random numbers from those of clients.
+	// loadTestArrivalStream is the random number stream of arrivals. The clients use streams 0 and up.
 	loadTestArrivalStream = 99
-	// progressInterval is the time between two reports of progress.
+	// progressInterval is the time between two progress reports of a test without a rate.
 	progressInterval = 100 * time.Millisecond
 )
 
-// LoadTest is a plain load on one address, for the command line.
+// LoadTest generates reads against one address, without an experiment.
 type LoadTest struct {
 	Addr     string
-	Rate     float64 // arrivals a second, which do not wait for responses; 0: each client sends as soon as it has its response
+	Rate     float64 // arrivals per second, independent of responses; 0: each client sends its next request once it has a response
 	Clients  int
 	Duration time.Duration
 	Class    string
@@ -34,35 +34,35 @@
 	Progress func(done float64)
 }
 
-// LoadTestResult is what came of a load test.
+// LoadTestResult holds the request counts and latency percentiles of a load test.
 type LoadTestResult struct {
 	Sent                         int64
 	Completed, Rejected, Aborted int64
 	Unanswered, WrongKey         int64
-	PerSecond                    float64
+	RequestsPerSecond            float64
 	P50, P99, P999               float64 // ms
 }
 
-// String says it in one line.
+// String formats the result as one line.
 func (r LoadTestResult) String() string {
 	return fmt.Sprintf("%d requests, %.0f a second: %d completed, %d rejected, %d aborted, %d unanswered, %d with a wrong value; p50 %.2f ms, p99 %.2f ms, p99.9 %.2f ms",
-		r.Sent, r.PerSecond, r.Completed, r.Rejected, r.Aborted, r.Unanswered, r.WrongKey, r.P50, r.P99, r.P999)
+		r.Sent, r.RequestsPerSecond, r.Completed, r.Rejected, r.Aborted, r.Unanswered, r.WrongKey, r.P50, r.P99, r.P999)
 }
 
-// add sums up what two clients have seen. Rates and latencies are left out.
-func (r *LoadTestResult) add(o *LoadTestResult) {
-	r.Sent += o.Sent
-	r.Completed, r.Rejected, r.Aborted = r.Completed+o.Completed, r.Rejected+o.Rejected, r.Aborted+o.Aborted
-	r.Unanswered, r.WrongKey = r.Unanswered+o.Unanswered, r.WrongKey+o.WrongKey
+// add adds the counts of another client's result. Rates and latencies are not combined.
+func (r *LoadTestResult) add(other *LoadTestResult) {
+	r.Sent += other.Sent
+	r.Completed, r.Rejected, r.Aborted = r.Completed+other.Completed, r.Rejected+other.Rejected, r.Aborted+other.Aborted
+	r.Unanswered, r.WrongKey = r.Unanswered+other.Unanswered, r.WrongKey+other.WrongKey
 }
 
-// Run plays the load test.
+// Run runs the load test. It fails only if the address cannot be reached at the start.
 func (t *LoadTest) Run() (LoadTestResult, error) {
-	first, err := dial(t.Addr)
+	probe, err := dial(t.Addr)
 	if err != nil {
 		return LoadTestResult{}, fmt.Errorf("connecting to %s: %w", t.Addr, err)
 	}
-	first.close()
+	probe.close()
 	start := time.Now()
 	end := start.Add(t.Duration)
 	seed := uint64(start.UnixNano())
@@ -86,12 +86,12 @@
 		result.add(&c.result)
 		latencies.Merge(c.latencies)
 	}
-	result.PerSecond = float64(result.Sent) / time.Since(start).Seconds()
+	result.RequestsPerSecond = float64(result.Sent) / time.Since(start).Seconds()
 	result.P50, result.P99, result.P999 = latencies.Quantile(50), latencies.Quantile(99), latencies.Quantile(99.9)
 	return result, nil
 }
 
-// generateArrivals sends the times of arrivals, in Unix ms, until the end.
+// generateArrivals sends the times of arrivals, in Unix ms, to the clients until the end.
 func (t *LoadTest) generateArrivals(arrivals chan<- float64, start, end time.Time, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, loadTestArrivalStream))
 	for due := start; due.Before(end); due = due.Add(time.Duration(rng.ExpFloat64() / t.Rate * float64(time.Second))) {
@@ -103,7 +103,7 @@
 	}
 }
 
-// reportProgress reports progress until the end.
+// reportProgress reports progress periodically until the end. Without a progress function it returns at once.
 func (t *LoadTest) reportProgress(start, end time.Time) {
 	for t.Progress != nil && time.Now().Before(end) {
 		time.Sleep(progressInterval)
@@ -111,13 +111,13 @@
 	}
 }
 
-// loadTestClient is one client of a load test. One goroutine uses it.
+// loadTestClient is one client of a load test. It is used by one goroutine only.
 type loadTestClient struct {
 	test      *LoadTest
 	idPrefix  string
 	requests  int
 	rng       *rand.Rand
-	conn      *client // nil while there is none
+	conn      *client // nil while not connected
 	result    LoadTestResult
 	latencies *experiment.Latencies
 }
@@ -129,7 +129,7 @@
 	}
 }
 
-// run sends a request for each arrival or, where arrivals have no rate, one after the other until the end.
+// run sends a request for each arrival or, without a rate, one request after another until the end.
 func (c *loadTestClient) run(arrivals <-chan float64, end time.Time) {
 	if c.test.Rate > 0 {
 		for dueMs := range arrivals {
@@ -137,7 +137,7 @@
 		}
 	} else {
 		for time.Now().Before(end) {
-			c.send(dueAtOnce)
+			c.send(dueImmediately)
 		}
 	}
 	if c.conn != nil {
@@ -145,10 +145,10 @@
 	}
 }
 
-// dueAtOnce is the time of an arrival that is due as soon as there is a connection.
-const dueAtOnce = 0
+// dueImmediately marks an arrival that is due as soon as the client is connected.
+const dueImmediately = 0
 
-// send sends one request.
+// send sends one read of a random key and records its outcome.
 func (c *loadTestClient) send(dueMs float64) {
 	if c.conn == nil {
 		conn, err := dial(c.test.Addr)
@@ -158,7 +158,7 @@
 		}
 		c.conn = conn
 	}
-	if dueMs == dueAtOnce {
+	if dueMs == dueImmediately {
 		dueMs = fakes.NowMs()
 	}
 	c.requests++
@@ -166,7 +166,7 @@
 		Key: fmt.Sprintf("key-%d", c.rng.IntN(max(1, c.test.Keys))), ID: fmt.Sprintf("%s%08x", c.idPrefix, c.requests),
 		Options: commandOptions(c.test.Class, c.test.Tenant, c.test.Timeout.Milliseconds()),
 	}
-	x, err := c.conn.roundTrip(cmd, time.Now().Add(c.test.Timeout+msDuration(experiment.ClientGraceMs)))
+	result, err := c.conn.roundTrip(cmd, time.Now().Add(c.test.Timeout+msDuration(experiment.ClientGraceMs)))
 	c.result.Sent++
 	if err != nil {
 		c.result.Unanswered++
@@ -174,11 +174,11 @@
 		c.conn = nil
 		return
 	}
-	c.latencies.Record(x.answeredMs - dueMs)
-	switch x.Outcome {
+	c.latencies.Record(result.answeredMs - dueMs)
+	switch result.Outcome {
 	case invariants.Completed:
 		c.result.Completed++
-		if !strings.HasPrefix(x.Value, cmd.Key) {
+		if !strings.HasPrefix(result.Value, cmd.Key) {
 			c.result.WrongKey++
 		}
 	case invariants.Rejected:
--- a/internal/testbed/processrunner/nodecalls.go
+++ b/internal/testbed/processrunner/nodecalls.go
@@ -10,44 +10,44 @@
 )
 
 const (
-	// callTimeout is how long a node may take to answer on its admin address, or a ping.
+	// callTimeout is how long a node may take to answer an admin command or a ping.
 	callTimeout = time.Second
-	// pingDialTimeout is how long a node may take to accept the connection of a ping.
+	// pingDialTimeout is how long a node may take to accept the connection for a ping.
 	pingDialTimeout = 200 * time.Millisecond
 )
 
-// Pings of the clients' protocol.
+// Ping command and response of the client protocol.
 const (
 	pingCommand  = "*1\r\n$4\r\nPING\r\n"
-	pingResponse = "+PONG\r\n" // of a node that serves
+	pingResponse = "+PONG\r\n" // sent by a node that is serving
 )
 
-// adminCall sends a line to the admin address of the process that serves, and returns the answer.
-func (n *nodeRunner) adminCall(line string) (string, error) {
+// callServingAdmin sends a line to the admin address of the serving process, and returns the answer.
+func (n *nodeRunner) callServingAdmin(line string) (string, error) {
 	n.mu.Lock()
 	addr := n.servingAdmin
 	n.mu.Unlock()
 	return n.callAdmin(addr, line)
 }
 
-// callAdmin sends a line to an admin address of the node, and returns the answer.
+// callAdmin sends a line to the given admin address of the node, and returns the answer. Any answer but "OK..." is an error.
 func (n *nodeRunner) callAdmin(addr, line string) (string, error) {
 	conn, err := net.DialTimeout("tcp4", addr, callTimeout)
 	if err != nil {
 		return "", err
 	}
-	answer, err := callOn(conn, line+"\n")
+	answer, err := writeAndReadAll(conn, line+"\n")
 	if err = errors.Join(err, conn.Close()); err != nil {
 		return answer, err
 	}
 	if !strings.HasPrefix(answer, "OK") {
-		return answer, fmt.Errorf("node %d answers %s with %q", n.index, line, answer)
+		return answer, fmt.Errorf("node %d answered admin command %q with %q", n.index, line, answer)
 	}
 	return answer, nil
 }
 
-// callOn writes a text and reads all that comes back.
-func callOn(conn net.Conn, text string) (string, error) {
+// writeAndReadAll writes a text and reads until the peer closes the connection.
+func writeAndReadAll(conn net.Conn, text string) (string, error) {
 	if err := conn.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return "", err
 	}
@@ -58,29 +58,29 @@
 	return string(answer), err
 }
 
-// isServing reports whether a node answers that it serves.
+// isServing reports whether a node answers a ping as one that is serving.
 func isServing(addr string) bool { return ping(addr) == pingResponse }
 
-// isAlive reports whether a node answers at all.
+// isAlive reports whether a node answers a ping at all, serving or not.
 func isAlive(addr string) bool { return ping(addr) != "" }
 
-// ping returns what a node answers to a ping, "" for nothing.
+// ping returns a node's answer to a ping, or "" if there is none.
 func ping(addr string) string {
 	conn, err := net.DialTimeout("tcp4", addr, pingDialTimeout)
 	if err != nil {
 		return ""
 	}
-	defer func() { _ = conn.Close() }() // the answer is there or it is not
+	defer func() { _ = conn.Close() }() // the answer has been read by then
 	if err := conn.SetDeadline(time.Now().Add(callTimeout)); err != nil {
 		return ""
 	}
 	if _, err := io.WriteString(conn, pingCommand); err != nil {
 		return ""
 	}
-	answer := make([]byte, 2*len(pingResponse))
-	n, err := conn.Read(answer)
+	response := make([]byte, 2*len(pingResponse))
+	length, err := conn.Read(response)
 	if err != nil {
 		return ""
 	}
-	return string(answer[:n])
+	return string(response[:length])
 }
--- a/internal/testbed/processrunner/nodeconfig.go
+++ b/internal/testbed/processrunner/nodeconfig.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// nodeConfig is the file that a node is started with, under the platform's names.
+// nodeConfig is the content of a node's configuration file, with the platform's field names.
 type nodeConfig struct {
 	Name       string          `json:"name"`
 	Listen     string          `json:"listen"`
@@ -27,7 +27,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// newNodeConfig returns the file that a node is started with.
+// newNodeConfig returns the initial configuration of a node.
 func newNodeConfig(x *experiment.Experiment, node int, listen, discovery string, seed uint64) (*nodeConfig, error) {
 	settings, err := x.NodeSettings(node)
 	if err != nil {
@@ -40,12 +40,12 @@
 	}, nil
 }
 
-// operatorActions are the steps for which nodes need what operators reach them by.
-var operatorActions = []string{"replace_node", "standby_node", "active_node", "exclude", "readmit"}
+// adminActions are the timeline actions for which a node needs an admin address and a listening socket shared by its processes.
+var adminActions = []string{"replace_node", "standby_node", "active_node", "exclude", "readmit"}
 
-// usesHotRestart reports whether processes of a node take over from one another, or are called by operators.
-func usesHotRestart(x *experiment.Experiment) bool {
+// needsAdminAccess reports whether the timeline contains a hot restart or a call to an admin address.
+func needsAdminAccess(x *experiment.Experiment) bool {
 	return slices.ContainsFunc(x.Steps, func(s experiment.Step) bool {
-		return slices.Contains(operatorActions, s.Action)
+		return slices.Contains(adminActions, s.Action)
 	})
 }
--- a/internal/testbed/processrunner/nodeoperations.go
+++ b/internal/testbed/processrunner/nodeoperations.go
@@ -9,25 +9,27 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// What operators do to a node: it is put on standby, told to leave out a server, and given other settings. Each is recorded for the checks.
+// The functions below perform operators' actions on a node: standby, server exclusion and changes of settings. Each action is recorded for
+// the invariant checks.
 
-// unlistedAnswer begins the answer to a call about a server that the node has never been told of.
-const unlistedAnswer = "ERR no cache server "
+// unknownServerPrefix is the start of the answer to an admin command about a server that has never been in the node's endpoint list.
+const unknownServerPrefix = "ERR no cache server "
 
 const (
-	// standbyLimit is how long after the call a node on standby may serve, and activeLimit how long it may take to serve again.
+	// standbyLimit is how long a node may keep serving after it was put on standby.
 	standbyLimit = 4 * time.Second
-	activeLimit  = 2 * time.Second
+	// activeLimit is how long a node may take to serve again after it was made active.
+	activeLimit = 2 * time.Second
 )
 
-// setStandby puts the node on standby, or has it serve again, and checks later that it does so.
+// setStandby puts the node on standby or makes it active again, and schedules a check that it has complied within the limit.
 func (n *nodeRunner) setStandby(standby bool) error {
-	line, limit := "active", activeLimit
+	command, limit := "active", activeLimit
 	if standby {
-		line, limit = "standby", standbyLimit
+		command, limit = "standby", standbyLimit
 	}
 	calledMs := fakes.NowMs()
-	if _, err := n.adminCall(line); err != nil {
+	if _, err := n.callServingAdmin(command); err != nil {
 		return err
 	}
 	n.mu.Lock()
@@ -38,33 +40,33 @@
 	return nil
 }
 
-// checkStandby checks that the node does as the last call says, unless there was another one since.
+// checkStandby records a crash if the node has not complied with a standby call. A call that was followed by another one is not checked.
 func (n *nodeRunner) checkStandby(call int, standby bool) {
 	n.mu.Lock()
 	superseded := call != n.operations.StandbyCalls() || !n.serving.expectedUp
 	n.mu.Unlock()
 	if !superseded && isServing(n.addr) == standby {
-		n.recordCrash(fmt.Sprintf("node %d, standby: %v, does otherwise at its limit", n.index, standby))
+		n.recordCrash(fmt.Sprintf("node %d did not change to standby=%v within the limit", n.index, standby))
 	}
 }
 
-// exclude has the node leave out a server, or use it again.
+// exclude excludes a server on the node, or readmits it.
 func (n *nodeRunner) exclude(server servermodel.ServerID, id string, excluded bool) error {
-	line := "maint-off "
+	command := "maint-off "
 	if excluded {
-		line = "maint-on "
+		command = "maint-on "
 	}
 	n.mu.Lock()
 	if excludedID, ok := n.operations.ExcludedID(servermodel.NodeID(n.index), server); ok {
-		id = excludedID // a machine that replaces it has another one
+		id = excludedID // a machine that replaced the excluded one has another ID
 	}
 	n.mu.Unlock()
-	if !excluded { // from the call on it may be used
+	if !excluded { // the node may use the server as soon as it receives the command
 		n.recordExclusion(server, id, excluded)
 	}
-	answer, err := n.adminCall(line + id)
-	if strings.HasPrefix(answer, unlistedAnswer) {
-		return nil // discovery has not told the node of it yet
+	answer, err := n.callServingAdmin(command + id)
+	if strings.HasPrefix(answer, unknownServerPrefix) {
+		return nil // discovery has not listed the server to the node yet
 	}
 	if excluded {
 		n.recordExclusion(server, id, excluded)
@@ -78,8 +80,8 @@
 	n.operations.SetExcluded(servermodel.NodeID(n.index), server, id, excluded, fakes.NowMs())
 }
 
-// retune gives the node other settings.
-func (n *nodeRunner) retune(settings []byte, stricter bool) error {
+// applySettings writes new settings to the node's configuration and makes the node reload it.
+func (n *nodeRunner) applySettings(settings []byte, stricter bool) error {
 	if err := n.changeConfig(func(c *nodeConfig) { c.Settings = settings }); err != nil {
 		return err
 	}
--- a/internal/testbed/processrunner/nodeprocess.go
+++ b/internal/testbed/processrunner/nodeprocess.go
@@ -12,32 +12,32 @@
 	"mintspring/internal/testbed/fakes"
 )
 
-// nodeProgram is how nodes are started.
+// nodeProgram says how nodes are started.
 type nodeProgram struct {
-	Name           string    // how reports call it
+	Name           string    // its name in reports
 	Command        []string  // the program and its arguments
-	InProcess      ServeFunc // in place of a program
-	NoOperatorFile bool
+	InProcess      ServeFunc // if set, runs nodes within this process instead of Command
+	NoOperatorFile bool      // start nodes without the experiment's operator's file
 }
 
-// ServeFunc runs a node within this process, for tests: it serves clients on the listener until the function that it returns is called.
-// The file is the node's configuration.
+// ServeFunc runs a node within this process, for tests. The file is the node's configuration. The node serves clients on the listener until
+// the returned function is called.
 type ServeFunc func(file string, listener net.Listener) (stop func(), err error)
 
 // nodeProcess is one process of a node.
 type nodeProcess struct {
 	cmd        *exec.Cmd     // nil for a node within this process
-	stop       func()        // of a node within this process
-	exited     chan struct{} // closed once it has ended
-	expectedUp bool          // it is to run; guarded by the runner's mutex
+	stop       func()        // stops a node within this process
+	exited     chan struct{} // closed once the process has ended
+	expectedUp bool          // an exit now is a crash; guarded by the runner's mutex
 }
 
-// signal sends a signal.
+// signal sends a signal to the process.
 func (p *nodeProcess) signal(sig syscall.Signal) {
-	_ = p.cmd.Process.Signal(sig) // fails only if the process has ended, which its waiter notices
+	_ = p.cmd.Process.Signal(sig) // fails only if the process has ended, which waitForExit notices
 }
 
-// waitExited waits until the process has ended; false: it takes too long.
+// waitExited waits until the process has ended, and returns false on timeout.
 func (p *nodeProcess) waitExited(timeout time.Duration) bool {
 	select {
 	case <-p.exited:
@@ -47,7 +47,7 @@
 	}
 }
 
-// start starts a process of the node. Called with the mutex of the configuration held, or before the node serves.
+// start starts a process of the node. Called with configMu held, or before the node serves.
 func (n *nodeRunner) start() error {
 	if err := n.writeConfig(); err != nil {
 		return err
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// command returns how a process of the node is started.
+// command returns the command that starts a process of the node.
 func (n *nodeRunner) command() *exec.Cmd {
 	argv := n.program.Command
 	if n.operatorFile != "" && !n.program.NoOperatorFile {
@@ -79,11 +79,11 @@
 		cmd.Env = append(cmd.Env, "LB_SOCKET_FD=3", "TMPDIR="+n.dataDir())
 	}
 	cmd.Stdout, cmd.Stderr = n.logFile, n.logFile
-	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // nothing is left running when the bench is killed
+	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // no process outlives a killed bench
 	return cmd
 }
 
-// waitForExit waits for the end of a process. One that was to run has crashed.
+// waitForExit waits until a process exits, and records a crash if it was expected to be up.
 func (n *nodeRunner) waitForExit(p *nodeProcess) {
 	err := p.cmd.Wait()
 	n.mu.Lock()
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// setCurrent records a process that was started. It serves unless there is one that does: then it is a successor.
+// setCurrent records a process that was started. It becomes the serving process, unless another one is still up: then it is a successor.
 func (n *nodeRunner) setCurrent(p *nodeProcess) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -120,8 +120,8 @@
 	}
 }
 
-// terminate ends the node's process: at once with SIGKILL, or with SIGTERM and time to answer what it has. It returns when the process
-// has ended.
+// terminate ends the node's process and returns once it has exited. SIGKILL ends it at once; SIGTERM leaves it time to answer the requests
+// that it has accepted.
 func (n *nodeRunner) terminate(sig syscall.Signal) {
 	n.mu.Lock()
 	p := n.current
@@ -133,7 +133,7 @@
 	downtime := n.beginDowntimeLocked()
 	if sig == syscall.SIGTERM {
 		n.downtimes[downtime].Stopped, n.downtimes[downtime].StopAt = true, fakes.NowMs()
-		n.downtimes[downtime].From = n.downtimes[downtime].To // what it has taken has to be answered still
+		n.downtimes[downtime].From = n.downtimes[downtime].To // accepted requests must still be answered
 	}
 	n.mu.Unlock()
 	if p.cmd == nil {
@@ -142,7 +142,7 @@
 		return
 	}
 	p.signal(sig)
-	if !p.waitExited(n.killAfter) {
+	if !p.waitExited(n.killTimeout) {
 		p.signal(syscall.SIGKILL)
 		<-p.exited
 	}
@@ -153,7 +153,7 @@
 	}
 }
 
-// waitExited waits until the last process of the node has ended.
+// waitExited waits until the most recently started process of the node has ended.
 func (n *nodeRunner) waitExited() {
 	n.mu.Lock()
 	exited := n.current.exited
--- a/internal/testbed/processrunner/noderunner.go
+++ b/internal/testbed/processrunner/noderunner.go
@@ -21,47 +21,47 @@
 )
 
 const (
-	// startTimeout is how long a node may take until it serves.
+	// startTimeout is how long a node may take to start serving.
 	startTimeout = 10 * time.Second
-	// killMargin is how long after the longest deadline of a request, counted from SIGTERM, the platform kills a process, and
-	// maxKillDeadline bounds that deadline.
-	killMargin      = 700 * time.Millisecond
-	maxKillDeadline = 3 * time.Second
-	// truncatedConfigTime is how long a configuration stays cut short.
-	truncatedConfigTime = 100 * time.Millisecond
-	// pollInterval is the time between two looks at a node that is waited for.
+	// killGrace is the time between the longest deadline of a request, counted from SIGTERM, and SIGKILL by the platform.
+	killGrace = 700 * time.Millisecond
+	// maxRequestDeadline bounds the request deadline that counts for SIGKILL.
+	maxRequestDeadline = 3 * time.Second
+	// truncatedConfigDuration is how long a configuration stays truncated.
+	truncatedConfigDuration = 100 * time.Millisecond
+	// pollInterval is the time between two polls of a node that is being waited for.
 	pollInterval = 5 * time.Millisecond
 )
 
-// nodeRunner runs one node: a process of its own, or several that take over from one another.
+// nodeRunner runs one node, as one process or as several that take over from one another by hot restart.
 type nodeRunner struct {
 	index        int
 	addr         string
-	ports        []*reservedport.Port // of its own address and of others that it listens on
-	dir          string               // of all nodes
+	ports        []*reservedport.Port // for all addresses that the node listens on
+	dir          string               // shared by all nodes
 	program      nodeProgram
 	logFile      *os.File
-	killAfter    time.Duration // from SIGTERM to SIGKILL
+	killTimeout  time.Duration // from SIGTERM to SIGKILL
 	operatorFile string        // "" for none
-	env          []string      // added to its environment
-	listenSocket *os.File      // shared by all processes of the node; nil: each one listens for itself
+	env          []string      // added to the environment of its processes
+	listenSocket *os.File      // shared by all processes of the node; nil if each opens its own
 
-	configMu sync.Mutex // guards config, and its file; held while a process starts beside another one
+	configMu sync.Mutex // guards config and its file; held while a successor starts
 	config   *nodeConfig
 
 	mu           sync.Mutex   // guards the fields below
-	current      *nodeProcess // the one that was started last; nil before the first
-	serving      *nodeProcess // the one that operators call and signal: a successor counts once it is ready
-	servingAdmin string       // its admin address
+	current      *nodeProcess // the process started last; nil before the first
+	serving      *nodeProcess // the process that operators call and signal; a successor takes this place once it is ready
+	servingAdmin string       // admin address of the serving process
 	downtimes    []invariants.Downtime
 	crashes      []string
-	holdUps      []holdUp
+	pauses       []pause
 	crowds       []invariants.Crowd
 	operations   invariants.Operations
 }
 
-// reserveAddress reserves an address for the node until it is released: between two of its processes, and before the first, no
-// connection of the same machine may go out from it.
+// reserveAddress reserves an address until the node is released. While no process of the node listens on it, no outgoing connection of
+// this machine can take its port.
 func (n *nodeRunner) reserveAddress() (string, error) {
 	port, err := reservedport.Reserve()
 	if err != nil {
@@ -71,8 +71,8 @@
 	return port.Addr(), nil
 }
 
-// holdListenSocket opens the node's listening socket for all of its processes, and gives the first one an admin address.
-func (n *nodeRunner) holdListenSocket() error {
+// openListenSocket opens the node's listening socket for all of its processes, and gives the first one an admin address.
+func (n *nodeRunner) openListenSocket() error {
 	listener, err := net.Listen("tcp4", n.addr)
 	if err != nil {
 		return fmt.Errorf("opening the listening socket of node %d: %w", n.index, err)
@@ -85,8 +85,7 @@
 	return err
 }
 
-// newAdminAddress gives the next process an admin address of its own. Called with the mutex of the configuration held, or before the node
-// is started.
+// newAdminAddress gives the next process its own admin address. Called with configMu held, or before the node is started.
 func (n *nodeRunner) newAdminAddress() (addr string, err error) {
 	if addr, err = n.reserveAddress(); err != nil {
 		return "", err
@@ -95,7 +94,7 @@
 	return addr, os.MkdirAll(n.dataDir(), 0o755)
 }
 
-// dataDir returns the node's data directory, which MINTSPRING_NODE_DIR names to it.
+// dataDir returns the node's data directory, which is passed to its processes as MINTSPRING_NODE_DIR.
 func (n *nodeRunner) dataDir() string { return filepath.Join(n.dir, fmt.Sprintf("node-%d", n.index)) }
 
 // clearDataDir removes the node's data directory.
@@ -106,12 +105,12 @@
 	return nil
 }
 
-// configFile returns where the node's configuration is.
+// configFile returns the path of the node's configuration.
 func (n *nodeRunner) configFile() string {
 	return filepath.Join(n.dir, fmt.Sprintf("node-%d.json", n.index))
 }
 
-// changeConfig changes the node's configuration and writes it.
+// changeConfig changes the node's configuration and writes it to its file.
 func (n *nodeRunner) changeConfig(change func(*nodeConfig)) error {
 	n.configMu.Lock()
 	defer n.configMu.Unlock()
@@ -119,8 +118,8 @@
 	return n.writeConfig()
 }
 
-// writeConfig replaces the node's configuration in one step: a process may be reading it. Called with its mutex held, or before the node is
-// started.
+// writeConfig replaces the node's configuration file atomically, because a process may be reading it. Called with configMu held, or before
+// the node is started.
 func (n *nodeRunner) writeConfig() error {
 	text, err := json.MarshalIndent(n.config, "", " ")
 	temp := n.configFile() + ".new"
@@ -136,7 +135,7 @@
 	return nil
 }
 
-// createLog creates the file that the node's processes log to.
+// createLog creates the log file of the node's processes.
 func (n *nodeRunner) createLog() error {
 	file, err := os.Create(filepath.Join(n.dir, fmt.Sprintf("node-%d.log", n.index)))
 	if err != nil {
@@ -169,10 +168,10 @@
 			return nil
 		}
 	}
-	return fmt.Errorf("node %d does not serve within %v: %s", n.index, timeout, n.lastLogLine())
+	return fmt.Errorf("node %d is not serving after %v: %s", n.index, timeout, n.lastLogLine())
 }
 
-// restart starts a node that was ended, and ends its downtime once it serves.
+// restart starts a node that has ended, and closes its downtime once it serves.
 func (n *nodeRunner) restart() error {
 	n.configMu.Lock()
 	err := n.start()
@@ -187,7 +186,7 @@
 	return err
 }
 
-// beginDowntimeLocked begins a downtime now and returns its place. Called with the mutex held.
+// beginDowntimeLocked begins a downtime now and returns its index. Called with the mutex held.
 func (n *nodeRunner) beginDowntimeLocked() int {
 	n.downtimes = append(n.downtimes, invariants.OpenDowntime(servermodel.NodeID(n.index), fakes.NowMs()))
 	return len(n.downtimes) - 1
@@ -200,14 +199,14 @@
 	}
 }
 
-// recordCrash records that the node crashed.
+// recordCrash records a crash of the node, or another failure that invalidates the run.
 func (n *nodeRunner) recordCrash(description string) {
 	n.mu.Lock()
 	n.crashes = append(n.crashes, description)
 	n.mu.Unlock()
 }
 
-// replaceMachine ends the node and begins another one under its name without a disk.
+// replaceMachine kills the node and starts it again with an empty data directory, as on a new machine.
 func (n *nodeRunner) replaceMachine() error {
 	n.terminate(syscall.SIGKILL)
 	if err := n.clearDataDir(); err != nil {
@@ -216,7 +215,7 @@
 	return n.restart()
 }
 
-// setFrozen stops the process where it stands, or has it go on. A frozen node counts as down.
+// setFrozen suspends the node's process, or resumes it. A frozen node counts as down.
 func (n *nodeRunner) setFrozen(frozen bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -232,9 +231,9 @@
 	n.endDowntimeLocked()
 }
 
-// hold stops the process for a moment, and its successor if one starts beside it. They count as running all the while, as processes do
-// that the system does not schedule.
-func (n *nodeRunner) hold(duration time.Duration) {
+// pauseProcesses suspends the node's processes for the duration, a starting successor included. They count as running meanwhile, as do
+// processes that the kernel does not schedule.
+func (n *nodeRunner) pauseProcesses(duration time.Duration) {
 	n.mu.Lock()
 	processes := []*nodeProcess{n.current}
 	if n.serving != n.current {
@@ -253,25 +252,25 @@
 		p.signal(syscall.SIGCONT)
 	}
 	n.mu.Lock()
-	n.holdUps = append(n.holdUps, holdUp{from, fakes.NowMs()})
+	n.pauses = append(n.pauses, pause{from, fakes.NowMs()})
 	n.mu.Unlock()
 }
 
-// holdUp is a time, in Unix ms, in which a node's process stood still and counted as running.
-type holdUp struct{ from, to float64 }
+// pause is a period, in Unix ms, in which a node's processes were suspended but counted as running.
+type pause struct{ from, to float64 }
 
-// heldUpBetween returns for how many ms of a span the node stood still.
-func (n *nodeRunner) heldUpBetween(from, to float64) (ms float64) {
+// pausedMsBetween returns how many ms of a period the node was paused.
+func (n *nodeRunner) pausedMsBetween(from, to float64) (ms float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, h := range n.holdUps {
-		ms += max(0, min(to, h.to)-max(from, h.from))
+	for _, p := range n.pauses {
+		ms += max(0, min(to, p.to)-max(from, p.from))
 	}
 	return ms
 }
 
-// reloadTruncated makes the process read a configuration that is cut short, and then the right one: settings that were given just before may
-// have been turned down with the bad file.
+// reloadTruncated makes the process read a truncated configuration and then the complete one. The second reload also applies settings that
+// were written just before and may have been rejected along with the truncated file.
 func (n *nodeRunner) reloadTruncated() {
 	n.configMu.Lock()
 	defer n.configMu.Unlock()
@@ -280,24 +279,24 @@
 		return
 	}
 	n.reload()
-	time.Sleep(truncatedConfigTime)
+	time.Sleep(truncatedConfigDuration)
 	if os.WriteFile(n.configFile(), text, 0o644) != nil {
-		return // a node that starts without it shows by its crash
+		return // a node started with the truncated file crashes, which is recorded
 	}
 	n.reload()
 }
 
-// crowd opens connections on which nothing is sent, and closes them after some time.
-func (n *nodeRunner) crowd(connections int, duration time.Duration) {
+// openIdleConnections opens connections on which nothing is sent, and closes them after the duration.
+func (n *nodeRunner) openIdleConnections(count int, duration time.Duration) {
 	from := fakes.NowMs()
-	var all []*client
-	for range connections {
+	var opened []*client
+	for range count {
 		if c, err := dial(n.addr); err == nil {
-			all = append(all, c)
+			opened = append(opened, c)
 		}
 	}
 	time.Sleep(duration)
-	for _, c := range all {
+	for _, c := range opened {
 		c.close()
 	}
 	n.mu.Lock()
@@ -305,7 +304,7 @@
 	n.mu.Unlock()
 }
 
-// reload makes the process read its configuration again.
+// reload makes the serving process reload its configuration.
 func (n *nodeRunner) reload() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -314,26 +313,26 @@
 	}
 }
 
-// release gives back what the node holds, once its processes have ended.
+// release closes the node's log, listening socket and port reservations. Called once its processes have ended.
 func (n *nodeRunner) release() {
 	if n.logFile != nil {
-		_ = n.logFile.Close() // whatever its processes logged has been written by them
+		_ = n.logFile.Close() // the node's processes have written to it themselves
 	}
 	if n.listenSocket != nil {
-		_ = n.listenSocket.Close() // nothing listens any more
+		_ = n.listenSocket.Close() // no process listens on it any more
 	}
 	for _, port := range n.ports {
-		_ = port.Close() // a reservation that is given up cannot be of use to anybody
+		_ = port.Close() // the address is not used again
 	}
 }
 
-// resourceUsage is what a process uses.
+// resourceUsage holds the resources that a process uses.
 type resourceUsage struct {
-	memoryMB    float64 // resident; 0 where it cannot be read
+	memoryMB    float64 // resident memory; 0 if it cannot be read
 	descriptors int     // open
 }
 
-// resourceUsage returns what the node's process uses.
+// resourceUsage returns the resources that the node's current process uses.
 func (n *nodeRunner) resourceUsage() (usage resourceUsage) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -350,7 +349,7 @@
 	return usage
 }
 
-// residentMB reads the resident memory out of a process's status; 0 where it is not there.
+// residentMB parses the resident memory from the content of /proc/PID/status, and returns 0 if it is missing.
 func residentMB(status string) float64 {
 	const kbPerMB = 1024
 	_, rest, found := strings.Cut(status, "VmRSS:")
--- a/internal/testbed/processrunner/nodeset.go
+++ b/internal/testbed/processrunner/nodeset.go
@@ -18,20 +18,20 @@
 	"mintspring/internal/testbed/reservedport"
 )
 
-// idempotencyAddrVariable names the replicas of idempotency records in the environment of a node: MINTSPRING_REPLICA_1 and so on are their
-// addresses, the node's own one or a relay's.
-const idempotencyAddrVariable = "MINTSPRING_REPLICA_"
+// idempotencyAddrEnvPrefix begins the names of the environment variables MINTSPRING_REPLICA_1, MINTSPRING_REPLICA_2 and so on, which hold
+// the addresses of the idempotency replicas: the node's own address for itself, a relay's for the others.
+const idempotencyAddrEnvPrefix = "MINTSPRING_REPLICA_"
 
 // nodeSet is the nodes of a run.
 type nodeSet struct {
-	all              []*nodeRunner // by number
+	runners          []*nodeRunner // by node
 	fleet            *fakes.Fleet
-	gossipRelay      *faultrelay.Relay         // between the nodes; nil: they do not send messages to one another
-	idempotency      *operatorfile.Idempotency // nil: there are no idempotency records
-	idempotencyRelay *faultrelay.Relay         // between the replicas of idempotency records
+	gossipRelay      *faultrelay.Relay         // between the nodes; nil if they do not gossip
+	idempotency      *operatorfile.Idempotency // nil without idempotency records
+	idempotencyRelay *faultrelay.Relay         // between the idempotency replicas; nil without idempotency records
 }
 
-// startNodeSet starts the nodes and waits until each serves. What was started is returned also with an error, to be closed.
+// startNodeSet starts the nodes and waits until all are serving. Even on error it returns the set, which the caller must close.
 func startNodeSet(x *experiment.Experiment, fleet *fakes.Fleet, program nodeProgram, dir string, seed uint64) (*nodeSet, error) {
 	set := &nodeSet{fleet: fleet}
 	if !program.NoOperatorFile {
@@ -42,19 +42,19 @@
 	for i := range x.Nodes.Count {
 		n := &nodeRunner{
 			index: i, dir: dir, program: program, operatorFile: x.OperatorFile(),
-			killAfter: min(x.LongestTimeout(), maxKillDeadline) + killMargin,
+			killTimeout: min(x.LongestTimeout(), maxRequestDeadline) + killGrace,
 		}
-		set.all = append(set.all, n)
-		if err := set.prepare(n, x, seed); err != nil {
+		set.runners = append(set.runners, n)
+		if err := set.prepareNode(n, x, seed); err != nil {
 			return set, err
 		}
 	}
-	for _, n := range set.all {
+	for _, n := range set.runners {
 		if err := n.start(); err != nil {
 			return set, err
 		}
 	}
-	for _, n := range set.all {
+	for _, n := range set.runners {
 		if err := n.waitReady(startTimeout); err != nil {
 			return set, err
 		}
@@ -62,7 +62,7 @@
 	return set, nil
 }
 
-// startRelays starts the relays between nodes that the operator's file requires.
+// startRelays starts the gossip relay and the idempotency relay if the operator's file requires them.
 func (s *nodeSet) startRelays(x *experiment.Experiment, seed uint64) error {
 	hasPeers, err := x.HasPeers()
 	if err != nil {
@@ -76,7 +76,7 @@
 	return s.startIdempotencyRelay(x, seed)
 }
 
-// startIdempotencyRelay starts the relay between the replicas of idempotency records, if the operator's file has any.
+// startIdempotencyRelay starts the relay between the idempotency replicas, if the operator's file has any.
 func (s *nodeSet) startIdempotencyRelay(x *experiment.Experiment, seed uint64) error {
 	file, err := operatorfile.Read(x.OperatorFile())
 	if err != nil || file.Idempotency == nil {
@@ -87,13 +87,13 @@
 	return err
 }
 
-// prepare gives a node its addresses, its configuration and an empty data directory.
-func (s *nodeSet) prepare(n *nodeRunner, x *experiment.Experiment, seed uint64) error {
+// prepareNode sets up a node's addresses, configuration, empty data directory and log.
+func (s *nodeSet) prepareNode(n *nodeRunner, x *experiment.Experiment, seed uint64) error {
 	var err error
 	if n.addr, err = n.reserveAddress(); err != nil {
 		return err
 	}
-	if err := n.clearDataDir(); err != nil { // an earlier run in this folder must not matter
+	if err := n.clearDataDir(); err != nil { // an earlier run may have used the same folder
 		return err
 	}
 	if n.config, err = newNodeConfig(x, n.index, n.addr, s.fleet.Discovery.Addr(n.index), seed); err != nil {
@@ -107,15 +107,15 @@
 	if err := s.configureIdempotency(n, x.Nodes.Count); err != nil {
 		return err
 	}
-	if usesHotRestart(x) && n.program.InProcess == nil {
-		if err := n.holdListenSocket(); err != nil {
+	if needsAdminAccess(x) && n.program.InProcess == nil {
+		if err := n.openListenSocket(); err != nil {
 			return err
 		}
 	}
 	return n.createLog()
 }
 
-// reserveUDP reserves an address for a node's datagrams and has a relay deliver there.
+// reserveUDP reserves an address for a node's datagrams and sets it as the relay's destination for the node.
 func (n *nodeRunner) reserveUDP(relay *faultrelay.Relay) (addr string, err error) {
 	port, err := reservedport.ReserveUDP()
 	if err != nil {
@@ -125,7 +125,7 @@
 	return port.Addr(), relay.SetDestination(n.index, port.Addr())
 }
 
-// configurePeers sets a node's own address for gossip, and the relay's addresses as those of the others.
+// configurePeers sets a node's own gossip address, and relay addresses for its peers.
 func (s *nodeSet) configurePeers(n *nodeRunner, count int) error {
 	own, err := n.reserveUDP(s.gossipRelay)
 	if err != nil {
@@ -141,8 +141,8 @@
 	return nil
 }
 
-// configureIdempotency sets the addresses of the replicas of idempotency records, and creates its own storage: the records begin
-// with this run.
+// configureIdempotency sets the addresses of the idempotency replicas in the node's environment. If the node is a replica, it also creates
+// empty storage, as for a new idempotency group.
 func (s *nodeSet) configureIdempotency(n *nodeRunner, count int) error {
 	if s.idempotency == nil {
 		return nil
@@ -156,7 +156,7 @@
 		if i != n.index {
 			addr = s.idempotencyRelay.Addr(n.index, i)
 		}
-		n.env = append(n.env, fmt.Sprint(idempotencyAddrVariable, i+1, "=", addr))
+		n.env = append(n.env, fmt.Sprint(idempotencyAddrEnvPrefix, i+1, "=", addr))
 	}
 	if !s.idempotency.IsReplica(n.index + 1) {
 		return nil
@@ -166,7 +166,7 @@
 	return storage.Create(dir, owner, cluster.NewIncarnation(float64(time.Now().UnixMilli()), 0))
 }
 
-// relays returns the relays that there are.
+// relays returns the relays that are running.
 func (s *nodeSet) relays() (relays []*faultrelay.Relay) {
 	for _, r := range []*faultrelay.Relay{s.gossipRelay, s.idempotencyRelay} {
 		if r != nil {
@@ -176,10 +176,10 @@
 	return relays
 }
 
-// errNoPeers says that there are no links between nodes that could be changed.
-var errNoPeers = errors.New("the nodes do not send messages to one another")
+// errNoPeers reports a change of the links between nodes when neither relay is running.
+var errNoPeers = errors.New("the nodes have no links to change: no gossip or idempotency relay is running")
 
-// updateLinks changes the links between nodes.
+// updateLinks applies a change to the links of every relay.
 func (s *nodeSet) updateLinks(change func(*faultrelay.Links)) error {
 	relays := s.relays()
 	if len(relays) == 0 {
@@ -191,10 +191,10 @@
 	return nil
 }
 
-// close kills all nodes, side by side, and ends the relays. Closing a set twice is fine.
+// close kills all nodes in parallel and closes the relays. It may be called more than once.
 func (s *nodeSet) close() {
 	var closing sync.WaitGroup
-	for _, n := range s.all {
+	for _, n := range s.runners {
 		closing.Go(func() {
 			n.terminate(syscall.SIGKILL)
 			n.release()
--- a/internal/testbed/processrunner/nodetakeover.go
+++ b/internal/testbed/processrunner/nodetakeover.go
@@ -10,24 +10,24 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// hotRestartTimeout is how long a successor may take until it says that it serves.
+// hotRestartTimeout is how long a successor may take to report that it is ready.
 const hotRestartTimeout = 6 * time.Second
 
-// hotRestart starts another process beside the one that runs, and ends that one once its successor says that it serves.
+// hotRestart starts a successor of the running process, and ends the predecessor once the successor reports that it is ready.
 func (n *nodeRunner) hotRestart() error {
 	predecessor, err := n.startSuccessor()
 	if err != nil {
 		return err
 	}
 	predecessor.signal(syscall.SIGTERM)
-	if !predecessor.waitExited(n.killAfter) {
+	if !predecessor.waitExited(n.killTimeout) {
 		predecessor.signal(syscall.SIGKILL)
-		return fmt.Errorf("node %d does not end once its successor serves", n.index)
+		return fmt.Errorf("the predecessor on node %d is still running %v after SIGTERM", n.index, n.killTimeout)
 	}
 	return nil
 }
 
-// startSuccessor starts another process beside the one that runs, waits until it says that it serves, and returns the one before.
+// startSuccessor starts a successor of the running process, waits until it reports that it is ready, and returns the predecessor.
 func (n *nodeRunner) startSuccessor() (predecessor *nodeProcess, err error) {
 	n.configMu.Lock()
 	defer n.configMu.Unlock()
@@ -43,7 +43,7 @@
 		return nil, err
 	}
 	if err := n.waitForAdmin(admin, hotRestartTimeout); err != nil {
-		return nil, fmt.Errorf("the successor of node %d: %w", n.index, err)
+		return nil, fmt.Errorf("waiting for the successor on node %d: %w", n.index, err)
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -53,7 +53,7 @@
 	return predecessor, nil
 }
 
-// waitForAdmin waits until a process says on its admin address that it is ready.
+// waitForAdmin waits until a process answers the status command on its admin address.
 func (n *nodeRunner) waitForAdmin(addr string, timeout time.Duration) (err error) {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(pollInterval) {
 		if _, err = n.callAdmin(addr, "status"); err == nil {
--- a/internal/testbed/processrunner/persistentclient.go
+++ b/internal/testbed/processrunner/persistentclient.go
@@ -15,42 +15,43 @@
 )
 
 const (
-	// persistentSeeds separates the traffic of persistent clients from that of the others.
-	persistentSeeds = 1 << 32
-	// persistentNodeBits are the bits of a persistent client's number below that of its node.
-	persistentNodeBits = 10
-	// reconnectWait is how long a persistent client waits before it connects again.
-	reconnectWait = 20 * time.Millisecond
-	// pipelineShare is the share of a persistent client's turns in which it sends several requests at once, maxPipelined at most.
-	pipelineShare = 0.3
-	maxPipelined  = 5
-	// maxPipelinePause is the longest pause between two of these.
+	// persistentSeedOffset separates the traffic seeds of persistent clients from those of other clients.
+	persistentSeedOffset = 1 << 32
+	// clientIndexBits is the number of low bits of a persistent client's seed that hold its index; the node's index is above them.
+	clientIndexBits = 10
+	// reconnectDelay is how long a persistent client waits before it tries to connect again.
+	reconnectDelay = 20 * time.Millisecond
+	// pipeliningShare is the share of a persistent client's batches that hold more than one request.
+	pipeliningShare = 0.3
+	// maxPipelinedRequests is the largest number of requests in a batch.
+	maxPipelinedRequests = 5
+	// maxPipelinePause is the longest pause between two requests of a batch.
 	maxPipelinePause = 300 * time.Millisecond
-	// crossedEndMs is how long after a request the end of its connection may show, in ms, if that had been on its way before.
-	crossedEndMs = 20
-	// maxThinkTime is the longest pause between two requests of a persistent client.
+	// closeInTransitMs is how long after sending a request, in ms, a client may see a connection close that the node sent before the request.
+	closeInTransitMs = 20
+	// maxThinkTime is the longest pause between two batches of a persistent client.
 	maxThinkTime = 30 * time.Millisecond
 )
 
-// persistentClient is a client of one node. It sends one request after the other on one connection as long as that is open, whatever the
-// load balancer says of the node, and without retries.
+// persistentClient is a client of one node. It reuses one connection as long as that is open, even while the load balancer considers the
+// node dead or on standby, and does not retry.
 type persistentClient struct {
 	load    *loadGenerator
 	node    servermodel.NodeID
 	addr    string
 	traffic *experiment.TrafficGenerator
 	random  *rand.Rand
-	conn    *client // nil: it is not connected
+	conn    *client // nil while not connected
 }
 
-// run sends requests until a time.
+// run sends requests until the given time.
 func (p *persistentClient) run(until time.Time) {
 	for time.Now().Before(until) {
 		if p.conn == nil && (p.load.clients.onStandby(int(p.node)) || !p.connect()) {
-			time.Sleep(reconnectWait)
+			time.Sleep(reconnectDelay)
 			continue
 		}
-		p.request()
+		p.sendBatch()
 		time.Sleep(time.Duration(p.random.Int64N(int64(maxThinkTime))))
 	}
 	p.disconnect()
@@ -72,28 +73,29 @@
 	p.conn = nil
 }
 
-// pendingRequest is a request that was sent, with what its client knows of it.
+// pendingRequest is a request of a batch, with the record of its only attempt.
 type pendingRequest struct {
 	generated *experiment.GeneratedRequest
 	attempt   invariants.ClientAttempt
 }
 
-// request sends one request, or several at once, and records what became of them. Some clients leave before they have their responses.
-func (p *persistentClient) request() {
-	batch, longestMs := p.nextBatch()
+// sendBatch sends one request or several pipelined ones, and records their attempts. In the configured share of batches the client
+// disconnects before it has all responses.
+func (p *persistentClient) sendBatch() {
+	batch, longestTimeoutMs := p.nextBatch()
 	pausesMs := float64(len(batch)-1) * float64(maxPipelinePause/time.Millisecond)
-	stayMs := longestMs + clientGraceMs(p.load.experiment) + pausesMs
-	leaves := p.random.Float64() < p.load.experiment.Load.LeaveShare
-	if leaves {
-		stayMs = p.random.Float64() * longestMs / 4
+	readTimeoutMs := longestTimeoutMs + clientGraceMs(p.load.experiment) + pausesMs
+	leavesEarly := p.random.Float64() < p.load.experiment.Load.LeaveShare
+	if leavesEarly {
+		readTimeoutMs = p.random.Float64() * longestTimeoutMs / 4
 	}
-	if err := p.conn.netConn.SetDeadline(time.Now().Add(msDuration(stayMs))); err != nil {
+	if err := p.conn.netConn.SetDeadline(time.Now().Add(msDuration(readTimeoutMs))); err != nil {
 		p.disconnect()
 		return
 	}
 	responses := p.conn.readResponses(len(batch))
-	sent := p.send(batch)
-	p.receive(sent, responses, leaves)
+	sent := p.writeBatch(batch)
+	p.receive(sent, responses, leavesEarly)
 	if len(sent) < len(batch) {
 		p.disconnect()
 	}
@@ -105,11 +107,11 @@
 	p.load.mu.Unlock()
 }
 
-// send sends a batch, at once or with pauses in it, and returns what was sent.
-func (p *persistentClient) send(batch []pendingRequest) (sent []pendingRequest) {
-	pauses := p.random.IntN(2) == 0
+// writeBatch sends a batch, with or without pauses between the requests, and returns the requests that were sent.
+func (p *persistentClient) writeBatch(batch []pendingRequest) (sent []pendingRequest) {
+	withPauses := p.random.IntN(2) == 0
 	for i := range batch {
-		if i > 0 && pauses {
+		if i > 0 && withPauses {
 			time.Sleep(time.Duration(p.random.Int64N(int64(maxPipelinePause))))
 		}
 		generated, a := batch[i].generated, &batch[i].attempt
@@ -122,32 +124,32 @@
 	return batch
 }
 
-// nextBatch draws the requests that are sent without waiting for responses, and their longest timeout.
-func (p *persistentClient) nextBatch() (batch []pendingRequest, longestMs float64) {
+// nextBatch generates the requests of the next batch, and returns them with their longest timeout.
+func (p *persistentClient) nextBatch() (batch []pendingRequest, longestTimeoutMs float64) {
 	size := 1
-	if p.random.Float64() < pipelineShare {
-		size += 1 + p.random.IntN(maxPipelined-1)
+	if p.random.Float64() < pipeliningShare {
+		size += 1 + p.random.IntN(maxPipelinedRequests-1)
 	}
 	for range size {
 		r := p.traffic.NextRequest(fakes.NowMs())
 		attempt := p.traffic.NewAttempt(r, fakes.NowMs())
 		batch = append(batch, pendingRequest{r, attempt})
-		longestMs = max(longestMs, p.load.experiment.AttemptTimeoutMs(r.Class))
+		longestTimeoutMs = max(longestTimeoutMs, p.load.experiment.AttemptTimeoutMs(r.Class))
 	}
-	return batch, longestMs
+	return batch, longestTimeoutMs
 }
 
-// timedResponse is a response and when its last byte came, or why there is none.
+// timedResponse is a response and the time when its last byte arrived, or the error and the time when the connection failed.
 type timedResponse struct {
 	response
 	atMs float64
 	err  error
 }
 
-// readResponses reads so many responses beside what is sent, until an error.
+// readResponses reads up to count responses in the background, and stops at the first error.
 func (c *client) readResponses(count int) <-chan timedResponse {
 	responses := make(chan timedResponse, count)
-	go func() { // ends at the deadline of the connection, or with that
+	go func() { // ends at the deadline or the end of the connection
 		for range count {
 			r, err := readResponse(c.reader)
 			responses <- timedResponse{r, fakes.NowMs(), err}
@@ -159,40 +161,41 @@
 	return responses
 }
 
-// waitInOrder gives requests that have no response the time for which each has to wait for those before it, up to their deadlines.
-func waitInOrder(unanswered []pendingRequest, waitedUntilMs float64) {
+// addPipelineSlack extends the time allowed to unanswered requests. Each one may have to wait for the requests before it on the connection,
+// until blockedUntilMs or the latest deadline among them.
+func addPipelineSlack(unanswered []pendingRequest, blockedUntilMs float64) {
 	for i := range unanswered {
 		a := &unanswered[i].attempt
-		a.ExtraSlack = max(0, waitedUntilMs-a.Deadline)
-		waitedUntilMs = max(waitedUntilMs, a.Deadline)
+		a.ExtraSlack = max(0, blockedUntilMs-a.Deadline)
+		blockedUntilMs = max(blockedUntilMs, a.Deadline)
 	}
 }
 
-// receive records the responses to a batch, in its order, until all are there or the connection has ended. The time for which a request has to
-// wait for those before it does not count.
-func (p *persistentClient) receive(batch []pendingRequest, responses <-chan timedResponse, leaves bool) {
-	waitedUntilMs := 0.0 // for the responses before
+// receive records the responses to a batch in order, until all have arrived or the connection has ended. The time that a request waits for
+// the responses before it does not count towards its deadline.
+func (p *persistentClient) receive(batch []pendingRequest, responses <-chan timedResponse, leavesEarly bool) {
+	blockedUntilMs := 0.0 // when the previous response arrived
 	for i := range batch {
 		a := &batch[i].attempt
 		answer := <-responses
 		if answer.err != nil {
-			waitInOrder(batch[i:], waitedUntilMs)
-			p.connectionEnded(batch[i:], answer, leaves)
+			addPipelineSlack(batch[i:], blockedUntilMs)
+			p.connectionEnded(batch[i:], answer, leavesEarly)
 			return
 		}
 		p.conn.reused = true
 		a.Outcome, a.AnsweredAt = answer.Outcome, answer.atMs
-		a.ExtraSlack = max(0, waitedUntilMs-a.Deadline)
+		a.ExtraSlack = max(0, blockedUntilMs-a.Deadline)
 		a.WrongKey = answer.Outcome == invariants.Completed && !experiment.IsValueOf(answer.Value, batch[i].generated.Key)
-		waitedUntilMs = a.AnsweredAt
+		blockedUntilMs = a.AnsweredAt
 	}
-	if len(batch) == cap(responses) { // else it is still being read
+	if len(batch) == cap(responses) { // otherwise the background reader still uses the buffer
 		batch[len(batch)-1].attempt.DuplicateResponse = p.conn.reader.Buffered() > 0
 	}
 }
 
-// connectionEnded records the requests that have no response as the connection ends, or as the client leaves.
-func (p *persistentClient) connectionEnded(unanswered []pendingRequest, end timedResponse, leaves bool) {
+// connectionEnded records the end of the connection, or the client's early disconnect, for the unanswered requests.
+func (p *persistentClient) connectionEnded(unanswered []pendingRequest, end timedResponse, leavesEarly bool) {
 	timedOut := errors.Is(end.err, os.ErrDeadlineExceeded)
 	isNew, isReset := !p.conn.reused, errors.Is(end.err, syscall.ECONNRESET)
 	p.disconnect()
@@ -202,8 +205,8 @@
 		case !timedOut:
 			a.FromOpenConnection = true
 			a.ConnEndedAt, a.EndedBy = end.atMs, fmt.Sprint(end.err)
-			a.EndedInOrder = isNew && !isReset && end.atMs-a.Sent > crossedEndMs // else it was sent as the connection ended, or after
-		case leaves:
+			a.EndedInOrder = isNew && !isReset && end.atMs-a.Sent > closeInTransitMs // otherwise the close may have been in transit already
+		case leavesEarly:
 			a.LeftAt = fakes.NowMs()
 		}
 	}
--- a/internal/testbed/processrunner/persistentclient_test.go
+++ b/internal/testbed/processrunner/persistentclient_test.go
@@ -8,11 +8,12 @@
 	"mintspring/internal/testbed/invariants"
 )
 
-// A request that has no response may wait for as long as those before it on its connection.
+// Responses on a connection come in the order of the requests. An unanswered request is therefore allowed extra time until the requests
+// before it are answered or past their deadlines.
 func TestUnansweredRequestsWaitInOrder(t *testing.T) {
-	near, far := net.Pipe()
-	t.Cleanup(func() { _ = far.Close() })
-	p := &persistentClient{conn: &client{netConn: near}}
+	clientConn, serverConn := net.Pipe()
+	t.Cleanup(func() { _ = serverConn.Close() })
+	p := &persistentClient{conn: &client{netConn: clientConn}}
 	batch := make([]pendingRequest, 5)
 	for i, deadline := range []float64{1400, 1500, 2000, 1800, 2100} {
 		batch[i].attempt.Deadline = deadline
--- a/internal/testbed/processrunner/run.go
+++ b/internal/testbed/processrunner/run.go
@@ -1,5 +1,5 @@
-// Package processrunner plays experiments with real processes on loopback: it starts fake servers and nodes, generates load, plays the
-// timeline, and collects what was seen. It also runs standalone fleets and plain load tests.
+// Package processrunner runs experiments with real processes on loopback: it starts fake servers and nodes, generates load, applies the
+// timeline, and collects the results. It also runs standalone fleets and load tests without an experiment.
 package processrunner
 
 import (
@@ -17,30 +17,31 @@
 )
 
 const (
-	// startDelay is the time between everything being ready and the load's beginning.
+	// startDelay is the time from the end of the setup to the start of the load.
 	startDelay = 50 * time.Millisecond
-	// settleAfterLoad is how long a run goes on after the last request: what is sent after a response would come then.
+	// settleAfterLoad is how long a run continues after the last request, to catch requests that a node sends after its response.
 	settleAfterLoad = 100 * time.Millisecond
-	// lostAfterMs is how long after its deadline an unanswered request is lost, by the operators' standing test.
+	// lostAfterMs is how long after its deadline, in ms, an unanswered request counts as lost in the operators' standing test.
 	lostAfterMs = 500
-	// sampleInterval is the time between two looks at the servers.
+	// sampleInterval is the time between two samples of the servers.
 	sampleInterval = 100 * time.Millisecond
-	// samplesPerUsage is after how many of these the nodes' processes are looked at.
-	samplesPerUsage = 10
+	// samplesPerUsageReading is the number of server samples per reading of the nodes' resource usage.
+	samplesPerUsageReading = 10
 )
 
-// Options say how an experiment is played.
+// Options are the options of Play.
 type Options struct {
-	Program        string    // how reports call what is measured
-	Command        []string  // how a node of it is started; LB_CONFIG names its configuration
-	NoOperatorFile bool      // nodes are started without the experiment's operator's file, as other builds and baselines are
-	InProcess      ServeFunc // in place of a process for each node
-	Seed           uint64    // 0: the file's
-	Dir            string    // for logs and configurations of nodes; "" for a folder that is removed afterwards
+	Program        string    // name of the tested program in reports
+	Command        []string  // starts a node, with the path of its configuration in LB_CONFIG
+	NoOperatorFile bool      // start nodes without the experiment's operator's file, as for other builds and baselines
+	InProcess      ServeFunc // if set, runs the nodes within this process instead of Command
+	Seed           uint64    // 0 for the experiment's own seed
+	Dir            string    // for logs and configurations of nodes; "" for a temporary folder
 	Progress       func(done float64)
 }
 
-// Play plays an experiment with real processes and returns what was seen. Whatever it started has ended when it returns.
+// Play runs an experiment with real processes and returns its results. All processes and servers that it started have ended when it
+// returns.
 func Play(ctx context.Context, x *experiment.Experiment, o Options) (*experiment.Run, error) {
 	if err := x.ValidateRealTime(); err != nil {
 		return nil, err
@@ -69,11 +70,11 @@
 		clients.limitInUse(x.Nodes.Sockets, x.Load.PersistentClients)
 	}
 	load := newLoadGenerator(x, clients, seed)
-	x.WarmKeys(load.traffic.Keys, func(place int, keys []string) { fleet.WarmCache(fleet.Servers()[place], keys) })
-	return playLoad(ctx, o, seed, fleet, nodes, load)
+	x.WarmKeys(load.traffic.Keys, func(index int, keys []string) { fleet.WarmCache(fleet.Servers()[index], keys) })
+	return runLoadAndTimeline(ctx, o, seed, fleet, nodes, load)
 }
 
-// runDir returns the folder of a run, and what is to be done with it afterwards.
+// runDir creates the folder of a run, and returns a function that removes it if it is a temporary one.
 func runDir(dir string) (created string, remove func(), err error) {
 	if dir != "" {
 		if err := os.MkdirAll(dir, 0o755); err != nil {
@@ -84,37 +85,37 @@
 	if dir, err = os.MkdirTemp("", "mintspring-bench-"); err != nil {
 		return "", nil, fmt.Errorf("creating a folder for the run: %w", err)
 	}
-	return dir, func() { _ = os.RemoveAll(dir) }, nil // what is left of it is in the system's folder for such
+	return dir, func() { _ = os.RemoveAll(dir) }, nil // leftovers stay in the system's temporary folder
 }
 
-// addrs returns where clients reach the nodes.
+// addrs returns the nodes' addresses for clients.
 func (s *nodeSet) addrs() (addrs []string) {
-	for _, n := range s.all {
+	for _, n := range s.runners {
 		addrs = append(addrs, n.addr)
 	}
 	return addrs
 }
 
-// playLoad plays the load and the timeline on what has been started.
-func playLoad(ctx context.Context, o Options, seed uint64, fleet *fakes.Fleet, nodes *nodeSet, load *loadGenerator) (*experiment.Run, error) {
+// runLoadAndTimeline generates the load and applies the timeline, then stops nodes and servers, and collects and checks the results.
+func runLoadAndTimeline(ctx context.Context, o Options, seed uint64, fleet *fakes.Fleet, nodes *nodeSet, load *loadGenerator) (*experiment.Run, error) {
 	x := load.experiment
 	start := time.Now().Add(startDelay)
-	from := start.Add(x.Settle.Duration())
-	to := from.Add(x.Length.Duration())
-	run := experiment.NewRun(x, o.Program, seed, unixMs(from), unixMs(to))
+	measureFrom := start.Add(x.Settle.Duration())
+	measureTo := measureFrom.Add(x.Length.Duration())
+	run := experiment.NewRun(x, o.Program, seed, unixMs(measureFrom), unixMs(measureTo))
 	scenario := &scenarioRunner{experiment: x, fleet: fleet, nodes: nodes, load: load, run: run}
 
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
 	var scenarioErr error
-	var others sync.WaitGroup
-	others.Go(func() { sampleUntil(ctx, run, fleet, nodes) })
-	others.Go(func() { scenarioErr = scenario.play(ctx, from) })
-	load.startPersistentClients(seed, to)
+	var background sync.WaitGroup
+	background.Go(func() { sampleUntil(ctx, run, fleet, nodes) })
+	background.Go(func() { scenarioErr = scenario.playTimeline(ctx, measureFrom) })
+	load.startPersistentClients(seed, measureTo)
 	loadDone := make(chan struct{})
-	go func() { // ends with the load, also when the run is given up
+	go func() { // ends with the load, even if the run is cancelled
 		defer close(loadDone)
-		load.run(start, to, o.Progress)
+		load.run(start, measureTo, o.Progress)
 	}()
 	select {
 	case <-loadDone:
@@ -122,23 +123,23 @@
 	}
 	err := ctx.Err()
 	stop()
-	others.Wait()
+	background.Wait()
 	if err = cmp.Or(err, scenarioErr); err != nil {
 		return nil, err
 	}
 	time.Sleep(settleAfterLoad)
 	nodes.close()
 	fleet.Close()
-	collect(run, fleet, load)
+	collectObservations(run, fleet, load)
 	checkInvariants(run, fleet, nodes, load.attempts)
 	return run, nil
 }
 
-// unixMs is a time in Unix ms.
+// unixMs converts a time to Unix ms.
 func unixMs(t time.Time) float64 { return float64(t.UnixNano()) / float64(time.Millisecond) }
 
-// collect takes over what servers and clients saw.
-func collect(r *experiment.Run, fleet *fakes.Fleet, load *loadGenerator) {
+// collectObservations copies the records of servers and clients into the run.
+func collectObservations(r *experiment.Run, fleet *fakes.Fleet, load *loadGenerator) {
 	r.ConnectionEvents, r.DuplicateDetections = fleet.ConnectionEvents(), fleet.DuplicateDetections()
 	r.Notifications, r.DiscoveryCalls = fleet.Discovery.Notifications(), fleet.Discovery.CallCount()
 	recorder := experiment.NewExecutionRecorder(r.Experiment)
@@ -154,25 +155,26 @@
 	r.LatenessMs = experiment.LatenessP99(r.Requests)
 }
 
-// checkInvariants checks the rules.
+// checkInvariants checks the run against the invariants.
 //
-// Soak runs, those with persistent clients, share the machine with others of their kind. Their answers are judged by what the operators'
-// standing test counts as lost, half a second after the deadline: up to that a late answer earns nothing.
+// Soak runs, those with persistent clients, share the machine with other soak runs. Their late responses violate an invariant only from
+// lostAfterMs after the deadline, when the operators' standing test counts a request as lost. Until then a late response has no value but
+// breaks no rule.
 func checkInvariants(r *experiment.Run, fleet *fakes.Fleet, nodes *nodeSet, attempts []invariants.ClientAttempt) {
-	allowedMs := 0.0
+	lostRequestSlackMs := 0.0
 	if r.Experiment.Load.PersistentClients > 0 {
-		allowedMs = lostAfterMs - r.Experiment.InvariantSlackMs()
+		lostRequestSlackMs = lostAfterMs - r.Experiment.InvariantSlackMs()
 	}
 	for i := range attempts {
 		if a := &attempts[i]; a.AnsweredAt > a.Deadline {
-			a.ExtraSlack += allowedMs + experiment.WorstLateness(r.Requests, a.Deadline, a.AnsweredAt) + nodes.all[a.Node].heldUpBetween(a.Sent, a.AnsweredAt)
+			a.ExtraSlack += lostRequestSlackMs + experiment.WorstLateness(r.Requests, a.Deadline, a.AnsweredAt) + nodes.runners[a.Node].pausedMsBetween(a.Sent, a.AnsweredAt)
 		}
 	}
 	evidence := invariants.Evidence{
 		Attempts: attempts, Executions: fleet.Executions(), Notifications: r.Notifications, Collapses: r.Collapses,
 		DrainGrace: r.Experiment.Rules.DrainGrace.Milliseconds(), Slack: r.Experiment.InvariantSlackMs() + r.LatenessMs,
 	}
-	for _, n := range nodes.all {
+	for _, n := range nodes.runners {
 		evidence.Downtimes, evidence.Crashes = append(evidence.Downtimes, n.downtimes...), append(evidence.Crashes, n.crashes...)
 		evidence.Crowds = append(evidence.Crowds, n.crowds...)
 		evidence.Operations.Add(n.operations)
@@ -181,24 +183,24 @@
 	r.Violations, r.WrongKeyResponses = checker.Violations(), checker.WrongKeyResponses
 }
 
-// clientGraceMs is how long after the deadline of an attempt a client goes away, in ms. In soak runs it waits until a missing answer counts as
-// lost.
+// clientGraceMs returns how long after the deadline of an attempt, in ms, a client closes its connection. In soak runs a client waits until
+// a missing response counts as lost.
 func clientGraceMs(x *experiment.Experiment) float64 {
 	if x.Load.PersistentClients > 0 {
-		return lostAfterMs + crossedEndMs
+		return lostAfterMs + closeInTransitMs
 	}
 	return experiment.ClientGraceMs
 }
 
-// sampleUntil looks at servers and nodes again and again until the context ends.
+// sampleUntil samples servers and nodes periodically until the context ends.
 func sampleUntil(ctx context.Context, r *experiment.Run, fleet *fakes.Fleet, nodes *nodeSet) {
 	ticker := time.NewTicker(sampleInterval)
 	defer ticker.Stop()
 	for i := 0; ; i++ {
 		now := fakes.NowMs()
 		sample := experiment.Sample{AtMs: now, Servers: fleet.Snapshot(now)}
-		if i%samplesPerUsage == 0 {
-			for _, n := range nodes.all {
+		if i%samplesPerUsageReading == 0 {
+			for _, n := range nodes.runners {
 				usage := n.resourceUsage()
 				sample.NodeMemoryMB = append(sample.NodeMemoryMB, usage.memoryMB)
 				sample.NodeDescriptors = append(sample.NodeDescriptors, usage.descriptors)
--- a/internal/testbed/processrunner/run_test.go
+++ b/internal/testbed/processrunner/run_test.go
@@ -11,8 +11,8 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// small returns the text of a small experiment.
-func small(t *testing.T) string {
+// smallExperiment returns the text of the small experiment in testdata.
+func smallExperiment(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../experiment/testdata/small.toml")
 	if err != nil {
@@ -21,7 +21,7 @@
 	return string(text)
 }
 
-func parse(t *testing.T, text string) *experiment.Experiment {
+func parseExperiment(t *testing.T, text string) *experiment.Experiment {
 	t.Helper()
 	x, err := experiment.Parse("small.toml", text)
 	if err != nil {
@@ -30,20 +30,20 @@
 	return x
 }
 
-// play plays an experiment with nodes within this process.
-func play(t *testing.T, x *experiment.Experiment, s ServeFunc) *experiment.Run {
+// playInProcess runs an experiment with nodes within this process.
+func playInProcess(t *testing.T, x *experiment.Experiment, serve ServeFunc) *experiment.Run {
 	t.Helper()
-	r, err := Play(context.Background(), x, Options{Program: "test", InProcess: s, Dir: t.TempDir()})
+	run, err := Play(context.Background(), x, Options{Program: "test", InProcess: serve, Dir: t.TempDir()})
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return run
 }
 
-// The real node among fake servers keeps every rule, also while a cache is killed and another drained.
+// The real node violates no invariant, even while one cache server is killed and another one is drained.
 func TestRealNode(t *testing.T) {
 	t.Parallel()
-	x := parse(t, small(t)+`
+	x := parseExperiment(t, smallExperiment(t)+`
 [[at]]
 time = "500ms"
 do = "kill"
@@ -57,7 +57,7 @@
 what = "drain_ms"
 at_most = 250
 `)
-	r := play(t, x, ServeInProcess)
+	r := playInProcess(t, x, ServeInProcess)
 	v := r.Verdict(true)
 	if !v.Passed() || v.Requests < 250 || len(r.Executions) == 0 || v.Figures["hit_share"] == 0 || v.Figures["p50_ms"] <= 0 {
 		t.Errorf("%s\n%s%+v", v.String(), v.Text(), v.Figures)
@@ -76,9 +76,9 @@
 	}
 }
 
-// What cannot be started is reported in one line, and all that was started before it ends.
+// A node that cannot be started is reported in a one-line error, and a run stops when its context ends.
 func TestStartsThatFail(t *testing.T) {
-	x := parse(t, small(t))
+	x := parseExperiment(t, smallExperiment(t))
 	for name, c := range map[string]struct {
 		argv []string
 		want string
@@ -98,7 +98,7 @@
 	}
 }
 
-// What only a simulated fleet can be is refused with real processes, before any is started.
+// Sizes and settings that only the simulator supports are rejected before any process is started.
 func TestSizesForRealProcesses(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{"count = 2", "count = 100", "nodes.count: 100 is over 64"},
@@ -108,7 +108,7 @@
 		{"[nodes]", "[nodes]\nquery_cost = \"1ms\"", "nodes.query_cost: real processes"},
 		{"[nodes]", "[nodes]\nclock_skew = \"1s\"", "nodes.clock_skew: real processes"},
 	} {
-		_, err := Play(context.Background(), parse(t, strings.Replace(small(t), c.old, c.new, 1)), Options{Command: []string{"/nowhere/node"}, Dir: t.TempDir()})
+		_, err := Play(context.Background(), parseExperiment(t, strings.Replace(smallExperiment(t), c.old, c.new, 1)), Options{Command: []string{"/nowhere/node"}, Dir: t.TempDir()})
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %s", c.new, err, c.want)
 		}
--- a/internal/testbed/processrunner/scenario.go
+++ b/internal/testbed/processrunner/scenario.go
@@ -12,21 +12,22 @@
 	"mintspring/internal/testbed/fakes"
 )
 
-// standbyNotice is how long after a node's change of standby clients notice it: a load balancer probes periodically.
-const standbyNotice = 200 * time.Millisecond
+// standbyNoticeDelay is the time after which clients notice that a node's standby state has changed, as a load balancer with periodic
+// probes would.
+const standbyNoticeDelay = 200 * time.Millisecond
 
-// scenarioRunner plays a timeline on real processes among fake servers. It is the System of that.
+// scenarioRunner applies a timeline to real nodes and fake servers. It implements experiment.System.
 type scenarioRunner struct {
 	experiment *experiment.Experiment
 	fleet      *fakes.Fleet
 	nodes      *nodeSet
 	load       *loadGenerator
 	run        *experiment.Run
-	background sync.WaitGroup // processes that are being started or ended
+	background sync.WaitGroup // actions in progress, such as starting or ending a process
 }
 
-// play plays the timeline from a time on, until it is over or the context ends.
-func (s *scenarioRunner) play(ctx context.Context, from time.Time) error {
+// playTimeline applies the timeline, which starts at the given time, until it is over or the context ends.
+func (s *scenarioRunner) playTimeline(ctx context.Context, from time.Time) error {
 	defer s.background.Wait()
 	for _, event := range s.experiment.Timeline() {
 		select {
@@ -46,13 +47,13 @@
 func (s *scenarioRunner) SetRateFactor(multiple float64) { s.load.setRateFactor(multiple) }
 
 // Server implements System.
-func (s *scenarioRunner) Server(place int) experiment.ServerControl {
-	return serverControl{s.fleet.Servers()[place], s.fleet.Discovery}
+func (s *scenarioRunner) Server(index int) experiment.ServerControl {
+	return serverControl{s.fleet.Servers()[index], s.fleet.Discovery}
 }
 
 // Node implements System.
 func (s *scenarioRunner) Node(index int) experiment.NodeControl {
-	return nodeControl{s.nodes.all[index], s}
+	return nodeControl{s.nodes.runners[index], s}
 }
 
 // Discovery implements System.
@@ -63,11 +64,11 @@
 	if err := s.fleet.Discovery.Relocate(); err != nil {
 		return err
 	}
-	for _, n := range s.nodes.all {
+	for _, n := range s.nodes.runners {
 		addr := s.fleet.Discovery.Addr(n.index)
 		s.background.Go(func() {
 			if err := n.changeConfig(func(c *nodeConfig) { c.Discovery = addr }); err != nil {
-				n.recordCrash(err.Error()) // the run is worth nothing
+				n.recordCrash(err.Error()) // invalidates the run
 				return
 			}
 			n.reload()
@@ -81,7 +82,7 @@
 	return s.nodes.updateLinks(change)
 }
 
-// serverControl is the ServerControl of a fake server.
+// serverControl implements experiment.ServerControl for a fake server.
 type serverControl struct {
 	*fakes.Server
 	discovery *fakes.Discovery
@@ -90,7 +91,7 @@
 // SetPhase implements ServerControl.
 func (c serverControl) SetPhase(phase string) { c.discovery.SetPhase(c.Server, phase) }
 
-// nodeControl is the NodeControl of a real node. What takes time is done in the background.
+// nodeControl implements experiment.NodeControl for a real node. Actions that take time run in the background.
 type nodeControl struct {
 	node     *nodeRunner
 	scenario *scenarioRunner
@@ -110,7 +111,7 @@
 func (c nodeControl) Start() {
 	c.scenario.background.Go(func() {
 		c.node.waitExited()
-		_ = c.node.restart() // a node that does not come back shows by requests without a response
+		_ = c.node.restart() // a node that fails to restart leaves requests unanswered, which the checks report
 	})
 }
 
@@ -125,7 +126,7 @@
 
 // Hold implements NodeControl.
 func (c nodeControl) Hold(duration time.Duration) error {
-	c.scenario.background.Go(func() { c.node.hold(duration) })
+	c.scenario.background.Go(func() { c.node.pauseProcesses(duration) })
 	return nil
 }
 
@@ -137,15 +138,15 @@
 
 // Crowd implements NodeControl.
 func (c nodeControl) Crowd(connections int, duration time.Duration) error {
-	c.scenario.background.Go(func() { c.node.crowd(connections, duration) })
+	c.scenario.background.Go(func() { c.node.openIdleConnections(connections, duration) })
 	return nil
 }
 
 // SetStandby implements NodeControl.
 func (c nodeControl) SetStandby(standby bool) error {
 	err := c.node.setStandby(standby)
-	if clients := c.scenario.load.clients; clients != nil { // a fleet in the foreground has none
-		time.AfterFunc(standbyNotice, func() { clients.setStandby(c.node.index, standby) })
+	if clients := c.scenario.load.clients; clients != nil { // a standalone fleet has none
+		time.AfterFunc(standbyNoticeDelay, func() { clients.setStandby(c.node.index, standby) })
 	}
 	return err
 }
@@ -170,8 +171,8 @@
 		return err
 	}
 	c.scenario.background.Go(func() {
-		if err := c.node.retune(settings, stricter); err != nil {
-			c.node.recordCrash(err.Error()) // the run is worth nothing
+		if err := c.node.applySettings(settings, stricter); err != nil {
+			c.node.recordCrash(err.Error()) // invalidates the run
 		}
 	})
 	return nil
@@ -190,6 +191,6 @@
 // ReplaceMachine implements NodeControl.
 func (c nodeControl) ReplaceMachine() {
 	c.scenario.background.Go(func() {
-		_ = c.node.replaceMachine() // a node that does not come back shows by requests without a response
+		_ = c.node.replaceMachine() // a node that fails to restart leaves requests unanswered, which the checks report
 	})
 }
--- a/internal/testbed/processrunner/standalone.go
+++ b/internal/testbed/processrunner/standalone.go
@@ -13,17 +13,17 @@
 	"mintspring/internal/testbed/fakes"
 )
 
-// StandaloneFleet is a fleet of fake servers that stays in the foreground, with configurations for nodes.
+// StandaloneFleet is a fleet of fake servers that runs until it is closed, with configurations for nodes and optionally the nodes themselves.
 type StandaloneFleet struct {
 	Fleet       *fakes.Fleet
 	ConfigFiles []string // by node
-	Addrs       []string // where the nodes listen, or are to
+	Addrs       []string // listen addresses of the nodes, whether started or not
 	nodes       *nodeSet
 	experiment  *experiment.Experiment
 }
 
-// StartStandalone starts the fake servers of an experiment. Nodes listen on the addresses that are given and, beyond those, on free ones.
-// Their configurations are written into a folder. With a command the nodes are started too.
+// StartStandalone starts the fake servers of an experiment and writes the configurations of its nodes into dir. The nodes get the addresses
+// in listen, and free ones beyond those. If there is a command, it starts the nodes too.
 func StartStandalone(x *experiment.Experiment, listen []string, dir string, command []string) (*StandaloneFleet, error) {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return nil, fmt.Errorf("creating a folder for configurations: %w", err)
@@ -40,7 +40,7 @@
 	return s, nil
 }
 
-// addNodes prepares the nodes, and starts each one if there is a command.
+// addNodes prepares the nodes and, if there is a command, starts each one.
 func (s *StandaloneFleet) addNodes(listen []string, dir string, command []string) error {
 	seed := cmp.Or(s.experiment.Seed, 1)
 	if err := s.nodes.startIdempotencyRelay(s.experiment, seed); err != nil {
@@ -48,11 +48,11 @@
 	}
 	for i := range s.experiment.Nodes.Count {
 		n := &nodeRunner{index: i, dir: dir, program: nodeProgram{Command: command}, operatorFile: s.experiment.OperatorFile()}
-		s.nodes.all = append(s.nodes.all, n)
+		s.nodes.runners = append(s.nodes.runners, n)
 		if i < len(listen) {
 			n.addr = listen[i]
 		}
-		if err := s.prepare(n, seed); err != nil {
+		if err := s.prepareNode(n, seed); err != nil {
 			return err
 		}
 		s.ConfigFiles, s.Addrs = append(s.ConfigFiles, n.configFile()), append(s.Addrs, n.addr)
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// prepare gives a node its configuration and an empty data directory, and an address where it has none.
-func (s *StandaloneFleet) prepare(n *nodeRunner, seed uint64) (err error) {
+// prepareNode sets up a node's configuration, empty data directory and log, and an address if it has none.
+func (s *StandaloneFleet) prepareNode(n *nodeRunner, seed uint64) (err error) {
 	if n.addr == "" {
 		if n.addr, err = n.reserveAddress(); err != nil {
 			return err
@@ -96,61 +96,61 @@
 	return n.createLog()
 }
 
-// Wait plays the experiment's timeline once and then waits until the context ends.
+// Wait applies the experiment's timeline once and then waits until the context ends.
 func (s *StandaloneFleet) Wait(ctx context.Context) error {
-	s.Fleet.DiscardExecutions() // it may run for days
+	s.Fleet.DiscardExecutions() // the fleet may run for days and would exhaust the memory
 	scenario := &scenarioRunner{
 		experiment: s.experiment, fleet: s.Fleet, nodes: s.nodes, load: newLoadGenerator(s.experiment, nil, s.experiment.Seed),
 		run: &experiment.Run{Seed: s.experiment.Seed},
 	}
-	if err := scenario.play(ctx, time.Now().Add(s.experiment.Settle.Duration())); err != nil {
+	if err := scenario.playTimeline(ctx, time.Now().Add(s.experiment.Settle.Duration())); err != nil {
 		return err
 	}
 	<-ctx.Done()
 	return nil
 }
 
-// ProcessID returns that of a node's process.
+// ProcessID returns the ID of a node's process.
 func (s *StandaloneFleet) ProcessID(node int) int {
-	n := s.nodes.all[node]
+	n := s.nodes.runners[node]
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.current.cmd.Process.Pid
 }
 
 // DataDir returns the data directory of a node.
-func (s *StandaloneFleet) DataDir(node int) string { return s.nodes.all[node].dataDir() }
+func (s *StandaloneFleet) DataDir(node int) string { return s.nodes.runners[node].dataDir() }
 
-// LogFile returns where a node logs to.
-func (s *StandaloneFleet) LogFile(node int) string { return s.nodes.all[node].logFile.Name() }
+// LogFile returns the path of a node's log.
+func (s *StandaloneFleet) LogFile(node int) string { return s.nodes.runners[node].logFile.Name() }
 
 // AdminAddr returns the admin address of a node.
-func (s *StandaloneFleet) AdminAddr(node int) string { return s.nodes.all[node].config.Admin }
+func (s *StandaloneFleet) AdminAddr(node int) string { return s.nodes.runners[node].config.Admin }
 
 // AdminCall sends a line to the admin address of a node and returns the answer.
 func (s *StandaloneFleet) AdminCall(node int, line string) (string, error) {
-	return s.nodes.all[node].adminCall(line)
+	return s.nodes.runners[node].callServingAdmin(line)
 }
 
-// LoseMachine kills a node and removes its data directory. Restart begins another one in its place.
+// LoseMachine kills a node and removes its data directory, as if its machine was lost. Restart then starts it as on a new machine.
 func (s *StandaloneFleet) LoseMachine(node int) error {
-	n := s.nodes.all[node]
+	n := s.nodes.runners[node]
 	n.terminate(syscall.SIGKILL)
 	return n.clearDataDir()
 }
 
-// Stop ends a node gracefully.
-func (s *StandaloneFleet) Stop(node int) { s.nodes.all[node].terminate(syscall.SIGTERM) }
+// Stop ends a node gracefully with SIGTERM.
+func (s *StandaloneFleet) Stop(node int) { s.nodes.runners[node].terminate(syscall.SIGTERM) }
 
-// Restart starts a node that was ended.
-func (s *StandaloneFleet) Restart(node int) error { return s.nodes.all[node].restart() }
+// Restart starts a node that has ended.
+func (s *StandaloneFleet) Restart(node int) error { return s.nodes.runners[node].restart() }
 
-// UpdateIdempotencyLinks changes the links between the replicas of idempotency records.
+// UpdateIdempotencyLinks changes the links between the idempotency replicas.
 func (s *StandaloneFleet) UpdateIdempotencyLinks(change func(*faultrelay.Links)) {
 	s.nodes.idempotencyRelay.UpdateLinks(change)
 }
 
-// EffectCount returns how often a write of a key was carried out.
+// EffectCount returns how often a write of a key was applied.
 func (s *StandaloneFleet) EffectCount(key string) (count int) {
 	for _, e := range s.Fleet.Executions() {
 		if e.Key == key && e.Applied {
@@ -160,7 +160,7 @@
 	return count
 }
 
-// Close ends all of it.
+// Close ends the nodes and the fake servers.
 func (s *StandaloneFleet) Close() {
 	s.nodes.close()
 	s.Fleet.Close()
