--- a/cmd/mintspring-xds/main_test.go
+++ b/cmd/mintspring-xds/main_test.go
@@ -260,7 +260,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr, err := loopback.AnyPort()
+	addr, err := loopback.EphemeralAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/mintspring/main_test.go
+++ b/cmd/mintspring/main_test.go
@@ -102,7 +102,7 @@
 
 // TestListenWaits checks that listen waits until an address is no longer in use.
 func TestListenWaits(t *testing.T) {
-	anyPort, err := loopback.AnyPort()
+	anyPort, err := loopback.EphemeralAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/cluster/consensus/replica/panic_test.go
+++ b/internal/cluster/consensus/replica/panic_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	addr, err := loopback.AnyPort()
+	addr, err := loopback.EphemeralAddr()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/node/cacheserver/golden_test.go
+++ b/internal/node/cacheserver/golden_test.go
@@ -22,14 +22,14 @@
 	body := request("KV.SET", "c=put,d=480", nil)
 	body.Write, body.Body = true, exchange.NewBody(70_000)
 	protocoltest.CheckRequests(t, Protocol{}, golden, []protocoltest.Request{
-		{Name: "get", Exchange: request("KV.GET", "c=read,t=zeta,d=480,h=2500,size=70,odd=1", nil), LimitMs: 120.9},
-		{Name: "get-lower-case", Exchange: request("kv.get", "c=read,d=480", nil), LimitMs: 7},
-		{Name: "get-no-time", Exchange: request("KV.GET", "c=read,odd", nil), LimitMs: 7},
-		{Name: "get-time-over", Exchange: request("KV.GET", "d=480,c=read", nil), LimitMs: -3},
-		{Name: "set", Exchange: request("KV.SET", "c=put,d=480,k=5c", []byte("new\r\n\x00\xff")), LimitMs: 120},
-		{Name: "set-empty", Exchange: request("KV.SET", "c=put,d=480", []byte{}), LimitMs: 120},
-		{Name: "set-large", Exchange: request("KV.SET", "c=put,d=480", make([]byte, exchange.MaxBufferedValue+1)), LimitMs: 120},
-		{Name: "set-in-pieces", Exchange: body, LimitMs: 120},
+		{Name: "get", Exchange: request("KV.GET", "c=read,t=zeta,d=480,h=2500,size=70,odd=1", nil), TimeoutMs: 120.9},
+		{Name: "get-lower-case", Exchange: request("kv.get", "c=read,d=480", nil), TimeoutMs: 7},
+		{Name: "get-no-time", Exchange: request("KV.GET", "c=read,odd", nil), TimeoutMs: 7},
+		{Name: "get-time-over", Exchange: request("KV.GET", "d=480,c=read", nil), TimeoutMs: -3},
+		{Name: "set", Exchange: request("KV.SET", "c=put,d=480,k=5c", []byte("new\r\n\x00\xff")), TimeoutMs: 120},
+		{Name: "set-empty", Exchange: request("KV.SET", "c=put,d=480", []byte{}), TimeoutMs: 120},
+		{Name: "set-large", Exchange: request("KV.SET", "c=put,d=480", make([]byte, exchange.MaxBufferedValue+1)), TimeoutMs: 120},
+		{Name: "set-in-pieces", Exchange: body, TimeoutMs: 120},
 	})
 	if got := (Protocol{}).ValueTerminator(); got != golden["after-large"] {
 		t.Errorf("after-large\t%q", got)
--- a/internal/node/origin/golden_test.go
+++ b/internal/node/origin/golden_test.go
@@ -24,13 +24,13 @@
 	body := request("k", "c=put,d=480", nil)
 	body.Write, body.Body = true, exchange.NewBody(70_000)
 	protocoltest.CheckRequests(t, Protocol{}, golden, []protocoltest.Request{
-		{Name: "get", Exchange: request("7f3a9c21e0b4d655", "c=read,t=zeta,d=480,h=2500,size=70,odd=1", nil), LimitMs: 120.9},
-		{Name: "get-escaped", Exchange: request("a/b c?d#e%\xff", "c=read,d=480", nil), LimitMs: 7},
-		{Name: "get-time-over", Exchange: request("k", "d=480,c=read", nil), LimitMs: -3},
-		{Name: "put", Exchange: request("k", "c=put,d=480,k=5c", []byte("new\r\n\x00\xff")), LimitMs: 120},
-		{Name: "put-empty", Exchange: request("k", "c=put,d=480", []byte{}), LimitMs: 120},
-		{Name: "put-large", Exchange: request("k", "c=put,d=480", make([]byte, exchange.MaxBufferedValue+1)), LimitMs: 120},
-		{Name: "put-in-pieces", Exchange: body, LimitMs: 120},
+		{Name: "get", Exchange: request("7f3a9c21e0b4d655", "c=read,t=zeta,d=480,h=2500,size=70,odd=1", nil), TimeoutMs: 120.9},
+		{Name: "get-escaped", Exchange: request("a/b c?d#e%\xff", "c=read,d=480", nil), TimeoutMs: 7},
+		{Name: "get-time-over", Exchange: request("k", "d=480,c=read", nil), TimeoutMs: -3},
+		{Name: "put", Exchange: request("k", "c=put,d=480,k=5c", []byte("new\r\n\x00\xff")), TimeoutMs: 120},
+		{Name: "put-empty", Exchange: request("k", "c=put,d=480", []byte{}), TimeoutMs: 120},
+		{Name: "put-large", Exchange: request("k", "c=put,d=480", make([]byte, exchange.MaxBufferedValue+1)), TimeoutMs: 120},
+		{Name: "put-in-pieces", Exchange: body, TimeoutMs: 120},
 	})
 	if got := (Protocol{}).ValueTerminator(); got != "" {
 		t.Errorf("%q follows a large value", got)
--- a/internal/testbed/faultrounds/machine.go
+++ b/internal/testbed/faultrounds/machine.go
@@ -21,7 +21,7 @@
 }
 
 func addrInNet(network byte, seed uint64, n int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", network, seed%seedsInNet, 1+seed/seedsInNet%loopback.ComposedHosts, firstPort+n)
+	return fmt.Sprintf("127.%d.%d.%d:%d", network, seed%seedsInNet, 1+seed/seedsInNet%loopback.MaxComposedHost, firstPort+n)
 }
 
 // schedulingCheck is how often MeasureSchedulingDelay looks at the clock.
--- a/internal/testbed/leasetest/round.go
+++ b/internal/testbed/leasetest/round.go
@@ -101,7 +101,7 @@
 	for i := range r.config.Contenders {
 		r.addContender(r.config.replicaCount() + i)
 	}
-	adminAddr, err := loopback.AnyPort()
+	adminAddr, err := loopback.EphemeralAddr()
 	if err != nil {
 		return err
 	}
--- a/internal/testbed/loopback/loopback.go
+++ b/internal/testbed/loopback/loopback.go
@@ -20,10 +20,10 @@
 
 // Hosts of a network: 127.N.b.c, where c tells what they are for.
 const (
-	// ComposedHosts is the highest c of addresses that callers compose themselves; they begin at 1. NextHost returns none of them.
-	ComposedHosts = 250
+	// MaxComposedHost is the highest c of addresses that callers compose themselves; they begin at 1. NextHost returns none of them.
+	MaxComposedHost = 250
 
-	firstListenHost = ComposedHosts + 1
+	firstListenHost = MaxComposedHost + 1
 	listenHosts     = 3   // values of c from firstListenHost on
 	claimHost       = 254 // of the socket that claims the network
 	subnets         = 256 // values of b
@@ -78,8 +78,8 @@
 	return netip.AddrFrom4([4]byte{127, network, byte(n % subnets), byte(firstListenHost + n/subnets%listenHosts)}), nil
 }
 
-// AnyPort returns an address to listen on, as host:port: a host of NextHost and a port of the kernel's choice.
-func AnyPort() (string, error) {
+// EphemeralAddr returns an address to listen on, as host:port: a host of NextHost and a port of the kernel's choice.
+func EphemeralAddr() (string, error) {
 	host, err := NextHost()
 	if err != nil {
 		return "", err
@@ -87,18 +87,18 @@
 	return netip.AddrPortFrom(host, 0).String(), nil
 }
 
-// Listen listens for TCP connections on an address of AnyPort.
+// Listen listens for TCP connections on an address of EphemeralAddr.
 func Listen() (net.Listener, error) {
-	addr, err := AnyPort()
+	addr, err := EphemeralAddr()
 	if err != nil {
 		return nil, err
 	}
 	return net.Listen("tcp4", addr)
 }
 
-// ListenPacket receives datagrams on an address of AnyPort.
+// ListenPacket receives datagrams on an address of EphemeralAddr.
 func ListenPacket() (net.PacketConn, error) {
-	addr, err := AnyPort()
+	addr, err := EphemeralAddr()
 	if err != nil {
 		return nil, err
 	}
--- a/internal/testbed/loopback/loopback_test.go
+++ b/internal/testbed/loopback/loopback_test.go
@@ -32,7 +32,7 @@
 			t.Fatal(err)
 		}
 		bytes := host.As4()
-		if last := int(bytes[3]); seen[host] || bytes[0] != 127 || bytes[1] != network || last <= ComposedHosts || last >= claimHost {
+		if last := int(bytes[3]); seen[host] || bytes[0] != 127 || bytes[1] != network || last <= MaxComposedHost || last >= claimHost {
 			t.Fatalf("host %d is %v, in network 127.%d", len(seen)+1, host, network)
 		}
 		seen[host] = true
--- a/internal/testbed/protocoltest/protocoltest.go
+++ b/internal/testbed/protocoltest/protocoltest.go
@@ -15,7 +15,7 @@
 type Request struct {
 	Name     string
 	Exchange *exchange.Exchange
-	LimitMs  float64 // the time that the server has for it
+	TimeoutMs  float64 // the time that the server has for it
 }
 
 // Response is how a response that stands under the same name in a golden file is read.
@@ -28,7 +28,7 @@
 func CheckRequests(t *testing.T, protocol upstream.Protocol, golden map[string]string, requests []Request) {
 	t.Helper()
 	for _, r := range requests {
-		got := string(protocol.AppendRequest([]byte("prefix"), r.Exchange, r.LimitMs))
+		got := string(protocol.AppendRequest([]byte("prefix"), r.Exchange, r.TimeoutMs))
 		if want, known := golden[r.Name]; !known || got != "prefix"+want {
 			t.Errorf("%s\t%s\nwant %q", r.Name, strconv.Quote(strings.TrimPrefix(got, "prefix")), want)
 		}
--- a/internal/testbed/syscalltrace/tracer_linux_amd64_test.go
+++ b/internal/testbed/syscalltrace/tracer_linux_amd64_test.go
@@ -47,7 +47,7 @@
 		}
 		os.Exit(0)
 	}
-	addr, err := loopback.AnyPort()
+	addr, err := loopback.EphemeralAddr()
 	if err == nil {
 		err = os.Setenv(listenAddr, addr)
 	}
