--- a/internal/testbed/loopback/loopback.go
+++ b/internal/testbed/loopback/loopback.go
@@ -1,7 +1,7 @@
-// Package loopback gives each process a network of loopback addresses of its own, 127.N.0.0/16 (Linux, where all of 127.0.0.0/8 is local).
+// Package loopback gives each process its own network of loopback addresses, 127.N.0.0/16 (Linux, where all of 127.0.0.0/8 is local).
 //
-// A port of an address that processes share may be given to one of them as soon as a listener of another ends. Whoever still connects to
-// that listener, because it was not told or is slow to end, then reaches a stranger.
+// If processes shared an IP address, the kernel could assign a port to one of them as soon as a listener of another closes. Clients that
+// still connect to the closed listener would then reach an unrelated server.
 package loopback
 
 import (
@@ -15,33 +15,33 @@
 	"syscall"
 )
 
-// NetworkCount is how many networks there are. The first one that a process tries to claim is that of its process id modulo NetworkCount.
+// NetworkCount is the number of networks. A process first tries to claim the network whose index is its process id modulo NetworkCount.
 const NetworkCount = 128
 
-// Hosts of a network: 127.N.b.c, where c tells what they are for.
+// Hosts of a network are 127.N.b.c. The value of c determines their use.
 const (
-	// MaxComposedHost is the highest c of addresses that callers compose themselves; they begin at 1. NextHost returns none of them.
+	// MaxComposedHost is the highest c of addresses that callers compose themselves. The lowest is 1. NextHost returns no such address.
 	MaxComposedHost = 250
 
 	firstListenHost = MaxComposedHost + 1
-	listenHosts     = 3   // values of c from firstListenHost on
-	claimHost       = 254 // of the socket that claims the network
-	subnets         = 256 // values of b
+	listenHostCount = 3   // number of values of c, from firstListenHost
+	claimHost       = 254 // c of the socket that claims the network
+	subnetCount     = 256 // number of values of b
 )
 
 const (
-	firstNetwork = 64   // the lowest N, beyond addresses that other programs use
-	claimPort    = 7001 // of the socket that claims the network
+	firstNetwork = 64   // the lowest N, above the addresses that other programs use
+	claimPort    = 7001 // port of the socket that claims the network
 )
 
-// Network returns the number N of the network that this process has claimed. It keeps it until it ends.
-func Network() (byte, error) { return claimOnce() }
+// Network returns the number N of this process's network. The first call claims the network; the process keeps it until it ends.
+func Network() (byte, error) { return claimNetworkOnce() }
 
-// claimOnce claims a network at its first call, and returns the same one at all others.
-var claimOnce = sync.OnceValues(func() (byte, error) {
+// claimNetworkOnce claims a network at the first call and returns the same network at later calls.
+var claimNetworkOnce = sync.OnceValues(func() (byte, error) {
 	for i := range NetworkCount {
 		network := byte(firstNetwork + (os.Getpid()+i)%NetworkCount)
-		switch err := claim(network); {
+		switch err := claimNetwork(network); {
 		case err == nil:
 			return network, nil
 		case !errors.Is(err, syscall.EADDRINUSE):
@@ -51,8 +51,8 @@
 	return 0, fmt.Errorf("all of the %d loopback networks are in use", NetworkCount)
 })
 
-// claim binds a socket that claims a network for as long as this process runs. The error is EADDRINUSE if another process has claimed it.
-func claim(network byte) error {
+// claimNetwork claims a network until this process ends, by binding a socket. The error is EADDRINUSE if the network is already claimed.
+func claimNetwork(network byte) error {
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_DGRAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return err
@@ -64,21 +64,21 @@
 	return nil // the kernel closes the socket when the process ends
 }
 
-// hostsGiven is how many hosts NextHost has returned.
-var hostsGiven atomic.Uint32
+// hostsReturned is the number of hosts that NextHost has returned.
+var hostsReturned atomic.Uint32
 
-// NextHost returns a host of this process's network, each time another one until all of them have been returned. What listens on a host
-// of its own is not reached by who still connects to an earlier listener of the same process.
+// NextHost returns a host of this process's network. It returns each host once before it repeats any. A listener on a new host receives no
+// connections that are meant for an earlier listener of the same process.
 func NextHost() (netip.Addr, error) {
 	network, err := Network()
 	if err != nil {
 		return netip.Addr{}, err
 	}
-	n := hostsGiven.Add(1) - 1
-	return netip.AddrFrom4([4]byte{127, network, byte(n % subnets), byte(firstListenHost + n/subnets%listenHosts)}), nil
+	n := hostsReturned.Add(1) - 1
+	return netip.AddrFrom4([4]byte{127, network, byte(n % subnetCount), byte(firstListenHost + n/subnetCount%listenHostCount)}), nil
 }
 
-// EphemeralAddr returns an address to listen on, as host:port: a host of NextHost and a port of the kernel's choice.
+// EphemeralAddr returns an address to listen on, as host:port: a host of NextHost and port 0, for which the kernel chooses a port.
 func EphemeralAddr() (string, error) {
 	host, err := NextHost()
 	if err != nil {
@@ -96,7 +96,7 @@
 	return net.Listen("tcp4", addr)
 }
 
-// ListenPacket receives datagrams on an address of EphemeralAddr.
+// ListenPacket opens a UDP socket on an address of EphemeralAddr.
 func ListenPacket() (net.PacketConn, error) {
 	addr, err := EphemeralAddr()
 	if err != nil {
--- a/internal/testbed/loopback/loopback_test.go
+++ b/internal/testbed/loopback/loopback_test.go
@@ -14,19 +14,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := claim(network); !errors.Is(err, syscall.EADDRINUSE) {
+	if err := claimNetwork(network); !errors.Is(err, syscall.EADDRINUSE) {
 		t.Errorf("claiming network 127.%d again: %v", network, err)
 	}
 }
 
-// All hosts differ, are in the network of the process, and are neither the host of its claim nor one of those that callers compose.
+// All hosts of NextHost differ and are in the process's network. None is the host of the claim or an address that callers may compose.
 func TestHostsDiffer(t *testing.T) {
 	network, err := Network()
 	if err != nil {
 		t.Fatal(err)
 	}
 	seen := map[netip.Addr]bool{}
-	for range subnets * listenHosts {
+	for range subnetCount * listenHostCount {
 		host, err := NextHost()
 		if err != nil {
 			t.Fatal(err)
@@ -39,7 +39,7 @@
 	}
 }
 
-// Listeners, for connections and for datagrams, are on hosts of their own, and can be reached there.
+// TCP and UDP listeners get different hosts of the process's network, and the TCP listener accepts connections there.
 func TestListenersHaveTheirOwnHosts(t *testing.T) {
 	network, err := Network()
 	if err != nil {
@@ -62,7 +62,7 @@
 	checkReachable(t, listener)
 }
 
-// checkReachable connects to a listener.
+// checkReachable checks that a listener can be connected to.
 func checkReachable(t *testing.T, listener net.Listener) {
 	t.Helper()
 	conn, err := net.Dial("tcp4", listener.Addr().String())
--- a/internal/testbed/loopbacktest/loopbacktest.go
+++ b/internal/testbed/loopbacktest/loopbacktest.go
@@ -1,4 +1,4 @@
-// Package loopbacktest starts servers of tests on the loopback network of the test's process. Only test files may import it.
+// Package loopbacktest starts test servers on the loopback network of the test process. Only test files may import it.
 package loopbacktest
 
 import (
@@ -10,7 +10,7 @@
 	"mintspring/internal/testbed/loopback"
 )
 
-// Listen is loopback.Listen, which fails the test where it fails. The caller closes the listener.
+// Listen calls loopback.Listen and fails the test on an error. The caller closes the listener.
 func Listen(t testing.TB) net.Listener {
 	t.Helper()
 	listener, err := loopback.Listen()
@@ -20,11 +20,11 @@
 	return listener
 }
 
-// StartServer is httptest.NewServer on a listener of Listen. The caller ends the server.
+// StartServer works as httptest.NewServer, but listens on an address of Listen. The caller closes the server.
 func StartServer(t testing.TB, handler http.Handler) *httptest.Server {
 	t.Helper()
 	server := httptest.NewUnstartedServer(handler)
-	if err := server.Listener.Close(); err != nil { // httptest has it listen on an address of all processes
+	if err := server.Listener.Close(); err != nil { // httptest's own listener uses 127.0.0.1, which all processes share
 		t.Fatal(err)
 	}
 	server.Listener = Listen(t)
--- a/internal/testbed/reservedport/reservedport.go
+++ b/internal/testbed/reservedport/reservedport.go
@@ -1,4 +1,4 @@
-// Package reservedport reserves addresses of the process's loopback network for processes that listen on them later, or again and again.
+// Package reservedport reserves addresses of the process's loopback network for processes that listen on them later or repeatedly.
 package reservedport
 
 import (
@@ -11,11 +11,12 @@
 	"mintspring/internal/testbed/loopback"
 )
 
-// Port is a loopback address that the kernel assigns to no socket that does not name its number.
+// Port is a reserved loopback address: the kernel assigns it to a socket only if the socket requests its port number.
 //
-// An address that was found to be free and then closed may be assigned to the next socket that binds any port: a listener on port 0, or the
-// near end of an outgoing connection. A socket that is bound with SO_REUSEADDR and never listens keeps the address from both, and
-// still lets those who name it listen, one at a time (Linux; bind(2) and socket(7)).
+// Without a reservation, a free address that was bound and closed again may be assigned to the next socket that requests any port: a
+// listener on port 0, or the local end of an outgoing connection. A socket that is bound with SO_REUSEADDR and never listens keeps the
+// kernel from assigning the address to either. Listeners that request the address can still use it, one at a time (Linux; bind(2) and
+// socket(7)).
 type Port struct {
 	addr string
 	fd   int // of the bound socket; closedFD after Close
@@ -37,7 +38,7 @@
 	return &Port{addr: addr, fd: fd}, nil
 }
 
-// bindLoopback binds a socket to a host of its own and a port of the kernel's choice and returns its address as host:port.
+// bindLoopback binds a socket to a new loopback host and a port that the kernel chooses, and returns the address as host:port.
 func bindLoopback(fd int) (string, error) {
 	if err := syscall.SetsockoptInt(fd, syscall.SOL_SOCKET, syscall.SO_REUSEADDR, 1); err != nil {
 		return "", err
@@ -55,13 +56,13 @@
 	}
 	inet, ok := bound.(*syscall.SockaddrInet4)
 	if !ok {
-		return "", fmt.Errorf("the socket is bound to a %T", bound)
+		return "", fmt.Errorf("unexpected type of socket address: %T", bound)
 	}
 	return netip.AddrPortFrom(host, uint16(inet.Port)).String(), nil
 }
 
-// ReserveUDP reserves an address on loopback on which datagrams can be received too. Its number is reserved for TCP only: another
-// UDP socket could still take it, but few programs open any.
+// ReserveUDP reserves a loopback address whose port is also free for UDP. The port is reserved for TCP only: another UDP socket could
+// still bind it, but few programs open UDP sockets.
 func ReserveUDP() (*Port, error) {
 	for {
 		port, err := Reserve()
@@ -84,13 +85,13 @@
 // Addr returns the address as host:port.
 func (p *Port) Addr() string { return p.addr }
 
-// Listen listens on the address. When the listener is closed, the address is still reserved.
+// Listen listens on the address. The address stays reserved after the listener is closed.
 //
-// A process that was being started as an earlier listener was closed has a copy of its descriptor until it executes its program: the
-// address is in use until then. The lock is held for writing from the fork on until that.
+// A child process that was forked before an earlier listener was closed has a copy of the listener's descriptor until it executes its
+// program, and the address is in use until then. ForkLock is held for writing from the fork to the exec, so Listen waits for the lock.
 func (p *Port) Listen() (*net.TCPListener, error) {
 	syscall.ForkLock.RLock()
-	syscall.ForkLock.RUnlock() //nolint:staticcheck // nothing is guarded, the end of a fork is waited for
+	syscall.ForkLock.RUnlock() //nolint:staticcheck // the critical section is empty: the lock only waits for forks in progress
 	listener, err := net.Listen("tcp4", p.addr)
 	if err != nil {
 		return nil, err
@@ -98,7 +99,7 @@
 	return listener.(*net.TCPListener), nil
 }
 
-// Close ends the reservation. Closing a port twice is fine.
+// Close ends the reservation. It may be called more than once.
 func (p *Port) Close() error {
 	if p.fd == closedFD {
 		return nil
--- a/internal/testbed/reservedport/reservedport_test.go
+++ b/internal/testbed/reservedport/reservedport_test.go
@@ -13,12 +13,13 @@
 	"mintspring/internal/testbed/loopbacktest"
 )
 
-// localPortRange is IP_LOCAL_PORT_RANGE of linux/in.h: the ports that the kernel may choose for a socket, the last one in the upper
-// half of the value.
-const localPortRange = 51
+// ipLocalPortRange is IP_LOCAL_PORT_RANGE of linux/in.h. The option sets the range of ports that the kernel may choose for a socket: the
+// lowest port in the lower 16 bits, the highest in the upper 16 bits.
+const ipLocalPortRange = 51
 
-// chooseOnly lets the kernel choose among one port only, so that a test does not need a thousand attempts to be given it.
-func chooseOnly(t *testing.T, addr string) func(network, address string, c syscall.RawConn) error {
+// restrictPortTo returns a socket control function that restricts the kernel's choice to the port of addr. Without it a test might need
+// thousands of attempts to be assigned that port.
+func restrictPortTo(t *testing.T, addr string) func(network, address string, c syscall.RawConn) error {
 	t.Helper()
 	_, text, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -31,7 +32,7 @@
 	return func(_, _ string, c syscall.RawConn) error {
 		var err error
 		controlErr := c.Control(func(fd uintptr) {
-			err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, localPortRange, port<<16|port)
+			err = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_IP, ipLocalPortRange, port<<16|port)
 		})
 		return errors.Join(controlErr, err)
 	}
@@ -54,21 +55,21 @@
 	}
 }
 
-// isGivenOut reports whether the kernel gives the address to a listener on port 0 of its host, and to an outgoing connection to peer from
-// its host. A connection that names no host has the address of none of them: it goes out from 127.0.0.1.
-func isGivenOut(t *testing.T, addr, peer string) (listener, connection bool) {
+// kernelAssigns reports whether the kernel assigns the address to a listener on port 0 of its host, and to an outgoing connection to peer
+// from its host. The connection names its local host, because the kernel would choose 127.0.0.1 otherwise.
+func kernelAssigns(t *testing.T, addr, peer string) (listener, connection bool) {
 	t.Helper()
 	host := netip.MustParseAddrPort(addr).Addr()
 	anyPort := netip.AddrPortFrom(host, 0)
-	listenConfig := net.ListenConfig{Control: chooseOnly(t, addr)}
+	listenConfig := net.ListenConfig{Control: restrictPortTo(t, addr)}
 	ln, err := listenConfig.Listen(context.Background(), "tcp4", anyPort.String())
 	if errors.Is(err, syscall.ENOPROTOOPT) {
-		t.Skip("the kernel cannot be told which ports to choose from")
+		t.Skip("the kernel does not support IP_LOCAL_PORT_RANGE")
 	}
 	if listener = err == nil; listener {
 		closeOrFail(t, ln)
 	}
-	dialer := net.Dialer{Control: chooseOnly(t, addr), LocalAddr: net.TCPAddrFromAddrPort(anyPort), Timeout: time.Second}
+	dialer := net.Dialer{Control: restrictPortTo(t, addr), LocalAddr: net.TCPAddrFromAddrPort(anyPort), Timeout: time.Second}
 	conn, err := dialer.Dial("tcp4", peer)
 	if connection = err == nil; connection {
 		closeOrFail(t, conn)
@@ -76,27 +77,27 @@
 	return listener, connection
 }
 
-// A reserved address is assigned to no socket that binds any port, to listen on or to connect from, also while a listener of its own
-// comes and goes; the same calls are given an address that is no longer reserved.
-func TestReservedAddressIsNotGivenOut(t *testing.T) {
+// The kernel does not assign a reserved address to a listener on port 0 or to an outgoing connection, before and after listeners use it.
+// It does assign an address whose reservation has ended.
+func TestReservedAddressIsNotAssigned(t *testing.T) {
 	peer := loopbacktest.Listen(t)
 	defer closeOrFail(t, peer)
 	released := reserve(t)
 	closeOrFail(t, released)
-	if listener, connection := isGivenOut(t, released.Addr(), peer.Addr().String()); !listener || !connection {
-		t.Errorf("an address that is free again is given to a listener: %v, to a connection: %v", listener, connection)
+	if listener, connection := kernelAssigns(t, released.Addr(), peer.Addr().String()); !listener || !connection {
+		t.Errorf("released address is assigned to a listener: %v, to a connection: %v", listener, connection)
 	}
 	port := reserve(t)
 	for range 3 {
-		if listener, connection := isGivenOut(t, port.Addr(), peer.Addr().String()); listener || connection {
-			t.Fatalf("a reserved address is given to a listener: %v, to a connection: %v", listener, connection)
+		if listener, connection := kernelAssigns(t, port.Addr(), peer.Addr().String()); listener || connection {
+			t.Fatalf("reserved address is assigned to a listener: %v, to a connection: %v", listener, connection)
 		}
 		listenAndAccept(t, port)
 	}
 }
 
-// listenAndAccept has a listener on a reserved port come and go, with a connection of which its own end closes first, so that the
-// address lingers in TIME_WAIT.
+// listenAndAccept opens and closes a listener on a reserved port. It also closes the accepted end of a connection first, which leaves the
+// address in TIME_WAIT.
 func listenAndAccept(t *testing.T, port *Port) {
 	t.Helper()
 	listener, err := port.Listen()
