--- a/internal/testbed/processtest/processtest.go
+++ b/internal/testbed/processtest/processtest.go
@@ -1,4 +1,4 @@
-// Package processtest lets the test program of a package run as one of the processes that its tests start. Only test files may import it.
+// Package processtest lets the tests of a package start the package's own test binary as a child process. Only test files may import it.
 package processtest
 
 import (
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Main runs the tests of a package and exits. Where the first argument of the program is the given one, it runs a process with the
-// configuration in the second argument instead. Call it from TestMain.
+// Main runs the tests of a package and exits. If the first command-line argument is the given one, it calls run with the second
+// argument, the configuration of the child process, instead. Call it from TestMain.
 func Main(m *testing.M, argument string, run func(config string) error) {
 	if len(os.Args) <= 2 || os.Args[1] != argument {
 		os.Exit(m.Run())
--- a/internal/testbed/protocoltest/protocoltest.go
+++ b/internal/testbed/protocoltest/protocoltest.go
@@ -11,20 +11,20 @@
 	"mintspring/internal/node/upstream"
 )
 
-// Request is a request, and how it is written under the same name in a golden file.
+// Request is a request to encode. Its encoded form has the same name in a golden file.
 type Request struct {
-	Name     string
-	Exchange *exchange.Exchange
-	TimeoutMs  float64 // the time that the server has for it
+	Name      string
+	Exchange  *exchange.Exchange
+	TimeoutMs float64 // the server's timeout for the request, in milliseconds
 }
 
-// Response is how a response that stands under the same name in a golden file is read.
+// Response is the expected result of decoding a response. Its encoded form has the same name in a golden file.
 type Response struct {
 	Name string
 	Want upstream.Response
 }
 
-// CheckRequests checks how requests are written, byte for byte.
+// CheckRequests checks that the protocol encodes requests as in the golden file, byte for byte.
 func CheckRequests(t *testing.T, protocol upstream.Protocol, golden map[string]string, requests []Request) {
 	t.Helper()
 	for _, r := range requests {
@@ -35,17 +35,17 @@
 	}
 }
 
-// CheckResponses checks how responses are read, each with other bytes behind it.
+// CheckResponses checks that the protocol decodes the responses of the golden file, each followed by other bytes.
 func CheckResponses(t *testing.T, protocol upstream.Protocol, golden map[string]string, responses []Response) {
 	t.Helper()
 	for _, r := range responses {
-		in, known := golden[r.Name]
-		n, got, err := protocol.ParseResponse([]byte(in + "rest"))
-		if !known || err != nil || n != len(in) || !Equal(got, r.Want) {
-			t.Errorf("%s: %q: %d bytes, %v\n%#v, want\n%#v", r.Name, in, n, err, got, r.Want)
+		encoded, known := golden[r.Name]
+		n, got, err := protocol.ParseResponse([]byte(encoded + "rest"))
+		if !known || err != nil || n != len(encoded) || !Equal(got, r.Want) {
+			t.Errorf("%s: %q: %d bytes, %v\n%#v, want\n%#v", r.Name, encoded, n, err, got, r.Want)
 		}
 	}
 }
 
-// Equal reports whether responses are the same. They are compared as formatted, since a load report has NaN for what it does not state.
+// Equal reports whether responses are the same. It compares their formatted text, since fields that a load report leaves out are NaN.
 func Equal(a, b upstream.Response) bool { return fmt.Sprintf("%#v", a) == fmt.Sprintf("%#v", b) }
--- a/internal/testbed/wiretest/wiretest.go
+++ b/internal/testbed/wiretest/wiretest.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/testbed/goldentest"
 )
 
-// Encode returns the datagrams of messages.
+// Encode encodes each message as a datagram.
 func Encode(messages []*wire.Message) [][]byte {
 	var datagrams [][]byte
 	for _, message := range messages {
@@ -21,8 +21,8 @@
 	return datagrams
 }
 
-// CheckDatagrams checks that datagrams are those of a golden file, which has one in hexadecimal digits on each line, and that each can be
-// parsed and encodes to the same bytes again. It returns the parsed messages.
+// CheckDatagrams checks that datagrams equal those of a golden file, which holds one per line in hexadecimal digits, and that each can be
+// parsed and encoded to the same bytes again. It returns the parsed messages.
 func CheckDatagrams(t *testing.T, name string, datagrams [][]byte) []*wire.Message {
 	t.Helper()
 	want := strings.Fields(string(goldentest.Read(t, name)))
@@ -49,10 +49,10 @@
 	Datagrams *[][]byte // may be shared by the processes of a network
 }
 
-// Tick has the process do what is due.
+// Tick runs the process's periodic work and records the messages that it sends.
 func (r Recorder) Tick(now float64) []*wire.Message { return r.record(r.Process.Tick(now)) }
 
-// Handle has the process handle a message.
+// Handle passes a message to the process and records the messages that it sends.
 func (r Recorder) Handle(now float64, m *wire.Message) []*wire.Message {
 	return r.record(r.Process.Handle(now, m))
 }
