--- a/cmd/mintspring-bench/controlplane.go
+++ b/cmd/mintspring-bench/controlplane.go
@@ -30,8 +30,8 @@
 	}
 	tooLong := 0
 	for _, r := range results {
-		fmt.Printf("%-20s %4d rounds, the last new request %4d ms after the drain\n", r.Fault, r.Rounds, r.Longest.Milliseconds())
-		if r.Longest > maxDrain {
+		fmt.Printf("%-20s %4d rounds, the last new request %4d ms after the drain\n", r.Fault, r.Rounds, r.MaxDelay.Milliseconds())
+		if r.MaxDelay > maxDrain {
 			tooLong++
 		}
 	}
@@ -61,7 +61,7 @@
 			variant = "incremental"
 		}
 		fmt.Printf("%-12s %9d %7d %9d %7d %21.0f %16.1f %12.2f %10.0f %7.1f %7.1f\n",
-			variant, r.Endpoints, r.Streams, r.Snapshots, r.Applied, r.Bytes, r.CPUMs, r.LeaseCores, r.StreamKB, r.P50, r.P99)
+			variant, r.Endpoints, r.Streams, r.Snapshots, r.SnapshotsApplied, r.BytesPerStreamSnapshot, r.CPUMsPerSnapshot, r.LeaseCores, r.KiBPerStream, r.P50Ms, r.P99Ms)
 	}
 	return nil
 }
--- a/cmd/mintspring-bench/leases.go
+++ b/cmd/mintspring-bench/leases.go
@@ -51,7 +51,7 @@
 		seed := c.From + uint64(i)
 		reports[i], errs[i] = leasetest.RunRound(ctx, leasetest.Config{
 			Argv: []string{self, "lease-process"}, Voters: c.Voters, Spares: c.Spares, Contenders: c.Contenders, Duration: c.Duration, TTL: c.TTL,
-			FreezeProcesses: c.freezesProcesses(seed), KillHolders: c.KillHolders, SkipLeaseCheck: c.Unchecked, Seed: seed,
+			PauseProcesses: c.freezesProcesses(seed), KillHolders: c.KillHolders, SkipLeaseCheck: c.Unchecked, Seed: seed,
 		})
 	}, nil)
 	if err := errors.Join(errs...); err != nil {
--- a/internal/testbed/controlplanebench/drains.go
+++ b/internal/testbed/controlplanebench/drains.go
@@ -31,9 +31,9 @@
 
 // DrainResult summarizes the rounds of drains with one fault of a proxy's link.
 type DrainResult struct {
-	Fault   string
-	Rounds  int
-	Longest time.Duration // from the control plane's first snapshot of the drain to the last request sent to the draining server
+	Fault    string
+	Rounds   int
+	MaxDelay time.Duration // from the control plane's first snapshot of the drain to the last request sent to the draining server
 }
 
 // drainRounds hands out rounds to several goroutines and collects their results.
@@ -100,7 +100,7 @@
 	}
 	result := &r.results[fault]
 	result.Rounds++
-	result.Longest = max(result.Longest, longest)
+	result.MaxDelay = max(result.MaxDelay, longest)
 	r.finished++
 	if r.progress != nil {
 		r.progress(float64(r.finished) / float64(r.count))
--- a/internal/testbed/controlplanebench/scale.go
+++ b/internal/testbed/controlplanebench/scale.go
@@ -33,16 +33,16 @@
 
 // ScaleResult is what ring point adjustments cost the control plane.
 type ScaleResult struct {
-	Endpoints   int
-	Streams     int
-	Incremental bool
-	Snapshots   int     // built during the measurement
-	Applied     int64   // snapshots applied, by all proxies
-	Bytes       float64 // a snapshot and stream, on the wire before framing
-	CPUMs       float64 // of processor time a snapshot, for all streams, without what leases cost
-	LeaseCores  float64 // cores that the leases of all streams keep busy
-	StreamKB    float64 // memory a stream, in KiB
-	P50, P99    float64 // ms from a snapshot's being built to its being applied by a proxy
+	Endpoints              int
+	Streams                int
+	Incremental            bool
+	Snapshots              int     // built during the measurement
+	SnapshotsApplied       int64   // snapshots applied, by all proxies
+	BytesPerStreamSnapshot float64 // a snapshot and stream, on the wire before framing
+	CPUMsPerSnapshot       float64 // of processor time a snapshot, for all streams, without what leases cost
+	LeaseCores             float64 // cores that the leases of all streams keep busy
+	KiBPerStream           float64 // memory a stream, in KiB
+	P50Ms, P99Ms           float64 // ms from a snapshot's being built to its being applied by a proxy
 }
 
 // scaleRun is a measurement under way.
@@ -89,7 +89,7 @@
 	leaseCores := measureIdleCores()
 	result := &ScaleResult{
 		Endpoints: endpoints, Streams: streams, Incremental: incremental, LeaseCores: leaseCores,
-		StreamKB: (heapBytes() - heapBefore) / float64(streams) / 1024,
+		KiBPerStream: (heapBytes() - heapBefore) / float64(streams) / 1024,
 	}
 	running.Go(func() { c.overloadServers(ctx, endpoints) })
 	if err := r.measure(ctx, duration, result); err != nil {
@@ -159,15 +159,15 @@
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	result.Applied = r.applied
+	result.SnapshotsApplied = r.applied
 	result.Snapshots = len(r.builtAt) - snapshotsBefore
 	if result.Snapshots > 0 {
 		snapshots := float64(result.Snapshots)
-		result.Bytes = float64(counters.ResponseBytes.Load()-bytesBefore) / snapshots / float64(result.Streams)
+		result.BytesPerStreamSnapshot = float64(counters.ResponseBytes.Load()-bytesBefore) / snapshots / float64(result.Streams)
 		leaseCPUMs := result.LeaseCores * float64(duration.Milliseconds())
-		result.CPUMs = (cpuMilliseconds() - cpuBefore - leaseCPUMs) / snapshots
+		result.CPUMsPerSnapshot = (cpuMilliseconds() - cpuBefore - leaseCPUMs) / snapshots
 	}
-	result.P50, result.P99 = r.latencyQuantileMs(50), r.latencyQuantileMs(99)
+	result.P50Ms, result.P99Ms = r.latencyQuantileMs(50), r.latencyQuantileMs(99)
 	return nil
 }
 
--- a/internal/testbed/leasetest/round.go
+++ b/internal/testbed/leasetest/round.go
@@ -31,16 +31,16 @@
 
 // Config configures a round.
 type Config struct {
-	Argv            []string // that processes are started with, before their configuration
-	Voters          int      // replicas that vote when the group is created
-	Spares          int      // further replicas: with some, replicas are added and removed
-	Contenders      int
-	Duration        time.Duration
-	TTL             time.Duration // of the lease
-	FreezeProcesses bool          // processes are also paused
-	SkipLeaseCheck  bool          // contenders begin steps whether they may or not
-	KillHolders     bool          // no fault is injected but that the holder is killed, again and again
-	Seed            uint64
+	Argv           []string // that processes are started with, before their configuration
+	Voters         int      // replicas that vote when the group is created
+	Spares         int      // further replicas: with some, replicas are added and removed
+	Contenders     int
+	Duration       time.Duration
+	TTL            time.Duration // of the lease
+	PauseProcesses bool          // processes are also paused
+	SkipLeaseCheck bool          // contenders begin steps whether they may or not
+	KillHolders    bool          // no fault is injected but that the holder is killed, again and again
+	Seed           uint64
 }
 
 // replicaCount returns the number of replicas, in the group or not.
@@ -183,7 +183,7 @@
 	faults := []func(ctx context.Context, n *node) error{
 		r.restartNode, r.restartNode, r.restartReplicas, r.cutReplicas, r.cutContenders, r.muteReplicas, r.disturbLinks,
 	}
-	if r.config.FreezeProcesses {
+	if r.config.PauseProcesses {
 		faults = append(faults, r.pauseNode, r.pauseNode)
 	}
 	return faults
--- a/internal/testbed/leasetest/round_test.go
+++ b/internal/testbed/leasetest/round_test.go
@@ -35,7 +35,7 @@
 		freeze := seed%2 == 1
 		t.Run(fmt.Sprintf("seed %d, freezes %v", seed+1, freeze), func(t *testing.T) {
 			t.Parallel()
-			report := runTestRound(t, Config{Duration: 5 * time.Second, FreezeProcesses: freeze, Seed: seed + 1})
+			report := runTestRound(t, Config{Duration: 5 * time.Second, PauseProcesses: freeze, Seed: seed + 1})
 			t.Logf("%d steps, %d rejected, %d concurrent, %d grants, %d operations", report.Steps, report.Rejected, report.Concurrent, report.Grants, report.Operations)
 			if !report.Passed(freeze) {
 				t.Errorf("%+v", report)
