--- a/internal/testbed/controlplanebench/controlplanebench.go
+++ b/internal/testbed/controlplanebench/controlplanebench.go
@@ -24,7 +24,7 @@
 // clusterName names the resources of the control plane.
 const clusterName = "boxes"
 
-// timeoutFactor is how many times its latency objective the timeout of the deployment's request class is.
+// timeoutFactor is the ratio of the request class's client timeout to its latency objective.
 const timeoutFactor = 10
 
 // How long and how often waitUntil checks its condition.
@@ -39,7 +39,7 @@
 // zoneOf returns the zone of server or proxy number i.
 func zoneOf(i int) string { return zones[i%len(zones)] }
 
-// endpointJSON returns server number i in a phase, as discovery lists it.
+// endpointJSON returns the discovery entry of server number i in a phase.
 func endpointJSON(i int, phase string) string {
 	return fakediscovery.EndpointJSON(i, zoneOf(i), phase, 0)
 }
@@ -53,7 +53,7 @@
 	running    sync.WaitGroup // the controller's and the server's goroutines
 }
 
-// newDeployment returns a deployment with one request class. Its ring points are adjusted once every latency objective.
+// newDeployment returns a deployment with one request class. Its ring points are adjusted once per latency objective.
 func newDeployment(seed uint64, latencyObjectiveMs float64) settings.Deployment {
 	class := fleet.Class{LatencyObjective: latencyObjectiveMs, ClientTimeout: timeoutFactor * latencyObjectiveMs, PriorityWeight: 1, MaxAttempts: 4}
 	return settings.Deployment{
@@ -81,7 +81,7 @@
 	}
 	c := &controlPlane{addr: listener.Addr().String()}
 	if c.discovery, err = fakediscovery.Start(endpoints); err != nil {
-		_ = listener.Close() // the error that is returned says more
+		_ = listener.Close() // the error of the discovery service is returned
 		return nil, err
 	}
 	log := logrus.New()
@@ -113,10 +113,10 @@
 }
 
 // waitUntil waits until a condition is true, and fails after waitTimeout.
-func waitUntil(what string, condition func() bool) error {
+func waitUntil(event string, condition func() bool) error {
 	for deadline := time.Now().Add(waitTimeout); !condition(); time.Sleep(waitInterval) {
 		if time.Now().After(deadline) {
-			return fmt.Errorf("waited %v for %s", waitTimeout, what)
+			return fmt.Errorf("waited %v for %s", waitTimeout, event)
 		}
 	}
 	return nil
--- a/internal/testbed/controlplanebench/controlplanebench_test.go
+++ b/internal/testbed/controlplanebench/controlplanebench_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// Each round is counted once, with the fault of its seed, and a cancelled measurement starts none.
+// Each round is counted once, under the fault drawn from its seed, and a cancelled measurement starts no round.
 func TestMeasureDrains(t *testing.T) {
 	const rounds = 3
 	want := map[string]int{}
@@ -41,7 +41,7 @@
 	}
 }
 
-// The lines of RunProxies are read back as they were written, and other text is an error.
+// readApplied reads the lines that writeTo writes, and returns an error for other text.
 func TestAppliedSnapshotLines(t *testing.T) {
 	want := []appliedSnapshot{{version: "7.1", unixNanos: 1}, {version: "7.2", unixNanos: 1 << 60}}
 	var text strings.Builder
--- a/internal/testbed/controlplanebench/drains.go
+++ b/internal/testbed/controlplanebench/drains.go
@@ -18,14 +18,14 @@
 	drainServers            = 8
 	drainLatencyObjectiveMs = 200
 	requestInterval         = 2 * time.Millisecond   // between the requests of a proxy
-	maxWarmUp               = 300 * time.Millisecond // of requests before the fault
-	maxFaultLead            = 100 * time.Millisecond // from the fault to the drain
+	maxWarmUp               = 300 * time.Millisecond // upper bound of the random time of requests before the fault
+	maxFaultLead            = 100 * time.Millisecond // upper bound of the random time from the fault to the drain
 	drainObservation        = 700 * time.Millisecond // how long requests go on after the drain
 
-	// roundStream separates the random numbers of a round from others that are drawn under the same seed.
+	// roundStream separates the random numbers of a round from others drawn from the same seed.
 	roundStream = 7
 
-	// phaseTerminating is the phase of a server that drains, in the discovery protocol.
+	// phaseTerminating is the phase of a draining server in the discovery protocol.
 	phaseTerminating = "terminating"
 )
 
@@ -33,31 +33,31 @@
 type DrainResult struct {
 	Fault    string
 	Rounds   int
-	MaxDelay time.Duration // from the control plane's first snapshot of the drain to the last request sent to the draining server
+	MaxDelay time.Duration // longest time in a round from the control plane's first snapshot of the drain to the last request sent to the draining server
 }
 
-// drainRounds hands out rounds to several goroutines and collects their results.
+// drainRounds assigns rounds to several goroutines and collects their results.
 type drainRounds struct {
 	count    int
 	progress func(done float64) // nil, or called with the fraction of rounds that have ended
 
 	mu       sync.Mutex // guards the fields below
-	next     int        // number of the next round, its seed too
+	next     int        // number of the next round, which is also its seed
 	finished int
 	results  []DrainResult // by linkFault
 	err      error         // of a round that failed
 }
 
-// MeasureDrains runs rounds, a number of them at a time: in each, a server drains while two proxies send requests, one over a link
-// that fails as the round's seed says. progress may be nil. Results come with the error of a round that failed, after which no more
-// are started, or of the context.
-func MeasureDrains(ctx context.Context, rounds, parallel int, progress func(done float64)) ([]DrainResult, error) {
+// MeasureDrains runs rounds, several at a time. In each round, a server drains while two proxies send requests. The link of one proxy to
+// the control plane has a fault drawn from the round's seed. progress may be nil. After the error of a round or of the context, no more
+// rounds are started, and the error is returned together with the results so far.
+func MeasureDrains(ctx context.Context, rounds, concurrency int, progress func(done float64)) ([]DrainResult, error) {
 	r := &drainRounds{count: rounds, progress: progress, results: make([]DrainResult, linkFaultCount)}
 	for fault := range linkFaultCount {
 		r.results[fault].Fault = fault.String()
 	}
 	var workers sync.WaitGroup
-	for range parallel {
+	for range concurrency {
 		workers.Go(func() { r.run(ctx) })
 	}
 	workers.Wait()
@@ -70,7 +70,7 @@
 // run runs rounds until none are left, one has failed or the context ends.
 func (r *drainRounds) run(ctx context.Context) {
 	for ctx.Err() == nil {
-		number, ok := r.take()
+		number, ok := r.nextRound()
 		if !ok {
 			return
 		}
@@ -80,8 +80,8 @@
 	}
 }
 
-// take returns the number of the next round, and false if there is none.
-func (r *drainRounds) take() (int, bool) {
+// nextRound returns the number of the next round, and false if there is none.
+func (r *drainRounds) nextRound() (int, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.next >= r.count || r.err != nil {
@@ -91,7 +91,7 @@
 	return r.next - 1, true
 }
 
-// record adds the result of a round.
+// record adds the result of a round, which may be an error.
 func (r *drainRounds) record(number int, fault linkFault, longest time.Duration, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -107,13 +107,13 @@
 	}
 }
 
-// drainRound is one round.
+// drainRound is one round, in which a server drains.
 type drainRound struct {
 	seed         uint64
 	random       *rand.Rand
 	fault        linkFault
 	controlPlane *controlPlane
-	proxies      []*fakeproxy.Proxy // one for each zone; the first one's link fails
+	proxies      []*fakeproxy.Proxy // one in each zone; the fault is injected into the link of the first one
 }
 
 func newDrainRound(seed uint64) *drainRound {
@@ -133,11 +133,11 @@
 		return 0, err
 	}
 	time.Sleep(r.randomDuration(maxWarmUp))
-	lead := r.randomDuration(maxFaultLead)
+	faultLead := r.randomDuration(maxFaultLead)
 	var injection sync.WaitGroup
 	injection.Go(func() { r.fault.inject(r.proxies[0].Link) })
 	defer injection.Wait()
-	time.Sleep(lead)
+	time.Sleep(faultLead)
 	return r.drain(r.random.IntN(drainServers))
 }
 
--- a/internal/testbed/controlplanebench/linkfault.go
+++ b/internal/testbed/controlplanebench/linkfault.go
@@ -20,7 +20,7 @@
 	linkFaultCount
 )
 
-// Times of the faults that last.
+// Parameters of the faults that last for a time.
 const (
 	shortStallDuration = 300 * time.Millisecond
 	breakCount         = 8
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("linkFault(%d)", int(f))
 }
 
-// inject applies the fault to a link. It returns when the fault has ended, or at once if it lasts until the link is broken.
+// inject applies the fault to a link. It returns when the fault has ended, or at once if the fault lasts until the link is broken.
 func (f linkFault) inject(link *fakeproxy.Link) {
 	switch f {
 	case stalledLink:
--- a/internal/testbed/controlplanebench/process.go
+++ b/internal/testbed/controlplanebench/process.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// heapBytes returns the memory in use in bytes, stacks included, after two garbage collections: the first one only moves pools to
-// their victim caches.
-func heapBytes() float64 {
+// memoryInUseBytes returns the memory in use, heap and stacks, after two garbage collections: the first one only moves the contents of
+// each sync.Pool to its victim cache.
+func memoryInUseBytes() float64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
@@ -16,7 +16,7 @@
 	return float64(stats.HeapAlloc + stats.StackInuse)
 }
 
-// cpuMilliseconds returns the processor time of this process.
+// cpuMilliseconds returns the processor time that this process has used.
 func cpuMilliseconds() float64 {
 	var usage syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil { // fails for invalid arguments only
--- a/internal/testbed/controlplanebench/proxies.go
+++ b/internal/testbed/controlplanebench/proxies.go
@@ -11,13 +11,13 @@
 	"mintspring/internal/controlplane/snapshot"
 )
 
-// connectInterval is the time between the connects of two proxies.
+// connectInterval is the time between the starts of two proxies.
 const connectInterval = 2 * time.Millisecond
 
 // proxyName returns the node id of proxy number i.
 func proxyName(i int) string { return fmt.Sprint("p", i) }
 
-// appliedSnapshot is a line of RunProxies: a proxy has applied a snapshot.
+// appliedSnapshot is a line of RunProxies, which records that a proxy has applied a snapshot.
 type appliedSnapshot struct {
 	version   string
 	unixNanos int64
@@ -44,12 +44,12 @@
 	running.Wait()
 }
 
-// writeTo writes the line. A reader that is gone ends the process that RunProxies runs in, so no error is returned.
+// writeTo writes the line. It ignores errors: once the reader has exited, the process of RunProxies is killed.
 func (a appliedSnapshot) writeTo(out io.Writer) {
 	_, _ = fmt.Fprintln(out, a.version, a.unixNanos)
 }
 
-// readApplied reads a line; its error is that of the reader, or says that the line has another form.
+// readApplied reads a line. The error is the reader's, or that of a malformed line.
 func readApplied(lines io.Reader) (a appliedSnapshot, err error) {
 	_, err = fmt.Fscan(lines, &a.version, &a.unixNanos)
 	return a, err
--- a/internal/testbed/controlplanebench/scale.go
+++ b/internal/testbed/controlplanebench/scale.go
@@ -18,46 +18,45 @@
 const (
 	scaleSeed               = 1
 	scaleLatencyObjectiveMs = 100
-	settleTime              = 2 * time.Second // after the last stream was opened
-	idleTime                = 2 * time.Second // measured without ring point adjustments
-	adjustmentLead          = time.Second     // of adjustments before they are measured
+	settleTime              = 2 * time.Second // wait after all streams have been opened
+	idleTime                = 2 * time.Second // duration of the measurement without ring point adjustments
+	adjustmentLead          = time.Second     // time of adjustments before the measurement
 	reportInterval          = 20 * time.Millisecond
 
-	maxLatency         = time.Minute // that the histogram holds; in it are microseconds
+	maxLatency         = time.Minute // upper bound of the histogram, whose unit is microseconds
 	histogramPrecision = 3           // significant figures
 )
 
-// StartProxies starts proxies as RunProxies does, in a process of their own, and returns what they write. They run until the context
-// ends.
+// StartProxies starts a process that calls RunProxies, and returns the process's output. The proxies run until the context ends.
 type StartProxies func(ctx context.Context, addr string, count int, incremental bool) (io.Reader, error)
 
-// ScaleResult is what ring point adjustments cost the control plane.
+// ScaleResult is the cost of ring point adjustments in the control plane.
 type ScaleResult struct {
 	Endpoints              int
 	Streams                int
 	Incremental            bool
-	Snapshots              int     // built during the measurement
+	Snapshots              int     // snapshots built during the measurement
 	SnapshotsApplied       int64   // snapshots applied, by all proxies
-	BytesPerStreamSnapshot float64 // a snapshot and stream, on the wire before framing
-	CPUMsPerSnapshot       float64 // of processor time a snapshot, for all streams, without what leases cost
-	LeaseCores             float64 // cores that the leases of all streams keep busy
-	KiBPerStream           float64 // memory a stream, in KiB
-	P50Ms, P99Ms           float64 // ms from a snapshot's being built to its being applied by a proxy
+	BytesPerStreamSnapshot float64 // bytes per snapshot and stream, before the framing on the wire
+	CPUMsPerSnapshot       float64 // processor time per snapshot, for all streams, without the cost of leases
+	LeaseCores             float64 // cores used by the leases of all streams
+	KiBPerStream           float64 // memory per stream
+	P50Ms, P99Ms           float64 // time from the build of a snapshot until a proxy applies it
 }
 
-// scaleRun is a measurement under way.
+// scaleRun is a measurement in progress.
 type scaleRun struct {
 	controlPlane *controlPlane
 
 	mu        sync.Mutex           // guards the fields below
 	builtAt   map[string]time.Time // by version
-	recording bool                 // latencies are recorded
+	recording bool                 // whether latencies are recorded
 	latencies *hdrhistogram.Histogram
 	applied   int64
 }
 
-// MeasureScale runs a control plane with a number of endpoints for a number of proxies, and measures it for a time while ring points
-// are adjusted. Proxies use the incremental variant of the protocol or state of the world.
+// MeasureScale runs a control plane with a number of endpoints and one stream for each proxy, and measures it for the given duration
+// while ring points are adjusted. The proxies use the incremental variant of the protocol or the state-of-the-world variant.
 func MeasureScale(ctx context.Context, endpoints, streams int, incremental bool, duration time.Duration, start StartProxies) (*ScaleResult, error) {
 	c, err := startControlPlane(endpoints, scaleSeed, scaleLatencyObjectiveMs)
 	if err != nil {
@@ -73,10 +72,10 @@
 	defer running.Wait()
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	newer, unwatch := c.controller.Watch()
-	defer unwatch()
-	running.Go(func() { r.watchSnapshots(ctx, newer) })
-	heapBefore := heapBytes()
+	snapshotChanged, stopWatching := c.controller.Watch()
+	defer stopWatching()
+	running.Go(func() { r.watchSnapshots(ctx, snapshotChanged) })
+	memoryBefore := memoryInUseBytes()
 	lines, err := start(ctx, c.addr, streams, incremental)
 	if err != nil {
 		return nil, fmt.Errorf("starting proxies: %w", err)
@@ -89,20 +88,20 @@
 	leaseCores := measureIdleCores()
 	result := &ScaleResult{
 		Endpoints: endpoints, Streams: streams, Incremental: incremental, LeaseCores: leaseCores,
-		KiBPerStream: (heapBytes() - heapBefore) / float64(streams) / 1024,
+		KiBPerStream: (memoryInUseBytes() - memoryBefore) / float64(streams) / 1024,
 	}
 	running.Go(func() { c.overloadServers(ctx, endpoints) })
-	if err := r.measure(ctx, duration, result); err != nil {
+	if err := r.measureAdjustments(ctx, duration, result); err != nil {
 		return nil, err
 	}
 	return result, nil
 }
 
-// watchSnapshots records when snapshots are built, until the context ends.
-func (r *scaleRun) watchSnapshots(ctx context.Context, newer <-chan struct{}) {
+// watchSnapshots records the time at which each snapshot is built, until the context ends.
+func (r *scaleRun) watchSnapshots(ctx context.Context, snapshotChanged <-chan struct{}) {
 	for {
 		select {
-		case <-newer:
+		case <-snapshotChanged:
 			now := time.Now()
 			r.mu.Lock()
 			r.builtAt[r.controlPlane.controller.Snapshot(0).Version.String()] = now
@@ -113,7 +112,7 @@
 	}
 }
 
-// readLatencies records how long after a snapshot was built proxies applied it, until the proxies have ended.
+// readLatencies records the time from the build of each snapshot until each proxy applies it. It returns when the proxies have ended.
 func (r *scaleRun) readLatencies(lines io.Reader) {
 	for {
 		applied, err := readApplied(lines)
@@ -133,18 +132,18 @@
 	}
 	r.applied++
 	latency := time.Unix(0, applied.unixNanos).Sub(builtAt)
-	_ = r.latencies.RecordValue(max(1, latency.Microseconds())) // fails over maxLatency, which no measurement lasts
+	_ = r.latencies.RecordValue(max(1, latency.Microseconds())) // fails only above maxLatency, which is longer than a measurement
 }
 
-// measureIdleCores returns how many cores the process keeps busy with leases alone.
+// measureIdleCores returns the number of cores that the process uses for leases alone, without ring point adjustments.
 func measureIdleCores() float64 {
 	cpuBefore, start := cpuMilliseconds(), time.Now()
 	time.Sleep(idleTime)
 	return (cpuMilliseconds() - cpuBefore) / float64(time.Since(start).Milliseconds())
 }
 
-// measure measures ring point adjustments for a time, after adjustmentLead, and completes the result.
-func (r *scaleRun) measure(ctx context.Context, duration time.Duration, result *ScaleResult) error {
+// measureAdjustments measures ring point adjustments for a duration, after adjustmentLead, and completes the result.
+func (r *scaleRun) measureAdjustments(ctx context.Context, duration time.Duration, result *ScaleResult) error {
 	time.Sleep(adjustmentLead)
 	r.mu.Lock()
 	r.recording = true
@@ -167,17 +166,17 @@
 		leaseCPUMs := result.LeaseCores * float64(duration.Milliseconds())
 		result.CPUMsPerSnapshot = (cpuMilliseconds() - cpuBefore - leaseCPUMs) / snapshots
 	}
-	result.P50Ms, result.P99Ms = r.latencyQuantileMs(50), r.latencyQuantileMs(99)
+	result.P50Ms, result.P99Ms = r.latencyPercentileMs(50), r.latencyPercentileMs(99)
 	return nil
 }
 
-// latencyQuantileMs returns a percentile of the latencies in milliseconds; the mutex is held.
-func (r *scaleRun) latencyQuantileMs(percentile float64) float64 {
+// latencyPercentileMs returns a percentile of the latencies in milliseconds. The caller holds the mutex.
+func (r *scaleRun) latencyPercentileMs(percentile float64) float64 {
 	return float64(r.latencies.ValueAtQuantile(percentile)) / 1000
 }
 
-// overloadServers reports load of three servers at a time, each time of the next ones, so that a ring point is adjusted in each
-// adjustment period. It returns when the context ends.
+// overloadServers reports the load of three servers at a time and then moves on to the next ones, so that a ring point is adjusted in
+// each adjustment period. It returns when the context ends.
 func (c *controlPlane) overloadServers(ctx context.Context, endpoints int) {
 	for i := 0; ctx.Err() == nil; i++ {
 		utilization := 0.5 + 0.4*math.Sin(float64(i))
--- a/internal/testbed/faultrounds/machine.go
+++ b/internal/testbed/faultrounds/machine.go
@@ -7,28 +7,28 @@
 	"mintspring/internal/testbed/loopback"
 )
 
-// Loopback addresses of rounds: 127.a.b.c, where a is the network of the process, and b and c tell seeds apart.
+// Loopback addresses of rounds: 127.a.b.c, where a is the network of the process, and b and c distinguish seeds.
 const (
-	seedsInNet = 256
-	firstPort  = 7001
+	seedsPerNetwork = 256
+	firstPort       = 7001
 )
 
-// LoopbackAddr returns the address of the nth socket of a round. Rounds of different processes and seeds have different IP addresses: a port of a
-// shared one might be given to another socket while the process that listens on it is down.
+// LoopbackAddr returns the address of the nth socket of a round. Rounds of different processes and seeds have different IP addresses: on a
+// shared address, a port might be assigned to another socket while the process that listens on it is down.
 func LoopbackAddr(seed uint64, n int) (string, error) {
 	network, err := loopback.Network()
-	return addrInNet(network, seed, n), err
+	return networkAddr(network, seed, n), err
 }
 
-func addrInNet(network byte, seed uint64, n int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", network, seed%seedsInNet, 1+seed/seedsInNet%loopback.ComposedHosts, firstPort+n)
+func networkAddr(network byte, seed uint64, n int) string {
+	return fmt.Sprintf("127.%d.%d.%d:%d", network, seed%seedsPerNetwork, 1+seed/seedsPerNetwork%loopback.ComposedHosts, firstPort+n)
 }
 
-// schedulingCheck is how often MeasureSchedulingDelay looks at the clock.
-const schedulingCheck = 2 * time.Millisecond
+// schedulingCheckInterval is how often MeasureSchedulingDelay reads the clock.
+const schedulingCheckInterval = 2 * time.Millisecond
 
-// MeasureSchedulingDelay measures how long the machine keeps this process waiting. The function that it returns ends the measurement and returns the
-// longest delay in milliseconds. It has to be called once. What a process does late on a busy machine is no fault of its program.
+// MeasureSchedulingDelay starts to measure scheduling delays of this process, which tell a program that is late from a busy machine. The caller has to
+// call stop once, which ends the measurement and returns the longest delay in milliseconds.
 func MeasureSchedulingDelay() (stop func() (millis float64)) {
 	stopping, result := make(chan struct{}), make(chan time.Duration)
 	go func() { // ends when stop is called
@@ -38,10 +38,10 @@
 			case <-stopping:
 				result <- longest
 				return
-			case <-time.After(schedulingCheck):
+			case <-time.After(schedulingCheckInterval):
 			}
 			now := time.Now()
-			longest = max(longest, now.Sub(last)-schedulingCheck)
+			longest = max(longest, now.Sub(last)-schedulingCheckInterval)
 			last = now
 		}
 	}()
--- a/internal/testbed/faultrounds/machine_test.go
+++ b/internal/testbed/faultrounds/machine_test.go
@@ -14,11 +14,11 @@
 	"mintspring/internal/testbed/processtest"
 )
 
-// printAddress has the test program print the first address of a round and hold on to it until its standard input ends.
-const printAddress = "print-address"
+// printAddressArg makes the test program print the first address of a round, and run until its standard input ends.
+const printAddressArg = "print-address"
 
 func TestMain(m *testing.M) {
-	processtest.Main(m, printAddress, func(string) error {
+	processtest.Main(m, printAddressArg, func(string) error {
 		addr, err := LoopbackAddr(1, 0)
 		if err != nil {
 			return err
@@ -29,16 +29,16 @@
 	})
 }
 
-// Two processes whose ids agree in the bits that choose a network first have different addresses: the test programs of two packages run at once.
+// Two concurrent processes whose IDs select the same network first, such as the test programs of two packages, get different addresses.
 func TestProcessesHaveDifferentAddresses(t *testing.T) {
 	const (
 		maxStarts = 20 * loopback.NetworkCount
-		// runIfSameNet becomes the test program if the id of the process has the remainder that is asked for.
-		runIfSameNet = `[ $(($$ % $1)) = "$2" ] && exec "$0" "$3" x; exit 7`
+		// execIfSameRemainder runs the test program if the process ID has the given remainder, and otherwise exits.
+		execIfSameRemainder = `[ $(($$ % $1)) = "$2" ] && exec "$0" "$3" x; exit 7`
 	)
-	net := strconv.Itoa(os.Getpid() % loopback.NetworkCount)
+	networkRemainder := strconv.Itoa(os.Getpid() % loopback.NetworkCount)
 	for range maxStarts {
-		cmd := exec.CommandContext(t.Context(), "sh", "-c", runIfSameNet, os.Args[0], strconv.Itoa(loopback.NetworkCount), net, printAddress)
+		cmd := exec.CommandContext(t.Context(), "sh", "-c", execIfSameRemainder, os.Args[0], strconv.Itoa(loopback.NetworkCount), networkRemainder, printAddressArg)
 		stdin, err := cmd.StdinPipe()
 		if err != nil {
 			t.Fatal(err)
@@ -60,7 +60,7 @@
 		}
 		waitErr := cmd.Wait()
 		if readErr == io.EOF {
-			continue // another id
+			continue // the process ID has another remainder
 		}
 		if readErr != nil || waitErr != nil {
 			t.Fatal(readErr, waitErr)
@@ -70,5 +70,5 @@
 		}
 		return
 	}
-	t.Fatal("no process had an id of the same remainder")
+	t.Fatal("no process had an ID with the same remainder")
 }
--- a/internal/testbed/faultrounds/process.go
+++ b/internal/testbed/faultrounds/process.go
@@ -11,7 +11,7 @@
 	"syscall"
 )
 
-// Process is a process of a round, which may be started again after it was killed. The zero value is not running. It is not safe for concurrent use.
+// Process is a process of a round, which may be started again after Kill. The zero value is not running. A Process is not safe for concurrent use.
 type Process struct {
 	Stdout *bytes.Buffer // of the last start; may be read once the process has ended
 	Stderr *bytes.Buffer // likewise
@@ -20,7 +20,7 @@
 	exited chan error // receives the result of cmd.Wait
 }
 
-// Start starts argv with a configuration as JSON in its last argument. The process dies with the one that started it.
+// Start runs argv with a configuration, encoded as JSON, as the last argument. The process is killed when its parent process dies.
 func (p *Process) Start(argv []string, config any) error {
 	text, err := json.Marshal(config)
 	if err != nil {
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// running reports whether the process was started and not killed since.
+// running reports whether the process was started and Kill was not called since.
 func (p *Process) running() bool { return p.cmd != nil }
 
 // signal sends a signal to the process if it is running.
@@ -49,7 +49,8 @@
 	}
 }
 
-// Kill kills the process, also while it is stopped by a signal, and waits for its end. It returns how the process had exited by itself before, or "".
+// Kill kills the process, even if it is stopped by a signal, and waits until it has ended. If the process had exited before, Kill returns its exit status
+// and standard error, and otherwise "".
 func (p *Process) Kill() (exit string) {
 	if p.cmd == nil {
 		return ""
--- a/internal/testbed/faultrounds/round.go
+++ b/internal/testbed/faultrounds/round.go
@@ -1,7 +1,7 @@
-// Package faultrounds runs rounds in which several real processes run while faults are injected: processes are killed, paused and restarted, and the
-// datagrams between them pass a relay that cuts, delays, duplicates and corrupts.
+// Package faultrounds runs rounds of several real processes under injected faults: processes are killed, paused and restarted, and a relay drops, delays,
+// duplicates and corrupts the datagrams between them.
 //
-// A [Round] has what all kinds of rounds share. Each process is the running program again, with its configuration as JSON in its last argument.
+// A [Round] implements the parts that all kinds of rounds share. Each process runs the same command, with its configuration as JSON in the last argument.
 package faultrounds
 
 import (
@@ -20,11 +20,11 @@
 
 // Options configure a round.
 type Options struct {
-	Name         string   // of the kind of round, for the temporary directory
-	Argv         []string // that nodes are started with, before their configuration
+	Name         string   // kind of round; prefix of the temporary directory's name
+	Argv         []string // command of the nodes; the configuration is appended
 	Nodes        int
 	Seed         uint64
-	RandomStream uint64 // tells the random numbers of different uses of one seed apart
+	RandomStream uint64 // separates the random numbers of different uses of one seed
 }
 
 // Node is a process of a round with its configuration, of type C. The configuration may be changed between starts.
@@ -32,12 +32,12 @@
 	Process
 	Name    string
 	Config  C
-	MayExit bool // it is no failure if the process exits by itself
+	MayExit bool // an exit without a kill is not a failure
 
 	outputs []*bytes.Buffer
 }
 
-// Outputs returns what the process has written to its standard output, in each of its runs. It may be read once the process has ended.
+// Outputs returns the standard output of each run of the process. The last one may be read once the process has ended.
 func (n *Node[C]) Outputs() []*bytes.Buffer { return n.outputs }
 
 // Round is a round of processes whose configuration is of type C. It is not safe for concurrent use.
@@ -46,29 +46,29 @@
 	Relay    *faultrelay.Relay
 	Rand     *rand.Rand
 	Nodes    []*Node[C]
-	Faults   []string // injected, in order
-	Failures []string // nodes that exited by themselves
+	Faults   []string // injected faults, in order
+	Failures []string // nodes that exited without being killed, with their exit status
 
 	options   Options
-	network   byte // of loopback addresses, of the process
+	network   byte // of this process's loopback addresses
 	startedAt time.Time
 }
 
-// New returns a round without nodes. The caller has to add them in order with Add, and to call Close in the end.
+// New returns a round without nodes. The caller has to add the nodes in order with Add, and to call Close at the end.
 func New[C any](options Options) (*Round[C], error) {
 	r := &Round[C]{
 		Rand:      rand.New(rand.NewPCG(options.Seed, options.RandomStream)),
 		options:   options,
 		startedAt: time.Now(),
 	}
-	if err := r.open(); err != nil {
+	if err := r.setUp(); err != nil {
 		r.Close()
 		return nil, fmt.Errorf("set up round: %w", err)
 	}
 	return r, nil
 }
 
-func (r *Round[C]) open() error {
+func (r *Round[C]) setUp() error {
 	var err error
 	if r.network, err = loopback.Network(); err != nil {
 		return err
@@ -87,10 +87,10 @@
 	return nil
 }
 
-// Addr returns the address of the nth socket of the round: the nodes' own datagram sockets come first.
-func (r *Round[C]) Addr(n int) string { return addrInNet(r.network, r.options.Seed, n) }
+// Addr returns the address of the nth socket of the round. The datagram sockets of the nodes have the first numbers, in the order of the nodes.
+func (r *Round[C]) Addr(n int) string { return networkAddr(r.network, r.options.Seed, n) }
 
-// AddrsFrom returns the addresses at which a node reaches the first so many nodes: the others through the relay, and itself directly.
+// AddrsFrom returns the addresses at which a node reaches the first count nodes: its own address, and the relay's addresses for the others.
 func (r *Round[C]) AddrsFrom(node, count int) []string {
 	addrs := make([]string, 0, count)
 	for to := range count {
@@ -103,7 +103,7 @@
 	return addrs
 }
 
-// Add adds the next node, which is not started yet.
+// Add adds a node without starting it.
 func (r *Round[C]) Add(name string, config C) *Node[C] {
 	n := &Node[C]{Name: name, Config: config}
 	r.Nodes = append(r.Nodes, n)
@@ -121,7 +121,7 @@
 	return nil
 }
 
-// Kill kills nodes. One that had exited by itself is recorded in Failures.
+// Kill kills nodes. It records nodes that had exited before in Failures, unless they may exit.
 func (r *Round[C]) Kill(nodes ...*Node[C]) {
 	for _, n := range nodes {
 		if exit := n.Kill(); exit != "" && !n.MayExit {
@@ -130,37 +130,37 @@
 	}
 }
 
-// Restart kills nodes, and starts them again after a random time.
+// Restart kills nodes, waits as Wait does, and starts them again.
 func (r *Round[C]) Restart(ctx context.Context, minMillis, extraMillis float64, nodes ...*Node[C]) error {
 	r.Kill(nodes...)
 	r.Wait(ctx, minMillis, extraMillis)
 	return r.Start(nodes...)
 }
 
-// Pause stops a node by a signal for a random time.
+// Pause stops a node with SIGSTOP, waits as Wait does, and continues it.
 func (r *Round[C]) Pause(ctx context.Context, minMillis, extraMillis float64, n *Node[C]) {
 	n.signal(syscall.SIGSTOP)
 	r.Wait(ctx, minMillis, extraMillis)
 	n.signal(syscall.SIGCONT)
 }
 
-// CutLinks cuts the links from each of some nodes to each of others.
+// CutLinks cuts the links from each node in from to each node in to.
 func (r *Round[C]) CutLinks(from, to []int) {
 	r.Relay.UpdateLinks(func(l *faultrelay.Links) { l.Set(from, to, func(link *faultrelay.Link) { link.Cut = true }) })
 }
 
-// DisturbLinks sets faults of each link between some nodes, as drawn for it.
+// DisturbLinks sets the faults of each link between nodes to the result of a call of draw.
 func (r *Round[C]) DisturbLinks(nodes []int, draw func() faultrelay.Link) {
 	r.Relay.UpdateLinks(func(l *faultrelay.Links) { l.Set(nodes, nodes, func(link *faultrelay.Link) { *link = draw() }) })
 }
 
-// HealLinks ends all faults of links.
+// HealLinks removes all link faults.
 func (r *Round[C]) HealLinks() {
 	r.Relay.UpdateLinks(func(l *faultrelay.Links) { l.Heal() })
 }
 
-// RandomSubset returns some of several numbers, in random order, and never all of them. There have to be two at least.
-func (r *Round[C]) RandomSubset(of []int) []int { return randomSubset(of, r.Rand.IntN) }
+// RandomSubset returns a random non-empty proper subset of at least two numbers, in random order.
+func (r *Round[C]) RandomSubset(numbers []int) []int { return randomSubset(numbers, r.Rand.IntN) }
 
 // Wait waits for minMillis and a random share of extraMillis more, or until the context is done.
 func (r *Round[C]) Wait(ctx context.Context, minMillis, extraMillis float64) {
@@ -171,34 +171,33 @@
 	}
 }
 
-// LogFault records a fault with the time since the round has begun.
+// LogFault records a fault with the time since the start of the round.
 func (r *Round[C]) LogFault(format string, args ...any) {
 	millis := float64(time.Since(r.startedAt)) / float64(time.Millisecond)
 	r.Faults = append(r.Faults, fmt.Sprintf("%.0f ms: ", millis)+fmt.Sprintf(format, args...))
 }
 
-// Close kills all nodes, closes the relay and removes the temporary directory. It may be called again.
+// Close kills all nodes, closes the relay and removes the temporary directory. It may be called more than once.
 func (r *Round[C]) Close() {
 	r.Kill(r.Nodes...)
 	if r.Relay != nil {
 		r.Relay.Close()
 		r.Relay = nil
 	}
-	_ = os.RemoveAll(r.Dir) // what is left there is temporary
+	_ = os.RemoveAll(r.Dir) // leftovers in the temporary directory are harmless
 }
 
-// Others returns the numbers of all that are not among some.
-func Others(all, some []int) []int {
-	return slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(some, i) })
+// Complement returns the numbers in all that are not in subset.
+func Complement(all, subset []int) []int {
+	return slices.DeleteFunc(slices.Clone(all), func(i int) bool { return slices.Contains(subset, i) })
 }
 
-// randomSubset returns some of several numbers, in random order, and never all of them. There have to be two at least. The function draw returns a
-// random number below n.
-func randomSubset(of []int, draw func(n int) int) []int {
-	of = slices.Clone(of)
-	for i := len(of) - 1; i > 0; i-- {
+// randomSubset returns a random non-empty proper subset of at least two numbers, in random order. The function draw returns a random number below n.
+func randomSubset(numbers []int, draw func(n int) int) []int {
+	numbers = slices.Clone(numbers)
+	for i := len(numbers) - 1; i > 0; i-- {
 		k := draw(i + 1)
-		of[i], of[k] = of[k], of[i]
+		numbers[i], numbers[k] = numbers[k], numbers[i]
 	}
-	return of[:1+draw(len(of)-1)]
+	return numbers[:1+draw(len(numbers)-1)]
 }
--- a/internal/testbed/faultrounds/round_test.go
+++ b/internal/testbed/faultrounds/round_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-// A round starts nodes with their configuration, collects the output of each run, and records those that exited by themselves unless they may.
+// A round starts nodes with their configuration, collects the output of each run, and records nodes that exit without a kill unless MayExit is set.
 func TestRoundRunsNodes(t *testing.T) {
 	r, err := New[string](Options{Name: "test", Argv: []string{"sh", "-c", `echo "$0"; case "$0" in *exit*) echo gone >&2; exit 3;; esac; exec sleep 60`}, Nodes: 2, Seed: 1})
 	if err != nil {
@@ -20,7 +20,7 @@
 		t.Fatal(err)
 	}
 	for _, n := range []*Node[string]{exiting, mayExit} {
-		n.exited <- <-n.exited // waits for its end
+		n.exited <- <-n.exited // wait until the process has exited, and keep its result for Kill
 	}
 	if err := r.Restart(t.Context(), 50, 0, running); err != nil {
 		t.Fatal(err)
@@ -43,13 +43,13 @@
 	rng := rand.New(rand.NewPCG(1, 1))
 	all := []int{0, 1, 2, 3}
 	for range 200 {
-		some := randomSubset(all, rng.IntN)
-		others := Others(all, some)
-		if len(some) == 0 || len(others) == 0 {
-			t.Fatalf("%v of %v", some, all)
+		subset := randomSubset(all, rng.IntN)
+		others := Complement(all, subset)
+		if len(subset) == 0 || len(others) == 0 {
+			t.Fatalf("%v is not a non-empty proper subset of %v", subset, all)
 		}
-		if union := slices.Sorted(slices.Values(slices.Concat(some, others))); !slices.Equal(union, all) {
-			t.Fatalf("%v and the others %v are not %v", some, others, all)
+		if union := slices.Sorted(slices.Values(slices.Concat(subset, others))); !slices.Equal(union, all) {
+			t.Fatalf("%v and the others %v are not %v", subset, others, all)
 		}
 	}
 }
--- a/internal/testbed/goldentest/goldentest.go
+++ b/internal/testbed/goldentest/goldentest.go
@@ -1,5 +1,5 @@
-// Package goldentest reads and compares golden files: bytes that an earlier build wrote, which must not change. They are in the directory
-// testdata/golden of the package under test. Only test files may import it.
+// Package goldentest reads and compares golden files: data written by an earlier build, whose encoding must not change. The files are in
+// the directory testdata/golden of the package under test. Only test files may import it.
 package goldentest
 
 import (
@@ -26,7 +26,7 @@
 	return contents
 }
 
-// ReadQuoted reads a golden file of lines that have a name, a tab and a quoted string, and returns the strings by their names.
+// ReadQuoted reads a golden file in which each line has a name, a tab and a quoted string. It returns the strings by name.
 func ReadQuoted(t *testing.T, name string) map[string]string {
 	t.Helper()
 	entries := map[string]string{}
@@ -41,7 +41,7 @@
 	return entries
 }
 
-// CheckProto checks that a message is encoded as a golden file, and that the file is decoded to the message.
+// CheckProto checks that the encoding of a message equals a golden file, and that the file decodes to the message.
 func CheckProto(t *testing.T, name string, message proto.Message) {
 	t.Helper()
 	got, err := proto.MarshalOptions{Deterministic: true}.Marshal(message)
--- a/internal/testbed/idempotencytest/client.go
+++ b/internal/testbed/idempotencytest/client.go
@@ -20,28 +20,28 @@
 	statePollInterval = 3 * time.Millisecond
 )
 
-// attempt is one attempt of an operation as its client saw it. Times are of one clock.
+// attempt is one attempt of an operation as its client observed it. Times are offsets from the start of the clients.
 type attempt struct {
 	operation int
 	start     time.Duration
-	end       time.Duration // 0: there was no answer
+	end       time.Duration // 0: no answer was received
 	answer    string
 	receipt   string
 }
 
 func (a attempt) answered() bool { return a.end > 0 }
 
-// operationName is the name of an operation in requests.
+// operationName returns the name of an operation in requests.
 func operationName(operation int) string { return fmt.Sprintf("m%d", operation) }
 
-// clients attempt operations at all members.
+// clients sends attempts of operations to all members.
 type clients struct {
-	addrs     []string // of the members, for clients
-	rate      float64  // a second
+	addrs     []string // where members accept requests of clients
+	rate      float64  // operations drawn per second, on average; each is attempted once or twice
 	rng       *rand.Rand
 	startedAt time.Time
 
-	operations int // that were attempted
+	operations int // number of operations started so far
 
 	mu       sync.Mutex // guards attempts
 	attempts []attempt
@@ -51,8 +51,8 @@
 	return &clients{addrs: addrs, rate: rate, rng: rand.New(rand.NewPCG(seed, clientStream)), startedAt: time.Now()}
 }
 
-// run attempts operations until the context is done and all attempts have ended: new ones all the time and earlier ones again, often at two members in
-// one moment.
+// run attempts new and earlier operations until the context is done, and returns when all attempts have ended. Half of the
+// drawn operations are attempted twice at the same time. The member is drawn for each attempt.
 func (c *clients) run(ctx context.Context) {
 	var running sync.WaitGroup
 	defer running.Wait()
@@ -61,12 +61,12 @@
 		operation := c.drawOperation()
 		for range 1 + c.rng.IntN(2) {
 			addr := c.addrs[c.rng.IntN(len(c.addrs))]
-			running.Go(func() { c.attempt(operation, addr) })
+			running.Go(func() { c.attemptAt(operation, addr) })
 		}
 	}
 }
 
-// drawOperation returns a new operation in one of four cases, mostly one of the latest, and else any.
+// drawOperation starts a new operation in one of four cases. It returns one of the latest ten operations in three of four cases, and otherwise any.
 func (c *clients) drawOperation() int {
 	if c.operations == 0 || c.rng.IntN(4) == 0 {
 		c.operations++
@@ -78,7 +78,7 @@
 	return operation
 }
 
-func (c *clients) attempt(operation int, addr string) {
+func (c *clients) attemptAt(operation int, addr string) {
 	a := attempt{operation: operation, start: time.Since(c.startedAt)}
 	if line, err := request(addr, operationName(operation)); err == nil {
 		a.end = time.Since(c.startedAt)
@@ -89,7 +89,7 @@
 	c.mu.Unlock()
 }
 
-// request sends one line to a member and returns its answer.
+// request sends one line to a member and returns the member's answer.
 func request(addr, line string) (string, error) {
 	conn, err := net.DialTimeout("tcp4", addr, answerTimeout)
 	if err != nil {
@@ -106,17 +106,17 @@
 	if _, err := fmt.Fprintln(conn, line); err != nil {
 		return "", err
 	}
-	answer := bufio.NewScanner(conn)
-	if answer.Scan() {
-		return answer.Text(), nil
+	lines := bufio.NewScanner(conn)
+	if lines.Scan() {
+		return lines.Text(), nil
 	}
-	if err := answer.Err(); err != nil {
+	if err := lines.Err(); err != nil {
 		return "", err
 	}
 	return "", io.ErrUnexpectedEOF
 }
 
-// awaitReady waits until a member has all records that it has to store.
+// awaitReady waits until a member holds all records assigned to it, and reports whether it did within the timeout.
 func awaitReady(addr string, timeout time.Duration) bool {
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(statePollInterval) {
 		if state, err := request(addr, stateRequest); err == nil && strings.HasPrefix(state, readyState+" ") {
--- a/internal/testbed/idempotencytest/executor.go
+++ b/internal/testbed/idempotencytest/executor.go
@@ -12,16 +12,16 @@
 	"mintspring/internal/testbed/loopback"
 )
 
-// executor executes operations, each as often as it is requested, and counts.
+// executor executes an operation each time it is requested, repeats included, and records every execution.
 type executor struct {
 	listener net.Listener
 
-	mu       sync.Mutex // guards what follows
+	mu       sync.Mutex // guards the fields below
 	rng      *rand.Rand
-	receipts map[string][]string // by operation, one of each execution
+	receipts map[string][]string // by operation; one receipt for each execution
 }
 
-// startExecutor listens on a loopback address, and serves until close.
+// startExecutor starts an executor on a loopback address. It serves until close.
 func startExecutor(seed uint64) (*executor, error) {
 	listener, err := loopback.Listen()
 	if err != nil {
@@ -34,9 +34,9 @@
 
 func (e *executor) addr() string { return e.listener.Addr().String() }
 
-// close ends acceptLoop. It may be called again. Connections end with the processes that have opened them.
+// close ends acceptLoop. It may be called more than once. Connections end with the processes that opened them.
 func (e *executor) close() {
-	_ = e.listener.Close() // it holds no data
+	_ = e.listener.Close() // a listener buffers no data
 }
 
 func (e *executor) acceptLoop() {
@@ -52,15 +52,15 @@
 	}
 }
 
-// serve executes an operation for each line, which has its name and the number of the member. The answer is its receipt.
+// serve executes an operation for each line, which has the operation's name and the member's number, and answers with the receipt.
 func (e *executor) serve(conn net.Conn) {
-	defer conn.Close() //nolint:errcheck // a member that misses its answer says so
+	defer conn.Close() //nolint:errcheck // a member without an answer reports it
 	lines := bufio.NewScanner(conn)
 	for lines.Scan() {
 		var operation string
 		var member int
 		if n, err := fmt.Sscanf(lines.Text(), "%s %d", &operation, &member); n != 2 || err != nil {
-			continue // cut short by the death of the member
+			continue // truncated because the member was killed
 		}
 		time.Sleep(e.drawDuration())
 		if _, err := fmt.Fprintln(conn, e.execute(operation, member)); err != nil {
@@ -75,7 +75,7 @@
 	return time.Duration(e.rng.IntN(int(maxExecutionTime/time.Millisecond))) * time.Millisecond
 }
 
-// execute counts an execution and returns its receipt, which no other has.
+// execute records an execution and returns its unique receipt.
 func (e *executor) execute(operation string, member int) string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -88,9 +88,9 @@
 func (e *executor) executions() map[string][]string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	all := make(map[string][]string, len(e.receipts))
+	copied := make(map[string][]string, len(e.receipts))
 	for operation, receipts := range e.receipts {
-		all[operation] = append([]string(nil), receipts...)
+		copied[operation] = append([]string(nil), receipts...)
 	}
-	return all
+	return copied
 }
--- a/internal/testbed/idempotencytest/linearizability.go
+++ b/internal/testbed/idempotencytest/linearizability.go
@@ -7,7 +7,7 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// operationState is how far an operation is in the model.
+// operationState is the progress of an operation in the model.
 type operationState uint8
 
 const (
@@ -17,26 +17,26 @@
 	completed
 )
 
-// unknownReceipt stands for the receipt of an execution whose client got no answer.
+// unknownReceipt is the receipt in the model of an execution whose client got no answer.
 const unknownReceipt = "?"
 
 // modelState is the state of an operation in the model.
 type modelState struct {
 	state   operationState
-	attempt int    // of inFlight: the number of the attempt that has claimed it
-	receipt string // of completed
+	attempt int    // if inFlight: the index of the attempt that holds the claim
+	receipt string // if completed
 }
 
-// step is one of the two points of an attempt: its claim and its settlement. Between them, which is long where its process is paused, others are
-// answered that nothing is known.
+// step is either the claim or the settlement of an attempt. Between the two, which is a long time if the process is paused, other attempts may be
+// answered that the outcome is unknown.
 type step struct {
 	attempt
 	number  int
 	settles bool
 }
 
-// checkLinearizable checks the attempts of one operation. What a client was answered has happened between its request and its answer. An end of an attempt
-// that the answer does not promise may be recorded later, or never.
+// checkLinearizable checks whether the attempts of one operation are linearizable. Steps that an answer confirms took effect between the request and the
+// answer. A settlement that the answer does not confirm may take effect later, or never.
 func checkLinearizable(attempts []attempt, timeout time.Duration) porcupine.CheckResult {
 	model := porcupine.NondeterministicModel{
 		Init:  func() []any { return []any{modelState{}} },
@@ -46,19 +46,19 @@
 	return porcupine.CheckOperationsTimeout(model.ToModel(), history(attempts), timeout)
 }
 
-// history returns the steps of attempts, each with the time by which it has happened.
+// history returns the steps of all attempts, each with the time by which it took effect.
 func history(attempts []attempt) []porcupine.Operation {
 	var steps []porcupine.Operation
-	add := func(number int, settles bool, by int64) {
+	add := func(number int, settles bool, deadline int64) {
 		a := attempts[number]
 		steps = append(steps, porcupine.Operation{
-			ClientId: len(steps), Input: step{a, number, settles}, Call: int64(a.start), Output: a.answer, Return: by,
+			ClientId: len(steps), Input: step{a, number, settles}, Call: int64(a.start), Output: a.answer, Return: deadline,
 		})
 	}
 	const never = math.MaxInt64
 	for i, a := range attempts {
 		switch {
-		case a.answer == answerWait: // another attempt was in flight, or its process had died
+		case a.answer == answerWait: // another attempt was in flight, or the process of that attempt had been killed
 		case !a.decided():
 			add(i, false, never)
 			add(i, true, never)
@@ -75,10 +75,10 @@
 	return steps
 }
 
-// decided reports whether the attempt's claim is known to have been decided. Otherwise it may have been recorded nevertheless.
+// decided reports whether the attempt's claim is known to have been decided. An undecided claim may still have been recorded.
 func (a attempt) decided() bool { return a.answered() && a.answer != answerNoQuorum }
 
-// apply returns the states that may follow a state, none if the step cannot happen there.
+// apply returns the states that the step may lead to from a state, or none if the step is impossible in it.
 func (s step) apply(before modelState) []any {
 	if s.settles {
 		return s.settle(before)
@@ -87,7 +87,7 @@
 }
 
 func (s step) claim(before modelState) []any {
-	claimed := modelState{state: inFlight, attempt: s.number}
+	claimedState := modelState{state: inFlight, attempt: s.number}
 	switch {
 	case s.answer == answerReplayed:
 		if before.state == completed && (before.receipt == s.receipt || before.receipt == unknownReceipt) {
@@ -100,32 +100,32 @@
 		}
 		return nil
 	case !s.decided() && before.state == unclaimed:
-		return []any{before, claimed}
+		return []any{before, claimedState}
 	case !s.decided():
 		return []any{before}
 	case before.state == unclaimed:
-		return []any{claimed}
+		return []any{claimedState}
 	}
 	return nil
 }
 
 func (s step) settle(before modelState) []any {
-	released, indeterminate := modelState{}, modelState{state: indeterminate}
-	done := modelState{state: completed, receipt: s.receipt}
-	own := before.state == inFlight && before.attempt == s.number
+	releasedState, indeterminateState := modelState{}, modelState{state: indeterminate}
+	completedState := modelState{state: completed, receipt: s.receipt}
+	isOwnClaim := before.state == inFlight && before.attempt == s.number
 	switch {
-	case s.answer == answerCompleted && own:
-		return []any{done}
+	case s.answer == answerCompleted && isOwnClaim:
+		return []any{completedState}
 	case s.answer == answerCompleted:
 		return nil
-	case !own:
+	case !isOwnClaim:
 		return []any{before}
 	case s.answer == answerUnsettled:
-		return []any{before, done}
+		return []any{before, completedState}
 	case s.answer == answerMayHaveExecuted:
-		return []any{before, indeterminate}
+		return []any{before, indeterminateState}
 	case s.answer == answerNotExecuted, s.answer == answerNoQuorum:
-		return []any{before, released}
+		return []any{before, releasedState}
 	}
-	return []any{before, released, indeterminate, modelState{state: completed, receipt: unknownReceipt}}
+	return []any{before, releasedState, indeterminateState, modelState{state: completed, receipt: unknownReceipt}}
 }
--- a/internal/testbed/idempotencytest/member.go
+++ b/internal/testbed/idempotencytest/member.go
@@ -19,70 +19,70 @@
 	"mintspring/internal/cluster/idempotency/storage"
 )
 
-// MemberConfig is what a process of a round is started with, as JSON in its last argument.
+// MemberConfig is the configuration of a member process. It is passed as JSON in the last argument.
 type MemberConfig struct {
 	Member         int           `json:"member"` // from 0
 	ListenAddr     string        `json:"listen"`
-	ClientAddr     string        `json:"clients"` // where clients send requests
-	MemberAddrs    []string      `json:"members"` // as this process reaches them
+	ClientAddr     string        `json:"clients"` // where the member accepts requests of clients
+	MemberAddrs    []string      `json:"members"` // addresses at which this process reaches the members, by member
 	DataDir        string        `json:"folder"`
-	Create         bool          `json:"found,omitempty"` // the data directory is an initial one
+	Create         bool          `json:"found,omitempty"` // create the data directory at the start
 	ExecutorAddr   string        `json:"witness"`
 	RetentionMs    float64       `json:"keep"`
-	SyncDelay      time.Duration `json:"slow,omitempty"` // added to each sync
+	SyncDelay      time.Duration `json:"slow,omitempty"` // added to each sync of the record log to disk
 	Seed           uint64        `json:"seed"`
-	WithoutRecords bool          `json:"off,omitempty"` // operations are executed without records
+	WithoutRecords bool          `json:"off,omitempty"` // execute operations without idempotency records
 }
 
 const groupName = "proof"
 
 const (
-	requestTimeout   = 300 * time.Millisecond // within which a request is executed
-	claimTimeout     = 150 * time.Millisecond // within which a claim is decided, and a client waits for a settlement
-	settleTimeout    = 2 * time.Second        // for which a settlement is tried
-	maxExecutionTime = 20 * time.Millisecond  // at the executor
+	requestTimeout   = 300 * time.Millisecond // limit for the execution of a request
+	claimTimeout     = 150 * time.Millisecond // limit for the decision on a claim, and for how long the answer waits for the settlement
+	settleTimeout    = 2 * time.Second        // how long the replica retries a settlement
+	maxExecutionTime = 20 * time.Millisecond  // upper bound of the executor's random delay
 	dialTimeout      = time.Second
-	maxDelay         = 5 * time.Millisecond // before a granted operation is executed
-	giveUpOneIn      = 20                   // granted operations are given up
-	loseAnswerOneIn  = 15                   // answers of the executor are lost
+	maxDelay         = 5 * time.Millisecond // before the execution of a granted operation
+	claimsPerAbandon = 20                   // one in this many granted operations is abandoned before its execution
+	answersPerLoss   = 15                   // one in this many answers of the executor is ignored
 )
 
-// stateRequest is the request for the state of a member. Any other line names an operation to attempt.
+// Requests for a member's state. A line other than stateRequest names an operation to attempt. The answer begins with readyState once the member is ready.
 const (
 	stateRequest = "state"
 	readyState   = "holds"
 )
 
-// Answers of a member: what became of an attempt. Those with a receipt have it in the same line.
+// Answers of a member: the outcome of an attempt. A receipt follows in the same line.
 const (
-	answerCompleted       = "sold"    // with its receipt, which is recorded
+	answerCompleted       = "sold"    // with its receipt, which has been recorded
 	answerUnsettled       = "unkept"  // with its receipt, which may not be recorded
 	answerReplayed        = "earlier" // with the receipt of an earlier attempt
 	answerWait            = "wait"    // another attempt is in flight
-	answerUnknown         = "lost"    // what became of an earlier attempt is unknown
+	answerUnknown         = "lost"    // the outcome of an earlier attempt is unknown
 	answerMayHaveExecuted = "maybe"
 	answerNotExecuted     = "never"
 	answerNoQuorum        = "none" // nothing was executed
 )
 
-// server is a member that answers clients.
+// server runs a member's replica and answers its clients.
 type server struct {
 	config  MemberConfig
 	replica *replica.Replica
 	clock   *clock.Clock
 
-	mu         sync.Mutex // guards what follows
+	mu         sync.Mutex // guards the fields below
 	lastNumber uint64
 	waiters    map[waiterID]chan idempotency.Result
 }
 
-// waiterID tells results apart.
+// waiterID identifies the result that a goroutine waits for: of the claim or of the settlement with a number.
 type waiterID struct {
 	number     uint64
 	settlement bool
 }
 
-// RunMember runs a process of a round until it is killed or fails.
+// RunMember runs a member process until it is killed or fails.
 func RunMember(config string) error {
 	s := &server{clock: clock.New(), waiters: map[waiterID]chan idempotency.Result{}}
 	if err := json.Unmarshal([]byte(config), &s.config); err != nil {
@@ -131,16 +131,16 @@
 func (s *server) onResult(result idempotency.Result) {
 	id := waiterID{result.Number, result.IsSettlement}
 	s.mu.Lock()
-	to := s.waiters[id]
+	waiter := s.waiters[id]
 	delete(s.waiters, id)
 	s.mu.Unlock()
-	if to != nil {
-		to <- result
+	if waiter != nil {
+		waiter <- result
 	}
 }
 
-// expect returns the channel that a result will come to.
-func (s *server) expect(number uint64, settlement bool) chan idempotency.Result {
+// registerWaiter returns the channel on which onResult delivers a result.
+func (s *server) registerWaiter(number uint64, settlement bool) chan idempotency.Result {
 	result := make(chan idempotency.Result, 1)
 	s.mu.Lock()
 	s.waiters[waiterID{number, settlement}] = result
@@ -157,7 +157,7 @@
 
 // serve answers the requests of a client, one a line.
 func (s *server) serve(conn net.Conn) {
-	defer conn.Close() //nolint:errcheck // a client that misses its answer says so
+	defer conn.Close() //nolint:errcheck // a client without an answer records that
 	requests := bufio.NewScanner(conn)
 	for requests.Scan() {
 		if _, err := fmt.Fprintln(conn, s.answer(requests.Text())); err != nil {
@@ -175,7 +175,7 @@
 	return fmt.Sprintf("%s %v", strings.ReplaceAll(status.State, " ", "-"), err)
 }
 
-// attempt attempts an operation as a node does, and returns the line to answer.
+// attempt claims, executes and settles an operation as a node does, and returns the answer.
 func (s *server) attempt(operation string) string {
 	start := s.clock.Now()
 	if s.config.WithoutRecords {
@@ -185,7 +185,7 @@
 		return answerMayHaveExecuted
 	}
 	number := s.nextNumber()
-	claimed := s.expect(number, false)
+	claimed := s.registerWaiter(number, false)
 	key := idempotency.NewKey("sale", []byte("key"), []byte(operation))
 	s.replica.Claim(number, key, idempotency.ClaimOptions{TimeoutMs: milliseconds(requestTimeout)}, start+milliseconds(claimTimeout))
 	switch claim := <-claimed; claim.Decision {
@@ -202,9 +202,9 @@
 	return s.settle(number, receipt, outcome)
 }
 
-// settle records the outcome of a granted claim, and returns the line to answer.
+// settle records the outcome of a granted claim, and returns the answer.
 func (s *server) settle(number uint64, receipt string, outcome idempotency.Outcome) string {
-	settled := s.expect(number, true)
+	settled := s.registerWaiter(number, true)
 	var stored []byte
 	if outcome == idempotency.OutcomeCompleted {
 		stored = []byte(receipt)
@@ -226,25 +226,25 @@
 	return answerUnsettled + " " + receipt
 }
 
-// execute has the executor execute an operation, if there is time for it. Some are given up, and some of the executor's answers are lost.
+// execute requests an execution from the executor if enough time is left. It abandons some operations, and ignores some of the executor's answers.
 func (s *server) execute(operation string, start float64) (receipt string, outcome idempotency.Outcome) {
 	rng := rand.New(rand.NewPCG(uint64(start), s.config.Seed+uint64(s.config.Member)))
 	time.Sleep(time.Duration(rng.IntN(int(maxDelay/time.Millisecond))) * time.Millisecond)
-	if rng.IntN(giveUpOneIn) == 0 || s.isTooLate(start) {
+	if rng.IntN(claimsPerAbandon) == 0 || s.wouldExceedTimeout(start) {
 		return "", idempotency.OutcomeNotExecuted
 	}
 	conn, err := net.DialTimeout("tcp4", s.config.ExecutorAddr, dialTimeout)
 	if err != nil {
 		return "", idempotency.OutcomeNotExecuted
 	}
-	defer conn.Close()      //nolint:errcheck // the answer is read, or given up
-	if s.isTooLate(start) { // it was paused meanwhile
+	defer conn.Close()               //nolint:errcheck // the answer has been read or is ignored
+	if s.wouldExceedTimeout(start) { // the process was paused in the meantime
 		return "", idempotency.OutcomeNotExecuted
 	}
 	if _, err := fmt.Fprintf(conn, "%s %d\n", operation, s.config.Member); err != nil {
 		return "", idempotency.OutcomeUnknown
 	}
-	if rng.IntN(loseAnswerOneIn) == 0 {
+	if rng.IntN(answersPerLoss) == 0 {
 		return "", idempotency.OutcomeUnknown
 	}
 	if err := conn.SetReadDeadline(time.Now().Add(requestTimeout)); err != nil {
@@ -257,7 +257,7 @@
 	return answer.Text(), idempotency.OutcomeCompleted
 }
 
-// isTooLate reports whether an execution might end after the request's timeout.
-func (s *server) isTooLate(start float64) bool {
+// wouldExceedTimeout reports whether an execution that starts now might end after the request's timeout.
+func (s *server) wouldExceedTimeout(start float64) bool {
 	return s.clock.Now() > start+milliseconds(requestTimeout-maxExecutionTime)
 }
--- a/internal/testbed/idempotencytest/report.go
+++ b/internal/testbed/idempotencytest/report.go
@@ -13,30 +13,30 @@
 // checkTimeout bounds the check of one operation's history.
 const checkTimeout = 5 * time.Second
 
-// noAnswer stands in Report.Answers for attempts without one.
+// noAnswer is the key in Report.Answers of attempts without an answer.
 const noAnswer = "no answer"
 
-// Report is what the executor and the history check observed in a round.
+// Report holds the observations of the executor and the history check in a round.
 type Report struct {
 	Seed                uint64
-	Operations          int // that were attempted
+	Operations          int // with at least one attempt
 	Executions          int
-	DuplicateExecutions int            // beyond the first of an operation
-	Answers             map[string]int // attempts by their answer
-	ChangedReceipts     int            // other than the first one given, or of no execution
-	LostReceipts        int            // answers that know nothing of a receipt that was given before they were requested
-	NonLinearizable     int            // operations whose history no order explains
-	Histories           []string       // of those
+	DuplicateExecutions int            // executions after the first of each operation
+	Answers             map[string]int // number of attempts by answer
+	ChangedReceipts     int            // receipts that differ from the operation's first one or belong to no execution
+	LostReceipts        int            // answers that do not replay a receipt, to requests sent after it was recorded
+	NonLinearizable     int            // operations whose history is not linearizable
+	Histories           []string       // attempts of the operations that are not linearizable
 	Undecided           int            // operations whose check timed out
 	WipedDisks          int
-	CatchUpMs           []float64 // of each member with a new disk: until it had caught up
-	ExecuteMs           []float64 // of attempts that were executed and settled
-	ReplayMs            []float64 // of attempts that were answered by an earlier receipt
-	Crashes             []string  // of members that exited by themselves
-	Faults              []string  // in order
+	CatchUpMs           []float64 // time of each member with a new disk until it had caught up
+	ExecuteMs           []float64 // latencies of attempts that were executed and settled
+	ReplayMs            []float64 // latencies of attempts that were answered with an earlier receipt
+	Crashes             []string  // members that exited without being killed
+	Faults              []string  // injected faults, in order
 }
 
-// Passed reports whether nothing is wrong.
+// Passed reports whether the round found no violation and no crash.
 func (r *Report) Passed() bool {
 	return r.DuplicateExecutions == 0 && r.ChangedReceipts == 0 && r.LostReceipts == 0 && r.NonLinearizable == 0 && len(r.Crashes) == 0
 }
@@ -68,30 +68,31 @@
 		return
 	}
 	r.Answers[a.answer]++
-	switch took := milliseconds(a.end - a.start); a.answer {
+	switch latencyMs := milliseconds(a.end - a.start); a.answer {
 	case answerCompleted:
-		r.ExecuteMs = append(r.ExecuteMs, took)
+		r.ExecuteMs = append(r.ExecuteMs, latencyMs)
 	case answerReplayed:
-		r.ReplayMs = append(r.ReplayMs, took)
+		r.ReplayMs = append(r.ReplayMs, latencyMs)
 	}
 }
 
-// changedReceipts counts the receipts of an operation that differ from the first one given, or are of no execution.
-func changedReceipts(attempts []attempt, executed []string) int {
+// changedReceipts counts the receipts of an operation that differ from its first receipt or belong to no execution.
+func changedReceipts(attempts []attempt, executedReceipts []string) int {
 	first, changed := "", 0
 	for _, a := range attempts {
 		if a.receipt == "" {
 			continue
 		}
 		first = cmp.Or(first, a.receipt)
-		if a.receipt != first || !slices.Contains(executed, a.receipt) {
+		if a.receipt != first || !slices.Contains(executedReceipts, a.receipt) {
 			changed++
 		}
 	}
 	return changed
 }
 
-// lostReceipts counts the answers that know nothing of an operation's receipt although they were requested after it was recorded.
+// lostReceipts counts the answers that do not replay an operation's receipt, to requests sent after the receipt was recorded. Answers without a quorum
+// do not count.
 func lostReceipts(attempts []attempt) int {
 	recordedBy := time.Duration(math.MaxInt64)
 	for _, a := range attempts {
--- a/internal/testbed/idempotencytest/report_test.go
+++ b/internal/testbed/idempotencytest/report_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Receipts that differ, are of no execution or are lost are counted.
+// Receipts that differ, belong to no execution or are lost are counted.
 func TestReceipts(t *testing.T) {
 	executed := []string{"a", "b"}
 	for name, c := range map[string]struct {
--- a/internal/testbed/idempotencytest/round.go
+++ b/internal/testbed/idempotencytest/round.go
@@ -1,8 +1,8 @@
-// Package idempotencytest shows with real processes that a machine lost with its disk loses nothing of the replicated idempotency records.
+// Package idempotencytest tests with real processes that no replicated idempotency record is lost when a machine is lost with its disk.
 //
-// A round runs members that are killed, paused, cut off from one another and lose their disks as a seed has it, while clients attempt each operation
-// again and again at all of them. An executor in the process of the test, which drops no repeats, counts the executions. The answers that clients got are
-// checked for linearizability. Nothing depends on what a process says of itself but these.
+// A round runs members that are killed, paused, cut off from one another and lose their disks, as drawn from a seed. Meanwhile, clients attempt each
+// operation repeatedly at all members. An executor in the test process counts the executions and does not deduplicate. The answers that clients received
+// are checked for linearizability. The verdict relies on the executor's counts and these answers alone.
 package idempotencytest
 
 import (
@@ -16,7 +16,7 @@
 	"mintspring/internal/testbed/faultrounds"
 )
 
-// Streams of random numbers of one seed.
+// Random number streams derived from one seed.
 const (
 	faultStream    = 43
 	executorStream = 44
@@ -24,17 +24,17 @@
 )
 
 const (
-	// clientPortOffset is the number of the first member's socket for clients.
+	// clientPortOffset is the socket number in the round at which the members' sockets for clients begin.
 	clientPortOffset = 100
-	// roundRetentionMs is for how long members keep records: longer than any round.
+	// roundRetentionMs is the retention of records, longer than any round.
 	roundRetentionMs = 600e3
-	// startTimeout is how long all members may take until they store records.
+	// startTimeout limits how long a member takes after the start until it holds its records.
 	startTimeout = 10 * time.Second
-	// catchUpTimeout is how long a member with a new disk may take to catch up.
+	// catchUpTimeout limits how long a member with a new disk takes to catch up.
 	catchUpTimeout = 20 * time.Second
 )
 
-// Faults of links that a round draws from.
+// Limits and rates of the link faults that a round draws.
 const (
 	maxLossRate         = 0.2
 	maxJitterMs         = 60
@@ -46,14 +46,14 @@
 
 // Config configures a round.
 type Config struct {
-	Argv           []string // that processes are started with, before their configuration
+	Argv           []string // command of the member processes; the configuration is appended
 	Members        int
 	Duration       time.Duration
-	Rate           float64       // of attempts a second, at least
-	WipeDisks      bool          // members are replaced by ones with new disks, one at a time
+	Rate           float64       // operations drawn per second; each is attempted once or twice
+	WipeDisks      bool          // replace members by ones with new disks, one at a time
 	SyncDelay      time.Duration // added to each sync of the first member
 	NoFaults       bool
-	WithoutRecords bool // operations are executed without records, to show what these are worth
+	WithoutRecords bool // execute operations without idempotency records, as a control
 	Seed           uint64
 }
 
@@ -68,9 +68,9 @@
 
 type node = faultrounds.Node[MemberConfig]
 
-// RunRound runs one round and reports what was observed. An error means that the round could not be run.
+// RunRound runs one round and returns its report. An error means that the round could not be completed.
 func RunRound(ctx context.Context, config Config) (*Report, error) {
-	shared, err := faultrounds.New[MemberConfig](faultrounds.Options{
+	base, err := faultrounds.New[MemberConfig](faultrounds.Options{
 		Name:         "idempotency",
 		Argv:         config.Argv,
 		Nodes:        config.Members,
@@ -80,7 +80,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &round{Round: shared, config: config, report: Report{Seed: config.Seed, Answers: map[string]int{}}}
+	r := &round{Round: base, config: config, report: Report{Seed: config.Seed, Answers: map[string]int{}}}
 	defer r.close()
 	if err := r.setUp(); err != nil {
 		return nil, err
@@ -93,7 +93,7 @@
 	return &r.report, ctx.Err()
 }
 
-// setUp starts all members and waits until they store records.
+// setUp starts the executor and all members, and waits until the members hold their records.
 func (r *round) setUp() error {
 	var err error
 	if r.executor, err = startExecutor(r.config.Seed); err != nil {
@@ -109,7 +109,7 @@
 		return err
 	}
 	for i, n := range r.Nodes {
-		n.Config.Create = false // that was the first start
+		n.Config.Create = false // the first start has created the data directory
 		if !awaitReady(addrs[i], startTimeout) {
 			return fmt.Errorf("%s does not store records: %s", n.Name, n.Stderr)
 		}
@@ -136,7 +136,7 @@
 	r.Add(fmt.Sprintf("member %d", i), config)
 }
 
-// close ends all processes, and then the executor. It may be called again.
+// close ends all processes, and then the executor. It may be called more than once.
 func (r *round) close() {
 	r.Close()
 	if r.executor != nil {
@@ -176,18 +176,18 @@
 	return nil
 }
 
-// faults returns the faults to draw from; those that occur several times are as much more likely. Some of them affect the node that was drawn.
+// faults returns the faults to draw from. A fault that is listed several times is that much more likely. Some faults ignore the node that was drawn.
 func (r *round) faults() []func(ctx context.Context, n *node) error {
-	wipe := r.restartMember
+	replaceOrRestart := r.restartMember
 	if r.config.WipeDisks {
-		wipe = r.replaceMember
+		replaceOrRestart = r.replaceMember
 	}
 	return []func(ctx context.Context, n *node) error{
-		wipe, wipe, wipe, r.restartMember, r.cutPower, r.partition, r.disturbLinks, r.pauseMember, r.pauseMember,
+		replaceOrRestart, replaceOrRestart, replaceOrRestart, r.restartMember, r.restartAll, r.partition, r.disturbLinks, r.pauseMember, r.pauseMember,
 	}
 }
 
-// replaceMember replaces a member by one with a new disk. The next fault happens when that one has caught up: disks are lost one at a time.
+// replaceMember replaces a member by one with a new disk, and waits until the new one has caught up: disks are lost one at a time.
 func (r *round) replaceMember(_ context.Context, n *node) error {
 	r.LogFault("%s is lost with its disk and replaced", n.Name)
 	r.Kill(n)
@@ -211,20 +211,20 @@
 	return r.Restart(ctx, 0, 300, n)
 }
 
-func (r *round) cutPower(context.Context, *node) error {
+func (r *round) restartAll(context.Context, *node) error {
 	r.LogFault("all members are killed at once and restart")
 	r.Kill(r.Nodes...)
 	return r.Start(r.Nodes...)
 }
 
 func (r *round) partition(ctx context.Context, _ *node) error {
-	some := r.RandomSubset(r.all())
-	others := faultrounds.Others(r.all(), some)
+	subset := r.RandomSubset(r.memberIndexes())
+	others := faultrounds.Complement(r.memberIndexes(), subset)
 	oneWay := r.Rand.IntN(3) == 0
-	r.LogFault("%v and %v are cut off from each other, one way only: %v", some, others, oneWay)
-	r.CutLinks(some, others)
+	r.LogFault("%v and %v are cut off from each other, one way only: %v", subset, others, oneWay)
+	r.CutLinks(subset, others)
 	if !oneWay {
-		r.CutLinks(others, some)
+		r.CutLinks(others, subset)
 	}
 	r.Wait(ctx, 200, 600)
 	return nil
@@ -232,7 +232,7 @@
 
 func (r *round) disturbLinks(ctx context.Context, _ *node) error {
 	r.LogFault("messages are lost, delayed, duplicated and corrupted")
-	r.DisturbLinks(r.all(), func() faultrelay.Link {
+	r.DisturbLinks(r.memberIndexes(), func() faultrelay.Link {
 		return faultrelay.Link{
 			LossRate:         maxLossRate * r.Rand.Float64(),
 			JitterMs:         maxJitterMs * r.Rand.Float64(),
@@ -252,13 +252,13 @@
 	return nil
 }
 
-// all returns the numbers of all members.
-func (r *round) all() []int {
-	all := make([]int, len(r.Nodes))
-	for i := range all {
-		all[i] = i
+// memberIndexes returns the numbers of memberIndexes members.
+func (r *round) memberIndexes() []int {
+	indexes := make([]int, len(r.Nodes))
+	for i := range indexes {
+		indexes[i] = i
 	}
-	return all
+	return indexes
 }
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/internal/testbed/idempotencytest/round_test.go
+++ b/internal/testbed/idempotencytest/round_test.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/testbed/processtest"
 )
 
-// memberArg has the test program run as a member.
+// memberArg is the argument that makes the test program run as a member.
 const memberArg = "as-member"
 
 func TestMain(m *testing.M) { processtest.Main(m, memberArg, RunMember) }
@@ -28,8 +28,8 @@
 	return report
 }
 
-// Five processes, of which machines are lost with their disks, killed, paused and cut off by a seed while clients attempt each operation at all of them: no
-// operation is executed twice, no other receipt is given than the first, and none that was settled is lost.
+// While members lose their disks, are killed, paused and cut off, clients attempt each operation at all members: no operation is executed twice, all
+// answers have the same receipt, and no settled receipt is lost.
 func TestNothingSettledIsLost(t *testing.T) {
 	for seed := range uint64(3) {
 		t.Run(fmt.Sprint(seed+1), func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// Without records the same clients have operations executed twice: that is what records are for, and the executor sees it.
+// Without records, the same clients cause duplicate executions, and the executor counts them.
 func TestWithoutRecords(t *testing.T) {
 	report := runRound(t, Config{Members: 3, Duration: time.Second, Rate: 150, WithoutRecords: true, Seed: 9})
 	if report.DuplicateExecutions == 0 {
@@ -58,25 +58,25 @@
 	}
 }
 
-// The check sees answers that must not be given.
+// The check rejects histories with answers that no order of the attempts allows.
 func TestCheckLinearizable(t *testing.T) {
-	got := func(start, end time.Duration, answer, receipt string) attempt {
+	newAttempt := func(start, end time.Duration, answer, receipt string) attempt {
 		return attempt{0, start, end, answer, receipt}
 	}
 	for name, c := range map[string]struct {
 		attempts []attempt
 		want     porcupine.CheckResult
 	}{
-		"completed and replayed":        {[]attempt{got(1, 2, answerCompleted, "a"), got(3, 4, answerReplayed, "a")}, porcupine.Ok},
-		"completed twice":               {[]attempt{got(1, 2, answerCompleted, "a"), got(3, 4, answerCompleted, "b")}, porcupine.Illegal},
-		"another receipt":               {[]attempt{got(1, 2, answerCompleted, "a"), got(3, 4, answerReplayed, "b")}, porcupine.Illegal},
-		"lost receipt":                  {[]attempt{got(1, 2, answerCompleted, "a"), got(3, 4, answerUnknown, "")}, porcupine.Illegal},
-		"replayed without an execution": {[]attempt{got(1, 2, answerNotExecuted, ""), got(3, 4, answerReplayed, "a")}, porcupine.Illegal},
-		"unknown before all attempts":   {[]attempt{got(1, 2, answerUnknown, ""), got(3, 4, answerCompleted, "a")}, porcupine.Illegal},
-		"paused, unknown, released":     {[]attempt{got(1, 9, answerNotExecuted, ""), got(3, 4, answerUnknown, ""), got(10, 11, answerCompleted, "a")}, porcupine.Ok},
-		"paused, unknown, completed":    {[]attempt{got(1, 9, answerCompleted, "a"), got(3, 4, answerUnknown, ""), got(10, 11, answerReplayed, "a")}, porcupine.Ok},
-		"replayed after no answer":      {[]attempt{got(1, 0, "", ""), got(3, 4, answerReplayed, "a"), got(5, 6, answerReplayed, "a")}, porcupine.Ok},
-		"replayed and then unknown":     {[]attempt{got(1, 0, "", ""), got(3, 4, answerReplayed, "a"), got(5, 6, answerUnknown, "")}, porcupine.Illegal},
+		"completed and replayed":        {[]attempt{newAttempt(1, 2, answerCompleted, "a"), newAttempt(3, 4, answerReplayed, "a")}, porcupine.Ok},
+		"completed twice":               {[]attempt{newAttempt(1, 2, answerCompleted, "a"), newAttempt(3, 4, answerCompleted, "b")}, porcupine.Illegal},
+		"another receipt":               {[]attempt{newAttempt(1, 2, answerCompleted, "a"), newAttempt(3, 4, answerReplayed, "b")}, porcupine.Illegal},
+		"lost receipt":                  {[]attempt{newAttempt(1, 2, answerCompleted, "a"), newAttempt(3, 4, answerUnknown, "")}, porcupine.Illegal},
+		"replayed without an execution": {[]attempt{newAttempt(1, 2, answerNotExecuted, ""), newAttempt(3, 4, answerReplayed, "a")}, porcupine.Illegal},
+		"unknown before all attempts":   {[]attempt{newAttempt(1, 2, answerUnknown, ""), newAttempt(3, 4, answerCompleted, "a")}, porcupine.Illegal},
+		"paused, unknown, released":     {[]attempt{newAttempt(1, 9, answerNotExecuted, ""), newAttempt(3, 4, answerUnknown, ""), newAttempt(10, 11, answerCompleted, "a")}, porcupine.Ok},
+		"paused, unknown, completed":    {[]attempt{newAttempt(1, 9, answerCompleted, "a"), newAttempt(3, 4, answerUnknown, ""), newAttempt(10, 11, answerReplayed, "a")}, porcupine.Ok},
+		"replayed after no answer":      {[]attempt{newAttempt(1, 0, "", ""), newAttempt(3, 4, answerReplayed, "a"), newAttempt(5, 6, answerReplayed, "a")}, porcupine.Ok},
+		"replayed and then unknown":     {[]attempt{newAttempt(1, 0, "", ""), newAttempt(3, 4, answerReplayed, "a"), newAttempt(5, 6, answerUnknown, "")}, porcupine.Illegal},
 	} {
 		if result := checkLinearizable(c.attempts, time.Second); result != c.want {
 			t.Errorf("%s: %v, want %v", name, result, c.want)
--- a/internal/testbed/leasetest/contender.go
+++ b/internal/testbed/leasetest/contender.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	stepAllowanceMillis = 40 // that a contender allows for a step
+	stepAllowanceMillis = 40 // lease time that a contender requires at the start of a step
 	minStepMillis       = 5
-	extraStepMillis     = 20      // at most, drawn at random
-	stepsPerRelease     = 25      // on average
-	requestsPerTTL      = 4       // that a contender sends
-	releaseIDs          = 1 << 40 // request IDs from here on are of releases, which the lease client does not know
+	extraStepMillis     = 20      // upper bound of the random time added to minStepMillis
+	stepsPerRelease     = 25      // mean number of steps between releases
+	requestsPerTTL      = 4       // acquisitions or renewals that a contender sends per lease duration, on average
+	releaseIDs          = 1 << 40 // request IDs above this one belong to releases; the lease client does not know them
 	pollInterval        = 2 * time.Millisecond
 )
 
-// Operation is a command of a contender and its result, as the history check needs it. A contender writes it to its standard output when it sends the
-// command, and again when the result arrives.
+// Operation is a command of a contender and its result, for the history check. A contender writes it to its standard output when it sends the
+// command, and again when it receives the result.
 type Operation struct {
 	Client     int           `json:"client"`
 	StartNanos int64         `json:"from"` // Unix time
-	EndNanos   int64         `json:"to"`   // Unix time; 0: there is no result
+	EndNanos   int64         `json:"to"`   // Unix time; 0: no result was received
 	Command    lease.Command `json:"cmd"`
 	Result     lease.Result  `json:"result"`
 }
 
-// contender is a process that wants the lease, and takes steps at the resource while it holds it.
+// contender is a process that competes for the lease, and takes steps at the resource while it holds the lease.
 type contender struct {
 	config *ProcessConfig
 	clock  *clock.Clock
@@ -88,19 +88,19 @@
 	c.client.HandleResult(requestID, r)
 }
 
-// send sends a command to any replica. The caller holds the mutex.
+// send sends a command to a random replica. The caller holds the mutex.
 func (c *contender) send(requestID uint64, cmd lease.Command) {
 	op := &Operation{Client: c.config.Node, StartNanos: time.Now().UnixNano(), Command: cmd}
 	c.pending[requestID] = op
 	c.write(op)
-	_ = c.sender.Send(c.rng.IntN(len(c.config.ReplicaAddrs)), requestID, cmd) // an error is as good as a lost datagram
+	_ = c.sender.Send(c.rng.IntN(len(c.config.ReplicaAddrs)), requestID, cmd) // an error has the effect of a lost datagram
 }
 
 func (c *contender) write(op *Operation) {
-	_ = c.output.Encode(op) // fails only when the runner is gone, which kills this process
+	_ = c.output.Encode(op) // fails only after the parent process has died, which kills this process too
 }
 
-// requestLoop acquires the lease and renews it.
+// requestLoop acquires and renews the lease. It never returns.
 func (c *contender) requestLoop() {
 	for {
 		c.mu.Lock()
@@ -112,7 +112,7 @@
 	}
 }
 
-// stepLoop takes steps under the lease, and releases it now and then.
+// stepLoop takes steps under the lease, and releases the lease after a random step. It never returns.
 func (c *contender) stepLoop(resource *resourceClient) {
 	for {
 		token, ok := c.mayStep()
--- a/internal/testbed/leasetest/history.go
+++ b/internal/testbed/leasetest/history.go
@@ -11,75 +11,76 @@
 	"mintspring/internal/cluster/lease"
 )
 
-// checkHistory checks whether a history of one lease is linearizable. It gives the same result as searchOrder alone, which may take forever on a
-// history with many operations without a result or with many that overlap. So it first gives each operation a result, rejects results that contradict
-// each other, and separates operations by the phases of the lease.
+// checkHistory checks whether a history of one lease is linearizable. The result is the same as that of searchOrder alone, whose time is unbounded
+// in practice if many operations overlap or have no result. Therefore, checkHistory first gives each operation a result, rejects contradictory
+// results, and separates the operations by the phases of the lease.
 func checkHistory(history []Operation, timeout time.Duration) porcupine.CheckResult {
 	completed, ok := completeHistory(history)
-	if !ok || contradicts(completed) {
+	if !ok || hasContradiction(completed) {
 		return porcupine.Illegal
 	}
 	return searchOrder(separatePhases(completed), timeout)
 }
 
-// grantEpoch is what a history shows of the grant with one token.
+// grantEpoch is what a history shows about the grant with one token.
 type grantEpoch struct {
 	holder      lease.Process
 	holderKnown bool
-	firstResult int64 // when the first result with this token or a later one had arrived
-	firstGrant  int64 // when the first acquisition with a result that granted this token was sent
+	firstResult int64 // when the first result with this token or a later one arrived
+	firstGrant  int64 // when the first acquisition was sent whose result confirms this token for its sender
 }
 
-// lacksGrant reports whether no operation with a result can have made the grant: all of its holder's were sent after the token had been seen.
-func (e *grantEpoch) lacksGrant() bool { return e.firstGrant > e.firstResult }
+// needsPendingGrant reports whether only an acquisition without a result can have made the grant: all acquisitions whose results confirm the grant were
+// sent after a result had shown the token.
+func (e *grantEpoch) needsPendingGrant() bool { return e.firstGrant > e.firstResult }
 
-// completeHistory returns a history in which each operation has a result, and which is linearizable exactly if the given one is. It returns false if
-// it finds that the given one is not.
+// completeHistory returns a history in which each operation has a result, and which is linearizable if and only if the given history is. It returns
+// false if it detects that the given history is not linearizable.
 //
-// An operation without a result may have taken effect at any time from its start on. Renewals and releases are dropped, since the group may expire
-// the lease at any time anyhow. An acquisition matters only where it made a grant that no operation with a result can have made. Tokens rise by one
-// with each grant and are part of each result, so that these grants are known. For each, an acquisition that was sent in time is given the
-// grant as its result: the latest of the holder's, or the earliest that is left of anybody's where no result shows the holder.
+// An operation without a result may have taken effect at any time after its start. Renewals and releases without a result are dropped, because the
+// group may expire the lease at any time. An acquisition without a result matters only if it made a grant that no operation with a result can have
+// made. These grants are known, because tokens increase by one with each grant and each result has a token. Each of these grants becomes the result of
+// an acquisition that was sent in time: the holder's latest one, or, if no result shows the holder, the earliest remaining one of any process.
 func completeHistory(history []Operation) ([]Operation, bool) {
 	epochs := grantEpochs(history)
 	completed := slices.DeleteFunc(slices.Clone(history), func(op Operation) bool { return op.EndNanos == 0 })
-	open := slices.DeleteFunc(slices.Clone(history), func(op Operation) bool { return op.EndNanos != 0 || op.Command.Kind != lease.KindAcquire })
-	slices.SortStableFunc(open, func(a, b Operation) int { return cmp.Compare(a.StartNanos, b.StartNanos) })
-	grant := func(token, i int) {
-		op := open[i]
-		open = slices.Delete(open, i, i+1)
+	pendingAcquires := slices.DeleteFunc(slices.Clone(history), func(op Operation) bool { return op.EndNanos != 0 || op.Command.Kind != lease.KindAcquire })
+	slices.SortStableFunc(pendingAcquires, func(a, b Operation) int { return cmp.Compare(a.StartNanos, b.StartNanos) })
+	addGrant := func(token, i int) {
+		op := pendingAcquires[i]
+		pendingAcquires = slices.Delete(pendingAcquires, i, i+1)
 		op.EndNanos = math.MaxInt64
 		op.Result = lease.Result{OK: true, Token: lease.Token(token), Held: true, Holder: op.Command.Process}
 		completed = append(completed, op)
 	}
 	for token := len(epochs) - 1; token > 0; token-- {
 		e := &epochs[token]
-		if !e.lacksGrant() || !e.holderKnown {
+		if !e.needsPendingGrant() || !e.holderKnown {
 			continue
 		}
-		i := len(open) - 1
-		for i >= 0 && (open[i].Command.Process != e.holder || open[i].StartNanos > e.firstResult) {
+		i := len(pendingAcquires) - 1
+		for i >= 0 && (pendingAcquires[i].Command.Process != e.holder || pendingAcquires[i].StartNanos > e.firstResult) {
 			i--
 		}
 		if i < 0 {
 			return nil, false
 		}
-		grant(token, i)
+		addGrant(token, i)
 	}
 	for token := 1; token < len(epochs); token++ {
 		e := &epochs[token]
-		if !e.lacksGrant() || e.holderKnown {
+		if !e.needsPendingGrant() || e.holderKnown {
 			continue
 		}
-		if len(open) == 0 || open[0].StartNanos > e.firstResult {
+		if len(pendingAcquires) == 0 || pendingAcquires[0].StartNanos > e.firstResult {
 			return nil, false
 		}
-		grant(token, 0)
+		addGrant(token, 0)
 	}
 	return completed, true
 }
 
-// grantEpochs returns what a history shows of each grant, by token.
+// grantEpochs returns what a history shows about each grant, by token.
 func grantEpochs(history []Operation) []grantEpoch {
 	highest := lease.Token(0)
 	for _, op := range history {
@@ -102,7 +103,7 @@
 	return epochs
 }
 
-// observe takes in an operation whose result has the epoch's token.
+// observe updates the epoch with an operation whose result has its token.
 func (e *grantEpoch) observe(op Operation) {
 	e.firstResult = min(e.firstResult, op.EndNanos)
 	if op.Result.Held {
@@ -115,10 +116,10 @@
 	}
 }
 
-// phasesPerToken is the number of phases that a lease passes under one token: held, released by its holder, and free.
+// phasesPerToken is the number of phases of a lease under one token: held, released by its holder, and free.
 const phasesPerToken = 3
 
-// phase returns how far the lease was when an operation took effect. Phases only rise.
+// phase returns the phase of the lease when an operation took effect. Phases never decrease.
 func phase(op Operation) int64 {
 	held := phasesPerToken * int64(op.Result.Token)
 	released, free := held+1, held+2
@@ -126,14 +127,14 @@
 	case op.Result.Held:
 		return held
 	case op.Command.Kind == lease.KindRelease && op.Result.OK:
-		return released // what found the lease free took effect later
+		return released // operations that found the lease free took effect after the release
 	}
 	return free
 }
 
-// separatePhases moves the operations of a history without contradictions to times on which those of one phase all come before those of the next, as
-// they do in any order that the history allows. Only operations of one phase, which do not change anything for each other, are left for the
-// search to order.
+// separatePhases shifts the times of operations so that all operations of one phase end before those of the next phase start, which is their order in
+// every linearization. The history must have no contradictions. The search then only has to order operations within a phase, which do not affect each
+// other.
 func separatePhases(history []Operation) []Operation {
 	first, last := int64(math.MaxInt64), int64(0)
 	for _, op := range history {
@@ -153,9 +154,10 @@
 	return separated
 }
 
-// contradicts reports whether the results alone show that there is no order: if two name different holders under one token, or if an operation that
-// was sent after the result of another had arrived shows an earlier phase of the lease. The search would find the same after it has tried all orders.
-func contradicts(history []Operation) bool {
+// hasContradiction reports whether the results alone show that no linearization exists: two results name different holders under one token, or an
+// operation that was sent after another one's result arrived shows an earlier phase of the lease. The search would find the same, but only after trying
+// all orders.
+func hasContradiction(history []Operation) bool {
 	holders := map[lease.Token]lease.Process{}
 	completed := slices.DeleteFunc(slices.Clone(history), func(op Operation) bool { return op.EndNanos == 0 })
 	for _, op := range completed {
@@ -181,23 +183,23 @@
 	return false
 }
 
-// leaseModel is the state of the lease in the sequential specification. There is only one lease, so that the token of a grant is the next.
+// leaseModel is the state of the lease in the sequential specification. With only one lease, each grant increases the token by one.
 type leaseModel struct {
 	Held   bool
 	Holder lease.Process
 	Token  lease.Token
 }
 
-// expired returns the state after the group has expired the lease.
+// expired returns the state after the group expires the lease.
 func (m leaseModel) expired() leaseModel { return leaseModel{Token: m.Token} }
 
-// outcome is one that a command may have: the state after it, and whether it took effect.
+// outcome is a possible outcome of a command: the state after it, and whether the command took effect.
 type outcome struct {
 	next leaseModel
 	ok   bool
 }
 
-// outcomes returns those that a command may have in a state. An acquisition of a free lease may be granted or queued.
+// outcomes returns the possible outcomes of a command in a state. An acquisition of a free lease may be granted or queued.
 func outcomes(m leaseModel, c lease.Command) []outcome {
 	isHolder := m.Held && m.Holder == c.Process
 	switch c.Kind {
@@ -217,7 +219,7 @@
 	return []outcome{{m, false}}
 }
 
-// allows reports whether an outcome agrees with the result of an operation. One without a result may have had any.
+// allows reports whether the outcome agrees with the result of an operation. Any outcome agrees with an operation without a result.
 func (o outcome) allows(op Operation) bool {
 	if op.EndNanos == 0 {
 		return true
@@ -227,8 +229,8 @@
 	return r.OK == o.ok && r.Token == o.next.Token && r.Held == o.next.Held && sameHolder
 }
 
-// statesAfter returns the states that an operation may lead to. The group may have expired the lease before it, and an operation without a
-// result may not have taken effect.
+// statesAfter returns the states that an operation may lead to. The group may have expired the lease before the operation, and an operation without
+// a result may not have taken effect.
 func statesAfter(m leaseModel, op Operation) []leaseModel {
 	before := []leaseModel{m}
 	if m.Held {
@@ -253,8 +255,8 @@
 	return after
 }
 
-// searchOrder searches for an order of a history: each operation takes effect once between its start and its end, and one without a result at any
-// time from its start on or never.
+// searchOrder searches for a linearization of a history: each operation takes effect once between its start and its end. An operation without a result
+// takes effect at any time after its start, or never.
 func searchOrder(history []Operation, timeout time.Duration) porcupine.CheckResult {
 	operations := make([]porcupine.Operation, 0, len(history))
 	for i, op := range history {
--- a/internal/testbed/leasetest/history_test.go
+++ b/internal/testbed/leasetest/history_test.go
@@ -15,7 +15,7 @@
 
 var fourProcesses = []lease.Process{{Node: 1, Incarnation: 1}, {Node: 2, Incarnation: 1}, {Node: 3, Incarnation: 1}, {Node: 4, Incarnation: 1}}
 
-// The check of a history, and the search alone, detect what no lease may do.
+// checkHistory, and searchOrder alone, reject histories that violate the lease.
 func TestIllegalHistories(t *testing.T) {
 	a, b := lease.Process{Node: 1, Incarnation: 1}, lease.Process{Node: 2, Incarnation: 1}
 	acquire := func(start, end int64, process lease.Process, token lease.Token, ok bool, holder lease.Process) Operation {
@@ -31,7 +31,7 @@
 	}{
 		"one after the other":        {[]Operation{acquire(1, 2, a, 1, true, a), acquire(3, 4, b, 1, false, a), acquire(5, 6, b, 2, true, b)}, porcupine.Ok},
 		"one token granted twice":    {[]Operation{acquire(1, 2, a, 1, true, a), acquire(3, 4, b, 1, true, b)}, porcupine.Illegal},
-		"a token that falls":         {[]Operation{acquire(1, 2, a, 1, true, a), acquire(3, 4, b, 2, true, b), acquire(5, 6, a, 1, true, a)}, porcupine.Illegal},
+		"a decreasing token":         {[]Operation{acquire(1, 2, a, 1, true, a), acquire(3, 4, b, 2, true, b), acquire(5, 6, a, 1, true, a)}, porcupine.Illegal},
 		"a stale result":             {[]Operation{acquire(1, 2, a, 1, true, a), acquire(3, 4, b, 2, true, b), acquire(5, 6, a, 1, false, a)}, porcupine.Illegal},
 		"a request without a result": {[]Operation{acquire(1, 0, a, 0, false, a), acquire(3, 4, b, 2, true, b)}, porcupine.Ok},
 	} {
@@ -43,8 +43,8 @@
 	}
 }
 
-// drawHistory draws a history of a lease. Operations take effect within their time, or have no result, and some of these take effect all the same. Now
-// and then a result is wrong.
+// drawHistory draws a history of a lease. Operations take effect between their start and their end. Some have no result, whether or not they take
+// effect, and some results are wrong.
 func drawHistory(t *rapid.T) []Operation {
 	processes := []lease.Process{{Node: 1, Incarnation: 1}, {Node: 2, Incarnation: 1}, {Node: 3, Incarnation: 2}}
 	kinds := []lease.Kind{lease.KindAcquire, lease.KindAcquire, lease.KindAcquire, lease.KindRenew, lease.KindRelease}
@@ -81,7 +81,7 @@
 	return history
 }
 
-// What the check does before its search changes no result, of linearizable histories and of others.
+// checkHistory, which transforms the history before its search, has the same result as the search alone for linearizable histories and for others.
 func TestCheckAgreesWithSearch(t *testing.T) {
 	const timeout = 20 * time.Second
 	seen := map[porcupine.CheckResult]int{}
@@ -98,7 +98,7 @@
 	}
 }
 
-// A long partition, with dozens of operations without a result, is checked fast. A search alone does not end.
+// The history of a long partition, with hundreds of operations without a result, is checked within testTimeout. The search alone does not end.
 func TestManyOperationsWithoutResult(t *testing.T) {
 	var history []Operation
 	now := int64(0)
@@ -123,11 +123,11 @@
 	}
 	history[len(history)-1].Result.Token = 3
 	if got := checkHistory(history, testTimeout); got != porcupine.Illegal {
-		t.Errorf("%v with a token that falls", got)
+		t.Errorf("%v with a decreasing token", got)
 	}
 }
 
-// Delayed results have the operations of many grants overlap, which is checked fast as well, whether the history is linearizable or not.
+// A history in which delayed results make the operations of many grants overlap is checked within testTimeout, whether it is linearizable or not.
 func TestManyOverlappingOperations(t *testing.T) {
 	var history []Operation
 	for token := range 8 {
@@ -145,7 +145,7 @@
 	if got := checkHistory(history, testTimeout); got != porcupine.Ok {
 		t.Errorf("%v of %d operations", got, len(history))
 	}
-	// All that can have granted the fifth token are sent only after a result has shown it.
+	// Move all acquisitions that can have been granted the fifth token to after a result that shows this token.
 	for i := range history {
 		if op := &history[i]; op.Result.Token == 5 && op.Result.OK {
 			op.StartNanos, op.EndNanos = op.StartNanos+400, op.EndNanos+400
--- a/internal/testbed/leasetest/process.go
+++ b/internal/testbed/leasetest/process.go
@@ -19,19 +19,19 @@
 	groupName = "proof"
 )
 
-// ProcessConfig is what a process of a round is started with, as JSON in its last argument.
+// ProcessConfig is the configuration of a process of a round. It is passed as JSON in the last argument.
 type ProcessConfig struct {
 	Voter          uint64        `json:"voter,omitempty"` // number of a replica, from 1; 0: a contender
 	Node           int           `json:"node"`            // number of the process in its round, from 0
 	ListenAddr     string        `json:"listen"`
-	ReplicaAddrs   []string      `json:"members"` // as this process reaches them
+	ReplicaAddrs   []string      `json:"members"` // addresses at which this process reaches the replicas, by replica
 	InitialVoters  int           `json:"founders,omitempty"`
 	DataDir        string        `json:"folder,omitempty"` // of a replica
 	TickInterval   time.Duration `json:"tick,omitempty"`
 	ResourceAddr   string        `json:"witness,omitempty"`
 	TTLMillis      float64       `json:"length,omitempty"`
 	Seed           uint64        `json:"seed"`
-	SkipLeaseCheck bool          `json:"blind,omitempty"` // a contender begins steps whether it may or not, to show what the check is worth
+	SkipLeaseCheck bool          `json:"blind,omitempty"` // a contender begins steps without checking its lease, as a control
 }
 
 // RunProcess runs a process of a round until it is killed or fails.
--- a/internal/testbed/leasetest/report.go
+++ b/internal/testbed/leasetest/report.go
@@ -12,35 +12,36 @@
 	"mintspring/internal/cluster/lease"
 )
 
-// maxSchedulingDelayMillis is how long a machine may keep a process waiting to count as one on which processes are not paused: half of what a
-// contender allows for a step. On a busier one, a contender may be paused between its check of the lease and its request.
+// maxSchedulingDelayMillis is the longest scheduling delay of a machine on which processes count as not paused: half of a contender's step allowance.
+// With longer delays, a contender may be paused between its check of the lease and its request.
 const maxSchedulingDelayMillis = stepAllowanceMillis / 2
 
 // checkTimeout bounds the check of a history.
 const checkTimeout = 10 * time.Second
 
-// Report is what the resource and the history check observed in a round.
+// Report holds the observations of the resource and the history check in a round.
 type Report struct {
 	Seed                  uint64
-	Steps                 int // that took effect
-	Rejected              int // steps rejected at their start or end for their token, or not ended
-	Overlaps              int // of steps that took effect
-	TokenRegressions      int // steps that took effect under a lower token than one before
+	Steps                 int // steps that took effect
+	Rejected              int // steps whose token was rejected at their start or end, or that did not end
+	Overlaps              int // steps that took effect and began before the end of the previous one
+	TokenRegressions      int // steps that took effect under a lower token than the previous one
 	Concurrent            int // steps that began while another was open, whether or not they took effect
 	Grants                int
 	Operations            int
 	Linearizable          bool
-	Inconclusive          bool    // the check of the history timed out, which proves nothing
-	SchedulingDelayMillis float64 // the longest that the machine kept the process of the test waiting
-	LongestIdleMillis     float64 // the longest time without a step
+	Inconclusive          bool    // the check of the history timed out
+	SchedulingDelayMillis float64 // longest scheduling delay of the test process
+	LongestIdleMillis     float64 // longest time without a step
 	Faults                int
-	FailedVoters          []string  // replicas that exited by themselves
-	FailoverMillis        []float64 // from the death of each holder to the next step that took effect, if nothing but holders is killed
-	FaultLog              []string  // in order
+	FailedVoters          []string  // replicas that exited without being killed
+	FailoverMillis        []float64 // with Config.KillHolders: from each kill of a holder to the start of the next step that took effect
+	FaultLog              []string  // injected faults, in order
 }
 
-// Passed reports whether nothing is wrong. Concurrent steps are wrong only if no process was paused, neither by the round nor by a busy machine: a
-// paused contender may have begun a step before. An inconclusive round has not passed.
+// Passed reports whether the round found no violation and no crash. Concurrent steps are a violation only if no process was paused, neither by the round
+// nor by a busy machine: a contender may begin a step after its lease has expired if it is paused after checking the lease. An inconclusive round does
+// not pass.
 func (r *Report) Passed(paused bool) bool {
 	paused = paused || r.SchedulingDelayMillis > maxSchedulingDelayMillis
 	return r.Overlaps == 0 && r.TokenRegressions == 0 && r.Linearizable && (paused || r.Concurrent == 0) && len(r.FailedVoters) == 0
@@ -102,7 +103,7 @@
 	return all
 }
 
-// decodeOperations decodes what one run of a contender has written. An operation that has a result was written twice.
+// decodeOperations decodes the output of one run of a contender. An operation with a result was written twice.
 func decodeOperations(output []byte) []Operation {
 	type key struct {
 		client     int
@@ -114,7 +115,7 @@
 	for decoder := json.NewDecoder(bytes.NewReader(output)); ; {
 		var op Operation
 		if decoder.Decode(&op) != nil {
-			return operations // the end, or a line that was cut short when the process was killed
+			return operations // the end, or a line that was truncated because the process was killed
 		}
 		k := key{op.Client, op.StartNanos, op.Command.Kind}
 		if i, ok := written[k]; ok {
--- a/internal/testbed/leasetest/resource.go
+++ b/internal/testbed/leasetest/resource.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/testbed/loopback"
 )
 
-// Lines between contenders and the resource: a request has a kind, the contender's number and its fencing token.
+// Protocol between contenders and the resource: a request is a line with its kind, the contender's number and the fencing token.
 const (
 	requestStart = "start"
 	requestEnd   = "end"
@@ -20,20 +20,20 @@
 	replyNo      = "no"
 )
 
-// Step is a step that a contender has begun at the resource. Times are on the resource's own clock.
+// Step is a step that a contender has requested at the resource. Times are on the resource's own clock.
 type Step struct {
 	Node        int
 	Token       lease.Token
 	StartMillis float64
 	EndMillis   float64 // 0: not ended
-	Rejected    bool    // at its start or at its end: a higher token had been seen by then
+	Rejected    bool    // at its start or its end, because of a higher token seen before, or not ended by its contender
 }
 
-// fencedResource is what the lease protects. It checks fencing tokens, and records all steps.
+// fencedResource is the resource that the lease protects. It checks fencing tokens, and records all steps.
 type fencedResource struct {
 	listener  net.Listener
 	startedAt time.Time
-	serving   sync.WaitGroup // goroutines of serve and serveConn, which end with the listener and with the contenders
+	serving   sync.WaitGroup // goroutines of serve, which ends with the listener, and serveConn, which ends with its contender
 
 	mu         sync.Mutex // guards the fields below
 	fence      lease.Fence
@@ -52,7 +52,7 @@
 	return r, nil
 }
 
-// close ends the resource once the contenders have ended, so that its record is complete.
+// close closes the listener and waits until all contenders have ended, so that the recorded steps are complete.
 func (r *fencedResource) close() {
 	_ = r.listener.Close() // it may be closed already
 	r.serving.Wait()
@@ -103,7 +103,7 @@
 	r.abandonStep(current)
 }
 
-// beginStep records the start of a step. It returns no step if the token is too low.
+// beginStep records the start of a step. It returns nil if the token is too low.
 func (r *fencedResource) beginStep(node int, token lease.Token) (step *Step, allowed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,7 +120,7 @@
 	return s, true
 }
 
-// endStep records the end of a step, which takes effect if the token is still the highest.
+// endStep records the end of a step. The step takes effect if its token is still the highest.
 func (r *fencedResource) endStep(s *Step, token lease.Token) (allowed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,14 +129,14 @@
 	return allowed
 }
 
-// abandonStep records that the contender of a step has died.
+// abandonStep records a step as rejected because its contender has ended, if there is one.
 func (r *fencedResource) abandonStep(s *Step) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.closeStep(s, true)
 }
 
-// closeStep ends a step, if there is one. The caller holds the mutex.
+// closeStep records the end of a step. A nil step is ignored. The caller holds the mutex.
 func (r *fencedResource) closeStep(s *Step, rejected bool) {
 	if s == nil {
 		return
@@ -145,8 +145,8 @@
 	delete(r.open, s)
 }
 
-// lastActor returns the contender that began the last step which was not rejected.
-func (r *fencedResource) lastActor() (node int, ok bool) {
+// lastStepNode returns the contender that began the latest step that was not rejected.
+func (r *fencedResource) lastStepNode() (node int, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for i := len(r.steps) - 1; i >= 0; i-- {
@@ -157,8 +157,8 @@
 	return 0, false
 }
 
-// delayUntilStep returns how long after a time the first step began that took effect.
-func (r *fencedResource) delayUntilStep(afterMillis float64) (millis float64, ok bool) {
+// millisUntilStep returns the time from afterMillis to the start of the next step that took effect.
+func (r *fencedResource) millisUntilStep(afterMillis float64) (millis float64, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, s := range r.steps {
--- a/internal/testbed/leasetest/round.go
+++ b/internal/testbed/leasetest/round.go
@@ -1,8 +1,8 @@
-// Package leasetest shows with real processes that two holders of a lease never act at once.
+// Package leasetest tests with real processes that two holders of a lease never act at the same time.
 //
-// A round runs the replicas of a consensus group and contenders for a lease, which are killed, paused and cut off from one another as a seed has it.
-// A fenced resource in the process of the test records the start and the end of each step that a contender takes, on its own clock. The results that
-// contenders received are checked for linearizability. Nothing depends on what a process says of itself but these.
+// A round runs the replicas of a consensus group and contenders for a lease. They are killed, paused and cut off from one another, as drawn from a
+// seed. A fenced resource in the test process records the start and the end of each step of a contender, on its own clock. The results that contenders
+// received are checked for linearizability. The verdict relies on the recorded steps and these results alone.
 package leasetest
 
 import (
@@ -19,48 +19,48 @@
 )
 
 const (
-	randomStream  = 41
-	tickInterval  = 20 * time.Millisecond // of replicas
-	minVoters     = 3                     // that membership changes leave
-	holderPoll    = 5                     // ms, while no contender has acted
-	failoverPoll  = 2                     // ms, until another contender acts
-	corruptRate   = 0.03
-	maxLossRate   = 0.2
-	maxDuplicates = 2
+	randomStream       = 41
+	tickInterval       = 20 * time.Millisecond // of the replicas
+	minVoters          = 3                     // replicas that a membership change leaves in the group, at least
+	holderPollMillis   = 5                     // poll interval until a contender has taken a step
+	failoverPollMillis = 2                     // poll interval until another contender takes a step
+	corruptRate        = 0.03
+	maxLossRate        = 0.2
+	maxDuplicates      = 2
 )
 
 // Config configures a round.
 type Config struct {
-	Argv           []string // that processes are started with, before their configuration
+	Argv           []string // command of the processes; the configuration is appended
 	Voters         int      // replicas that vote when the group is created
-	Spares         int      // further replicas: with some, replicas are added and removed
+	Spares         int      // further replicas; if there are any, replicas are added and removed
 	Contenders     int
 	Duration       time.Duration
 	TTL            time.Duration // of the lease
-	PauseProcesses bool          // processes are also paused
-	SkipLeaseCheck bool          // contenders begin steps whether they may or not
-	KillHolders    bool          // no fault is injected but that the holder is killed, again and again
+	PauseProcesses bool          // pause processes too
+	SkipLeaseCheck bool          // contenders begin steps without checking their lease, as a control
+	KillHolders    bool          // kill the holder repeatedly, and inject no other fault
 	Seed           uint64
 }
 
-// replicaCount returns the number of replicas, in the group or not.
+// replicaCount returns the number of replicas, whether in the group or not.
 func (c *Config) replicaCount() int { return c.Voters + c.Spares }
 
 func (c *Config) ttlMillis() float64 { return float64(c.TTL) / float64(time.Millisecond) }
 
-// round is a round in progress. Its nodes are the replicas and then the contenders.
+// round is a round in progress. Its nodes are the replicas, followed by the contenders.
 type round struct {
 	*faultrounds.Round[ProcessConfig]
 	config   Config
 	resource *fencedResource
-	admin    *replica.Client // that changes the membership
-	inGroup  []bool          // by replica, as requested last
+	admin    *replica.Client // requests membership changes
+	inGroup  []bool          // by replica, as last requested
 	report   Report
 }
 
-// RunRound runs one round and reports what was observed. An error means that the round could not be run.
+// RunRound runs one round and returns its report. An error means that the round could not be completed.
 func RunRound(ctx context.Context, config Config) (*Report, error) {
-	shared, err := faultrounds.New[ProcessConfig](faultrounds.Options{
+	base, err := faultrounds.New[ProcessConfig](faultrounds.Options{
 		Name:         "leases",
 		Argv:         config.Argv,
 		Nodes:        config.replicaCount() + config.Contenders,
@@ -70,7 +70,7 @@
 	if err != nil {
 		return nil, err
 	}
-	r := &round{Round: shared, config: config, report: Report{Seed: config.Seed}}
+	r := &round{Round: base, config: config, report: Report{Seed: config.Seed}}
 	defer r.close()
 	if err := r.setUp(); err != nil {
 		return nil, err
@@ -83,7 +83,7 @@
 	if err := ctx.Err(); err != nil {
 		return nil, err
 	}
-	r.close() // all processes have ended and the record is complete
+	r.close() // all processes have ended and the recorded steps are complete
 	r.evaluate()
 	return &r.report, nil
 }
@@ -121,7 +121,7 @@
 
 func (r *round) addContender(i int) {
 	n := r.Add(fmt.Sprintf("contender %d", i), r.processConfig(i))
-	n.MayExit = true // only what it does to the resource counts
+	n.MayExit = true // only the steps at the resource are checked
 }
 
 func (r *round) processConfig(i int) ProcessConfig {
@@ -138,7 +138,7 @@
 	}
 }
 
-// close ends all processes, and then the resource. It may be called again.
+// close ends all processes, and then the resource. It may be called more than once.
 func (r *round) close() {
 	r.Close()
 	if r.admin != nil {
@@ -153,7 +153,7 @@
 func (r *round) run(ctx context.Context) error {
 	schedulingDelay := faultrounds.MeasureSchedulingDelay()
 	defer func() { r.report.SchedulingDelayMillis = schedulingDelay() }()
-	r.Wait(ctx, 600, 300) // until a leader is elected and a contender holds the lease
+	r.Wait(ctx, 600, 300) // time to elect a leader and to grant the lease
 	if r.config.KillHolders {
 		return r.killHolders(ctx)
 	}
@@ -162,7 +162,7 @@
 		n := r.Nodes[r.Rand.IntN(len(r.Nodes))]
 		if r.config.Spares > 0 && r.Rand.IntN(2) == 0 {
 			r.changeMembership()
-			if r.Rand.IntN(2) == 0 { // otherwise the next fault happens during the change
+			if r.Rand.IntN(2) == 0 { // otherwise, the next fault is injected during the change
 				r.Wait(ctx, 0, r.config.ttlMillis()/2)
 			}
 		}
@@ -178,10 +178,10 @@
 
 type node = faultrounds.Node[ProcessConfig]
 
-// faults returns the faults to draw from; those that occur twice are twice as likely. Some of them affect the node that was drawn.
+// faults returns the faults to draw from. A fault that is listed twice is twice as likely. Some faults ignore the node that was drawn.
 func (r *round) faults() []func(ctx context.Context, n *node) error {
 	faults := []func(ctx context.Context, n *node) error{
-		r.restartNode, r.restartNode, r.restartReplicas, r.cutReplicas, r.cutContenders, r.muteReplicas, r.disturbLinks,
+		r.restartNode, r.restartNode, r.restartReplicas, r.cutReplicas, r.cutContenders, r.blockReplicaSends, r.disturbLinks,
 	}
 	if r.config.PauseProcesses {
 		faults = append(faults, r.pauseNode, r.pauseNode)
@@ -200,31 +200,31 @@
 }
 
 func (r *round) cutReplicas(ctx context.Context, _ *node) error {
-	some := r.RandomSubset(r.replicas())
-	r.LogFault("nodes %v are cut off from the other replicas", some)
-	r.cut(ctx, some)
+	subset := r.RandomSubset(r.replicaIndexes())
+	r.LogFault("nodes %v are cut off from the other replicas", subset)
+	r.partition(ctx, subset)
 	return nil
 }
 
 func (r *round) cutContenders(ctx context.Context, _ *node) error {
-	some := r.RandomSubset(r.contenders())
-	r.LogFault("nodes %v are cut off from all replicas", some)
-	r.cut(ctx, some)
+	subset := r.RandomSubset(r.contenderIndexes())
+	r.LogFault("nodes %v are cut off from all replicas", subset)
+	r.partition(ctx, subset)
 	return nil
 }
 
-// cut cuts some nodes off from all replicas that are not among them, in both directions.
-func (r *round) cut(ctx context.Context, some []int) {
-	others := faultrounds.Others(r.replicas(), some)
-	r.CutLinks(some, others)
-	r.CutLinks(others, some)
+// partition cuts the links, in both directions, between nodes and the replicas that are not among these nodes.
+func (r *round) partition(ctx context.Context, nodes []int) {
+	others := faultrounds.Complement(r.replicaIndexes(), nodes)
+	r.CutLinks(nodes, others)
+	r.CutLinks(others, nodes)
 	r.Wait(ctx, 300, 2*r.config.ttlMillis())
 }
 
-func (r *round) muteReplicas(ctx context.Context, _ *node) error {
-	some := r.RandomSubset(r.replicas())
-	r.LogFault("nodes %v receive and do not send", some)
-	r.CutLinks(some, r.all())
+func (r *round) blockReplicaSends(ctx context.Context, _ *node) error {
+	subset := r.RandomSubset(r.replicaIndexes())
+	r.LogFault("nodes %v receive and do not send", subset)
+	r.CutLinks(subset, r.nodeIndexes())
 	r.Wait(ctx, 200, 2*r.config.ttlMillis())
 	return nil
 }
@@ -232,7 +232,7 @@
 func (r *round) disturbLinks(ctx context.Context, _ *node) error {
 	r.LogFault("messages are lost, delayed, duplicated and corrupted")
 	ttl := r.config.ttlMillis()
-	r.DisturbLinks(r.all(), func() faultrelay.Link {
+	r.DisturbLinks(r.nodeIndexes(), func() faultrelay.Link {
 		return faultrelay.Link{
 			LossRate:         maxLossRate * r.Rand.Float64(),
 			JitterMs:         1.2 * ttl * r.Rand.Float64(),
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// changeMembership adds a spare replica to the group, or removes one of the initial voters. One that was removed could only return in a new
-// generation, and does not.
+// changeMembership adds a spare replica to the group, or removes one of the initial voters. It does not add a removed replica again, which would need a
+// new generation.
 func (r *round) changeMembership() {
 	var candidates []int
 	members := 0
@@ -280,26 +280,26 @@
 	}
 }
 
-// killHolders kills the holder while it acts, and restarts it after another contender has taken over.
+// killHolders kills the contender that took the latest step, and restarts it after another contender has taken a step.
 func (r *round) killHolders(ctx context.Context) error {
 	ttl := r.config.ttlMillis()
 	for ctx.Err() == nil {
-		holder, ok := r.resource.lastActor()
+		holder, ok := r.resource.lastStepNode()
 		if !ok {
-			r.Wait(ctx, holderPoll, 0)
+			r.Wait(ctx, holderPollMillis, 0)
 			continue
 		}
 		n := r.Nodes[holder]
 		r.LogFault("%s, which holds the lease, is killed", n.Name)
 		killedAt := r.resource.nowMillis()
 		r.Kill(n)
-		delay, ok := r.resource.delayUntilStep(killedAt)
+		failoverMillis, ok := r.resource.millisUntilStep(killedAt)
 		for !ok && ctx.Err() == nil {
-			r.Wait(ctx, failoverPoll, 0)
-			delay, ok = r.resource.delayUntilStep(killedAt)
+			r.Wait(ctx, failoverPollMillis, 0)
+			failoverMillis, ok = r.resource.millisUntilStep(killedAt)
 		}
 		if ok {
-			r.report.FailoverMillis = append(r.report.FailoverMillis, delay)
+			r.report.FailoverMillis = append(r.report.FailoverMillis, failoverMillis)
 		}
 		if err := r.Start(n); err != nil {
 			return err
@@ -309,17 +309,17 @@
 	return nil
 }
 
-func (r *round) all() []int { return indexes(0, len(r.Nodes)) }
+func (r *round) nodeIndexes() []int { return indexes(0, len(r.Nodes)) }
 
-func (r *round) replicas() []int { return indexes(0, r.config.replicaCount()) }
+func (r *round) replicaIndexes() []int { return indexes(0, r.config.replicaCount()) }
 
-func (r *round) contenders() []int { return indexes(r.config.replicaCount(), len(r.Nodes)) }
+func (r *round) contenderIndexes() []int { return indexes(r.config.replicaCount(), len(r.Nodes)) }
 
-// indexes returns the numbers from one up to another, without it.
-func indexes(from, to int) []int {
-	var all []int
-	for i := from; i < to; i++ {
-		all = append(all, i)
+// indexes returns the numbers from start up to but not including end.
+func indexes(start, end int) []int {
+	var numbers []int
+	for i := start; i < end; i++ {
+		numbers = append(numbers, i)
 	}
-	return all
+	return numbers
 }
--- a/internal/testbed/leasetest/round_test.go
+++ b/internal/testbed/leasetest/round_test.go
@@ -11,7 +11,7 @@
 	"mintspring/internal/testbed/processtest"
 )
 
-// processArgument has the test program run a process of a round in place of its tests.
+// processArgument is the argument that makes the test program run a process of a round instead of its tests.
 const processArgument = "lease-process"
 
 const testTTL = 400 * time.Millisecond
@@ -28,16 +28,16 @@
 	return report
 }
 
-// Five voters and four contenders through drawn faults: no two steps that take effect overlap, none has a lower token than one before it, none are
-// concurrent at all where no process is paused, and the history is linearizable.
+// Five voters and four contenders run under drawn faults. Steps that take effect neither overlap nor have a lower token than the previous one, the
+// history is linearizable, and no steps at all are concurrent unless processes are paused.
 func TestTwoHoldersNeverActAtOnce(t *testing.T) {
 	for seed := range uint64(4) {
-		freeze := seed%2 == 1
-		t.Run(fmt.Sprintf("seed %d, freezes %v", seed+1, freeze), func(t *testing.T) {
+		pause := seed%2 == 1
+		t.Run(fmt.Sprintf("seed %d, pauses %v", seed+1, pause), func(t *testing.T) {
 			t.Parallel()
-			report := runTestRound(t, Config{Duration: 5 * time.Second, PauseProcesses: freeze, Seed: seed + 1})
+			report := runTestRound(t, Config{Duration: 5 * time.Second, PauseProcesses: pause, Seed: seed + 1})
 			t.Logf("%d steps, %d rejected, %d concurrent, %d grants, %d operations", report.Steps, report.Rejected, report.Concurrent, report.Grants, report.Operations)
-			if !report.Passed(freeze) {
+			if !report.Passed(pause) {
 				t.Errorf("%+v", report)
 			}
 			if report.Steps == 0 {
@@ -47,7 +47,7 @@
 	}
 }
 
-// Replicas are added and removed while others are killed, cut off and muted.
+// The guarantees hold while replicas are added and removed, and others are killed, cut off or prevented from sending.
 func TestMembershipChanges(t *testing.T) {
 	t.Parallel()
 	report := runTestRound(t, Config{Duration: 6 * time.Second, Spares: 2, Seed: 12})
@@ -59,7 +59,7 @@
 	}
 }
 
-// The holder is killed, again and again: another contender acts soon after the lease has expired, and never at the same time.
+// After each kill of the holder, another contender takes a step within maxFailoverMillis, and no two steps overlap.
 func TestHolderDeaths(t *testing.T) {
 	const maxFailoverMillis = 2000
 	t.Parallel()
@@ -69,7 +69,7 @@
 	}
 	for _, millis := range report.FailoverMillis {
 		if millis > maxFailoverMillis+report.SchedulingDelayMillis {
-			t.Errorf("no contender acts for %.0f ms after a death, with a lease of %s", millis, testTTL)
+			t.Errorf("no contender took a step for %.0f ms after the holder was killed, with a lease of %s", millis, testTTL)
 		}
 	}
 }
--- a/internal/testbed/logrecorder/logrecorder.go
+++ b/internal/testbed/logrecorder/logrecorder.go
@@ -1,4 +1,4 @@
-// Package logrecorder records what a node or a process logs, for tests that wait for a line. Only test files may import it.
+// Package logrecorder records the log of a node or a process, for tests that wait for a line. Only test files may import it.
 package logrecorder
 
 import (
@@ -9,13 +9,14 @@
 )
 
 const (
-	// waitTimeout is how long WaitFor waits for a line; machines that run tests are busy.
+	// waitTimeout is how long WaitFor waits for a line. It is generous because machines that run tests may be busy.
 	waitTimeout = 10 * time.Second
-	// pollInterval is the time between two looks at what has been logged.
+	// pollInterval is how often WaitFor searches the log.
 	pollInterval = 2 * time.Millisecond
 )
 
-// Recorder is an io.Writer that can be read while it is written to. The zero value is ready to use, from any goroutine.
+// Recorder is an io.Writer that can be read while it is written to. The zero value is ready to use. Its methods may be called from any
+// goroutine, except for WaitFor.
 type Recorder struct {
 	mu   sync.Mutex // guards text
 	text strings.Builder
@@ -35,13 +36,12 @@
 	return r.text.String()
 }
 
-// WaitFor waits until a text has been logged. It fails the test when that takes too long, so that it has to be called from the
-// goroutine of the test.
+// WaitFor waits until a text has been logged, and fails the test after waitTimeout. It must be called from the goroutine of the test.
 func (r *Recorder) WaitFor(t *testing.T, text string) {
 	t.Helper()
 	for deadline := time.Now().Add(waitTimeout); !strings.Contains(r.String(), text); time.Sleep(pollInterval) {
 		if time.Now().After(deadline) {
-			t.Fatalf("%q was not logged within %v, but:\n%s", text, waitTimeout, r)
+			t.Fatalf("%q was not logged within %v. The log is:\n%s", text, waitTimeout, r)
 		}
 	}
 }
