--- a/internal/testbed/controlplanebench/drains.go
+++ b/internal/testbed/controlplanebench/drains.go
@@ -31,9 +31,11 @@
 
 // DrainResult summarizes the rounds of drains with one fault of a proxy's link.
 type DrainResult struct {
-	Fault    string
-	Rounds   int
-	MaxDelay time.Duration // longest time in a round from the control plane's first snapshot of the drain to the last request sent to the draining server
+	Fault  string
+	Rounds int
+	// MaxDelay is the longest time in a round from the control plane's first snapshot of the drain to the last request sent to the
+	// draining server.
+	MaxDelay time.Duration
 }
 
 // drainRounds assigns rounds to several goroutines and collects their results.
--- a/internal/testbed/idempotencytest/round_test.go
+++ b/internal/testbed/idempotencytest/round_test.go
@@ -44,7 +44,7 @@
 				t.Errorf("%+v", report)
 			}
 			if report.Answers[answerCompleted] < 20 || report.Answers[answerReplayed] < 20 || report.WipedDisks == 0 {
-				t.Errorf("too little happened:\n%s", strings.Join(report.Faults, "\n"))
+				t.Errorf("too few completed or replayed attempts, or no disk lost:\n%s", strings.Join(report.Faults, "\n"))
 			}
 		})
 	}
@@ -54,7 +54,7 @@
 func TestWithoutRecords(t *testing.T) {
 	report := runRound(t, Config{Members: 3, Duration: time.Second, Rate: 150, WithoutRecords: true, Seed: 9})
 	if report.DuplicateExecutions == 0 {
-		t.Error("nothing was executed twice")
+		t.Error("no operation was executed twice")
 	}
 }
 
@@ -73,10 +73,18 @@
 		"lost receipt":                  {[]attempt{newAttempt(1, 2, answerCompleted, "a"), newAttempt(3, 4, answerUnknown, "")}, porcupine.Illegal},
 		"replayed without an execution": {[]attempt{newAttempt(1, 2, answerNotExecuted, ""), newAttempt(3, 4, answerReplayed, "a")}, porcupine.Illegal},
 		"unknown before all attempts":   {[]attempt{newAttempt(1, 2, answerUnknown, ""), newAttempt(3, 4, answerCompleted, "a")}, porcupine.Illegal},
-		"paused, unknown, released":     {[]attempt{newAttempt(1, 9, answerNotExecuted, ""), newAttempt(3, 4, answerUnknown, ""), newAttempt(10, 11, answerCompleted, "a")}, porcupine.Ok},
-		"paused, unknown, completed":    {[]attempt{newAttempt(1, 9, answerCompleted, "a"), newAttempt(3, 4, answerUnknown, ""), newAttempt(10, 11, answerReplayed, "a")}, porcupine.Ok},
-		"replayed after no answer":      {[]attempt{newAttempt(1, 0, "", ""), newAttempt(3, 4, answerReplayed, "a"), newAttempt(5, 6, answerReplayed, "a")}, porcupine.Ok},
-		"replayed and then unknown":     {[]attempt{newAttempt(1, 0, "", ""), newAttempt(3, 4, answerReplayed, "a"), newAttempt(5, 6, answerUnknown, "")}, porcupine.Illegal},
+		"paused, unknown, released": {[]attempt{
+			newAttempt(1, 9, answerNotExecuted, ""), newAttempt(3, 4, answerUnknown, ""), newAttempt(10, 11, answerCompleted, "a"),
+		}, porcupine.Ok},
+		"paused, unknown, completed": {[]attempt{
+			newAttempt(1, 9, answerCompleted, "a"), newAttempt(3, 4, answerUnknown, ""), newAttempt(10, 11, answerReplayed, "a"),
+		}, porcupine.Ok},
+		"replayed after no answer": {[]attempt{
+			newAttempt(1, 0, "", ""), newAttempt(3, 4, answerReplayed, "a"), newAttempt(5, 6, answerReplayed, "a"),
+		}, porcupine.Ok},
+		"replayed and then unknown": {[]attempt{
+			newAttempt(1, 0, "", ""), newAttempt(3, 4, answerReplayed, "a"), newAttempt(5, 6, answerUnknown, ""),
+		}, porcupine.Illegal},
 	} {
 		if result := checkLinearizable(c.attempts, time.Second); result != c.want {
 			t.Errorf("%s: %v, want %v", name, result, c.want)
