--- a/internal/testbed/fakes/conn.go
+++ b/internal/testbed/fakes/conn.go
@@ -17,18 +17,18 @@
 type conn struct {
 	listener  *listener
 	netConn   *net.TCPConn
-	outgoing  chan []byte   // responses on their way to writeLoop
+	outgoing  chan []byte   // responses queued for writeLoop
 	closed    chan struct{} // closed by close
 	closeOnce sync.Once
-	overLimit bool // beyond the server's connections: commands on it are rejected
+	overLimit bool // opened beyond the server's connection limit: its commands are rejected
 
-	duplicateSent atomic.Bool // the last thing that happened on it is a late duplicate
+	duplicateSent atomic.Bool // a late duplicate was sent and no command was read since
 
-	pending []*pending // commands in their order; guarded by the fleet's mutex
+	pending []*pendingCommand // unanswered commands in the order of arrival; guarded by the fleet's mutex
 }
 
-// pending is a command whose response has its place in the order of the connection.
-type pending struct {
+// pendingCommand is a command without a response yet. Responses are sent in the order of the commands.
+type pendingCommand struct {
 	conn        *conn
 	execution   *servermodel.Execution
 	done        bool
@@ -51,7 +51,7 @@
 // close closes the connection; the fleet's mutex must not be held.
 func (c *conn) close() {
 	c.closeOnce.Do(func() {
-		_ = c.netConn.Close() // the peer sees its end whatever it says
+		_ = c.netConn.Close() // the peer sees the end even if this reports an error
 		close(c.closed)
 		c.listener.mu.Lock()
 		delete(c.listener.conns, c)
@@ -70,15 +70,15 @@
 func (c *conn) readLoop() {
 	defer c.close()
 	s := c.listener.server
-	in := &timestampReader{reader: c.netConn}
-	read := newRESPReader(in)
+	input := &timestampReader{reader: c.netConn}
+	read := newRESPReader(input)
 	if s.Origin {
-		read = newHTTPReader(in)
+		read = newHTTPReader(input)
 	}
 	for {
 		request, rawResponse, err := read()
 		if c.listener.isBlackholed() {
-			<-c.closed // what has come is lost, and nothing closes
+			<-c.closed // the command is lost, and the connection stays open
 			return
 		}
 		if err != nil {
@@ -88,7 +88,7 @@
 			return
 		}
 		c.duplicateSent.Store(false)
-		request.FirstByte, request.LastByte = in.take(NowMs())
+		request.FirstByte, request.LastByte = input.takeTimestamps(NowMs())
 		c.handle(request, rawResponse)
 	}
 }
@@ -99,14 +99,14 @@
 	f := s.fleet
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	p := &pending{conn: c, rawResponse: rawResponse}
+	p := &pendingCommand{conn: c, rawResponse: rawResponse}
 	c.pending = append(c.pending, p)
 	if rawResponse != nil {
 		c.complete(p)
 		return
 	}
 	now := NowMs()
-	f.deliverCompleted(now) // what has ended by now makes room first
+	f.deliverCompleted(now) // completed executions make room in the queue first
 	request.Node, request.NodeNotified = c.listener.node, s.notifiedOfStart(c.listener.node, now)
 	if c.overLimit {
 		p.execution = &servermodel.Execution{Request: request, Server: s.model.ID, Outcome: servermodel.Rejected, EndedAt: now}
@@ -118,7 +118,7 @@
 	}
 	if s.faults.DrawReset(f.rng) {
 		p.execution = f.cluster.Submit(now, s.model.ID, request, nil)
-		go c.reset() // it takes the lock that is held here
+		go c.reset() // separate goroutine: reset takes the lock that is held here
 		f.wakeUp()
 		return
 	}
@@ -127,8 +127,8 @@
 	f.wakeUp()
 }
 
-// complete responds to a command that has ended, once all before it have. Called with the fleet's lock held.
-func (c *conn) complete(p *pending) {
+// complete marks a command as done and sends all responses that no earlier command holds back. Called with the fleet's lock held.
+func (c *conn) complete(p *pendingCommand) {
 	p.done = true
 	for len(c.pending) > 0 && c.pending[0].done {
 		first := c.pending[0]
@@ -141,7 +141,7 @@
 	}
 }
 
-// respond sends the response to an execution, with whatever faults the server has now. Called with the fleet's lock held.
+// respond sends the response to an execution, subject to the server's current faults. Called with the fleet's lock held.
 func (c *conn) respond(e *servermodel.Execution) {
 	s := c.listener.server
 	encode := encodeRESP
@@ -168,7 +168,7 @@
 	}
 }
 
-// enqueue has bytes written. It does not block.
+// enqueue queues bytes for writeLoop without blocking. It resets the connection if the queue is full.
 func (c *conn) enqueue(b []byte) {
 	select {
 	case c.outgoing <- b:
--- a/internal/testbed/fakes/discovery.go
+++ b/internal/testbed/fakes/discovery.go
@@ -13,7 +13,7 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// Phases of a server, as discovery names them.
+// Phases of a server, with the names that discovery uses.
 const (
 	InService   = servermodel.InService
 	Terminating = servermodel.Terminating
@@ -23,7 +23,7 @@
 // Heartbeat is how often a watch receives an empty line while nothing changes.
 const Heartbeat = 2 * time.Second
 
-// NotificationDeadlineMs is when nodes count as notified of a change, whether or not it reached them, in ms.
+// NotificationDeadlineMs is the time after a change from which nodes count as notified, even if no update reached them.
 const NotificationDeadlineMs = 6000
 
 // Notification is an update about a server that discovery sent to a node.
@@ -31,12 +31,12 @@
 	AtMs      float64 // Unix ms
 	Node      servermodel.NodeID
 	Server    servermodel.ServerID
-	Name      string // under which it was listed
+	Name      string // the id under which the server was listed
 	Phase     string
 	StartedMs float64 // Unix ms; 0: long ago
 }
 
-// Discovery is a fake discovery service, at an address of its own for each node. Its methods may be called from any goroutine.
+// Discovery is a fake discovery service with a separate address for each node. Its methods may be called from any goroutine.
 type Discovery struct {
 	fleet *Fleet
 	done  chan struct{} // closed by close
@@ -53,7 +53,7 @@
 	changed       chan struct{} // closed and replaced at each change
 }
 
-// newDiscovery starts the service with all servers of the fleet in its list.
+// newDiscovery starts the service with all servers of the fleet listed as in service.
 func newDiscovery(f *Fleet, nodes int) (*Discovery, error) {
 	d := &Discovery{fleet: f, changed: make(chan struct{}), done: make(chan struct{})}
 	for _, s := range f.servers {
@@ -69,7 +69,7 @@
 	return d, nil
 }
 
-// listen serves a node at a new address. Called with the lock held, or before anybody else knows of d.
+// listen serves a node at a new address. Called with the lock held, or while no other goroutine uses d.
 func (d *Discovery) listen(node int) error {
 	l, err := loopback.Listen()
 	if err != nil {
@@ -93,7 +93,7 @@
 	return d.listeners[node].Addr().String()
 }
 
-// SetPhase changes the phase of a server in the list, under the id that it has now.
+// SetPhase publishes a phase of a server under its current id.
 func (d *Discovery) SetPhase(s *Server, phase string) {
 	name := s.ListedID()
 	d.fleet.mu.Lock()
@@ -106,7 +106,7 @@
 	d.notifyWatchers()
 }
 
-// notifyWatchers has all calls look at the state again. Called with the lock held.
+// notifyWatchers wakes all waiting calls, which then read the state again. Called with the lock held.
 func (d *Discovery) notifyWatchers() {
 	close(d.changed)
 	d.changed = make(chan struct{})
@@ -119,7 +119,7 @@
 	d.mu.Unlock()
 }
 
-// SetUnavailable makes every call fail and ends the watches, or has the service work again.
+// SetUnavailable makes every call fail and ends the watches, or makes the service available again.
 func (d *Discovery) SetUnavailable(unavailable bool) {
 	d.mu.Lock()
 	d.unavailable = unavailable
@@ -127,8 +127,8 @@
 	d.mu.Unlock()
 }
 
-// SetStalled delays all responses while connections stay open: calls are not answered, watches receive nothing. When the stall is
-// over they go on.
+// SetStalled starts or ends a stall. During a stall connections stay open, but calls get no response and watches receive nothing; they
+// continue when the stall ends.
 func (d *Discovery) SetStalled(stalled bool) {
 	d.mu.Lock()
 	d.stalled = stalled
@@ -136,14 +136,15 @@
 	d.mu.Unlock()
 }
 
-// SetClockOffset sets how far the clocks of servers are ahead of the nodes', in ms: starts that are listed from now on are so much later.
+// SetClockOffset sets by how many ms the servers' clocks are ahead of the nodes' clocks. Later updates list start times that are later by
+// this offset.
 func (d *Discovery) SetClockOffset(ms float64) {
 	d.mu.Lock()
 	d.clockOffset = ms
 	d.mu.Unlock()
 }
 
-// ResetRevision makes the revision start again from the beginning, as after a loss of the service's state.
+// ResetRevision restarts the revision numbers, as a service does that has lost its state.
 func (d *Discovery) ResetRevision() {
 	d.mu.Lock()
 	d.endpoints.ResetRevision(NowMs())
@@ -151,12 +152,12 @@
 	d.mu.Unlock()
 }
 
-// Relocate serves each node at another address. The old ones refuse connections.
+// Relocate serves each node at a new address. The old addresses refuse connections.
 func (d *Discovery) Relocate() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	for node := range d.listeners {
-		_ = d.httpServers[node].Close() // its listener refuses from here on whatever it says
+		_ = d.httpServers[node].Close() // the listener is closed even if this reports an error
 		if err := d.listen(node); err != nil {
 			return fmt.Errorf("moving the discovery service: %w", err)
 		}
@@ -164,7 +165,7 @@
 	return nil
 }
 
-// close ends the service and all calls. Closing it twice is fine.
+// close ends the service and all calls. It may be called more than once.
 func (d *Discovery) close() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -176,12 +177,12 @@
 	close(d.done)
 	for _, httpServer := range d.httpServers {
 		if httpServer != nil {
-			_ = httpServer.Close() // it ends whatever it says
+			_ = httpServer.Close() // the server ends even if this reports an error
 		}
 	}
 }
 
-// Notifications returns all notifications of nodes.
+// Notifications returns all notifications sent to nodes so far.
 func (d *Discovery) Notifications() []Notification {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -195,7 +196,7 @@
 	return d.callCount
 }
 
-// notifiedOfStart reports whether a node was notified of a server's start at a time.
+// notifiedOfStart reports whether a node was sent the given start time of a server.
 func (d *Discovery) notifiedOfStart(node servermodel.NodeID, server servermodel.ServerID, startedMs float64) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/testbed/fakes/discovery_test.go
+++ b/internal/testbed/fakes/discovery_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// poll gets the list at an address.
+// poll requests a URL of the discovery service.
 func poll(url string) (status int, list string, err error) {
 	response, err := http.Get(url)
 	if err != nil {
@@ -23,7 +23,7 @@
 
 func listURL(d *Discovery, node int) string { return "http://" + d.Addr(node) + membersPath }
 
-// watch reads the lines of a watch, which is closed when the test ends.
+// watch starts a watch and returns a scanner of its lines. The watch is closed when the test ends.
 func watch(t *testing.T, d *Discovery, node, from int) *bufio.Scanner {
 	t.Helper()
 	response, err := http.Get(fmt.Sprintf("%s?watch=1&from=%d", listURL(d, node), from))
@@ -80,7 +80,7 @@
 	}
 }
 
-// testReplacement has a server replaced by one with another id, of which node 0 is notified by a poll.
+// testReplacement replaces a server by one with another id. A poll notifies node 0 of it.
 func testReplacement(t *testing.T, fleet *Fleet, cache *Server) {
 	t.Helper()
 	d := fleet.Discovery
--- a/internal/testbed/fakes/discoveryhttp.go
+++ b/internal/testbed/fakes/discoveryhttp.go
@@ -11,14 +11,14 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// membersPath is where the list of servers is served.
+// membersPath is the URL path of the list of servers.
 const membersPath = "/catalog/members"
 
 // fullList is the revision that requests the full list instead of changes.
 const fullList = -1
 
-// dueMargin is added to the wait for a delayed change, so that it is due when the wait is over.
-const dueMargin = 100 * time.Microsecond
+// changeMargin is added to the wait for a delayed change, so that the change is due when the wait ends.
+const changeMargin = 100 * time.Microsecond
 
 // updateJSON is one line of the discovery protocol.
 type updateJSON struct {
@@ -38,7 +38,7 @@
 	UpSince  float64 `json:"up_since_ms"`
 }
 
-// handle answers one call of a node: a poll, or a watch until the node leaves or the service becomes unavailable.
+// handle serves one call of a node: a poll, or a watch that lasts until the node disconnects or the service becomes unavailable.
 func (d *Discovery) handle(node servermodel.NodeID, w http.ResponseWriter, r *http.Request) {
 	if !d.admit(w, r) {
 		return
@@ -47,7 +47,7 @@
 		d.mu.Lock()
 		line, _, _ := d.nextUpdate(node, fullList, NowMs())
 		d.mu.Unlock()
-		_, _ = w.Write(line) // a node that has left misses it
+		_, _ = w.Write(line) // fails only if the node has disconnected
 		return
 	}
 	from, err := strconv.ParseInt(r.URL.Query().Get("from"), 10, 64)
@@ -57,7 +57,7 @@
 	d.watch(node, from, w, r)
 }
 
-// admit counts a call and reports whether it is to be answered. One that is not has its response, or has ended.
+// admit counts a call and waits for the end of a stall. It returns false if the call has ended or was answered with an error.
 func (d *Discovery) admit(w http.ResponseWriter, r *http.Request) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,7 +72,7 @@
 	return true
 }
 
-// watch streams the changes after a revision.
+// watch streams the changes after a revision, and heartbeats between them.
 func (d *Discovery) watch(node servermodel.NodeID, from int64, w http.ResponseWriter, r *http.Request) {
 	flush := http.NewResponseController(w).Flush
 	for {
@@ -82,13 +82,13 @@
 			return
 		}
 		now := NowMs()
-		line, upTo, due := d.nextUpdate(node, from, now)
+		line, revision, nextChangeMs := d.nextUpdate(node, from, now)
 		changed, unavailable := d.changed, d.unavailable
 		d.mu.Unlock()
 		if unavailable {
 			return
 		}
-		from = upTo
+		from = revision
 		if line == nil {
 			line = []byte("\n")
 		}
@@ -98,21 +98,21 @@
 		if err := flush(); err != nil {
 			return
 		}
-		if !d.waitForChange(r, changed, heartbeatWait(due, now)) {
+		if !d.waitForChange(r, changed, quietTime(nextChangeMs, now)) {
 			return
 		}
 	}
 }
 
-// heartbeatWait returns how long a watch is quiet: until the next heartbeat, or until a delayed change is due.
-func heartbeatWait(dueMs, nowMs float64) time.Duration {
-	if math.IsInf(dueMs, 1) {
+// quietTime returns how long a watch sends nothing: until the next heartbeat, or until a delayed change is due.
+func quietTime(nextChangeMs, nowMs float64) time.Duration {
+	if math.IsInf(nextChangeMs, 1) {
 		return Heartbeat
 	}
-	return min(Heartbeat, msDuration(dueMs-nowMs)+dueMargin)
+	return min(Heartbeat, msDuration(nextChangeMs-nowMs)+changeMargin)
 }
 
-// waitForChange waits until something has changed or a time has passed; false: the call is over.
+// waitForChange waits until the state has changed or the time has passed. It returns false if the call has ended.
 func (d *Discovery) waitForChange(r *http.Request, changed <-chan struct{}, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -127,7 +127,8 @@
 	return true
 }
 
-// waitWhileStalled waits for the end of a stall; false: the call is over. Called with the lock held, which it releases meanwhile.
+// waitWhileStalled waits for the end of a stall. It returns false if the call has ended. Called with the lock held, which it releases while
+// it waits.
 func (d *Discovery) waitWhileStalled(r *http.Request) bool {
 	for d.stalled {
 		changed := d.changed
@@ -150,27 +151,27 @@
 // nextUpdate returns the line that a node receives now: the changes after a revision, or the whole list. It is nil where there is
 // nothing new. upTo is the revision that the node has then, and dueMs when the next delayed change is due, +Inf for none. Called
 // with the lock held.
-func (d *Discovery) nextUpdate(node servermodel.NodeID, from int64, nowMs float64) (line []byte, upTo int64, dueMs float64) {
-	updates, complete, upTo, dueMs := d.endpoints.ChangesSince(from, nowMs)
-	message := updateJSON{Revision: upTo, Complete: complete, Members: []memberJSON{}}
+func (d *Discovery) nextUpdate(node servermodel.NodeID, from int64, nowMs float64) (line []byte, revision int64, nextChangeMs float64) {
+	updates, complete, revision, nextChangeMs := d.endpoints.ChangesSince(from, nowMs)
+	message := updateJSON{Revision: revision, Complete: complete, Members: []memberJSON{}}
 	for _, u := range updates {
 		d.notifications = append(d.notifications, Notification{NowMs(), node, u.Server, u.Name, u.Phase, u.Started})
 		if complete && u.Phase == Terminated {
-			continue // a complete list says so by leaving it out
+			continue // a complete list omits terminated servers
 		}
 		message.Members = append(message.Members, d.fleet.servers[u.Server].memberJSON(node, u))
 	}
 	if len(message.Members) == 0 && !complete {
-		return nil, from, dueMs
+		return nil, from, nextChangeMs
 	}
 	line, err := json.Marshal(message)
 	if err != nil {
-		panic(fmt.Sprintf("encoding the list of servers: %v", err)) // plain numbers and texts always can be
+		panic(fmt.Sprintf("encoding the list of servers: %v", err)) // numbers and strings can always be encoded
 	}
-	return append(line, '\n'), upTo, dueMs
+	return append(line, '\n'), revision, nextChangeMs
 }
 
-// memberJSON is the server's entry in the list of a node.
+// memberJSON returns the server's entry in the list that a node receives.
 func (s *Server) memberJSON(node servermodel.NodeID, u servermodel.EndpointUpdate) memberJSON {
 	flavor := CacheKind
 	if s.Origin {
--- a/internal/testbed/fakes/fakes_test.go
+++ b/internal/testbed/fakes/fakes_test.go
@@ -13,10 +13,10 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// soon is how long a response on loopback may take.
-const soon = 150 * time.Millisecond
+// responseTimeout bounds the time of a response on loopback.
+const responseTimeout = 150 * time.Millisecond
 
-// startFleet starts two cache servers and their origin, which two nodes can talk to. The first cache has a copy of key "k".
+// startFleet starts two cache servers and their origin for two nodes. The first cache server has a copy of key "k".
 func startFleet(t *testing.T) (fleet *Fleet, cache, origin *Server) {
 	t.Helper()
 	config := servermodel.ServerConfig{
@@ -52,15 +52,15 @@
 	}
 }
 
-// exchange sends bytes on a new connection and returns all that comes back soon, with the error that ended it.
+// exchange sends bytes on a new connection. It returns all bytes received within responseTimeout, and the error that ended the reading.
 func exchange(t *testing.T, addr, text string) (string, error) {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", addr, soon)
+	c, err := net.DialTimeout("tcp", addr, responseTimeout)
 	if err != nil {
 		return "", err
 	}
 	defer closeOrFail(t, c)
-	setDeadline(t, c, soon)
+	setDeadline(t, c, responseTimeout)
 	if _, err := io.WriteString(c, text); err != nil {
 		return "", err
 	}
@@ -71,7 +71,7 @@
 	return string(received), err
 }
 
-// getCommand is a read of a cache server.
+// getCommand returns an encoded read command of a cache server.
 func getCommand(key, requestID string) string {
 	return fmt.Sprintf("*4\r\n$6\r\nKV.GET\r\n$%d\r\n%s\r\n$%d\r\n%s\r\n$12\r\nc=read,d=900\r\n", len(key), key, len(requestID), requestID)
 }
@@ -96,7 +96,7 @@
 		t.Errorf("a read of the origin: %q", text)
 	}
 	if text, _ = exchange(t, cache.Addr(1), getCommand("other", "q3")); !strings.HasPrefix(text, "*3\r\n$20\r\nother|0|") {
-		t.Errorf("what was read after a miss is not stored: %q", text)
+		t.Errorf("the value read from the origin after a miss is not stored at the cache: %q", text)
 	}
 	text, _ = exchange(t, origin.Addr(0),
 		"PUT /other HTTP/1.1\r\nHost: o\r\nReq-Id: q4\r\nReq-Extra: c=pay,d=900\r\nContent-Length: 2\r\n\r\nab")
@@ -115,10 +115,10 @@
 	}
 }
 
-// Each fault is what a node would see of it.
+// Each injected fault appears on the connection as the node is to see it.
 func TestFaults(t *testing.T) {
 	_, cache, _ := startFleet(t)
-	usual, _ := exchange(t, cache.Addr(0), getCommand("k", "q"))
+	fullResponse, _ := exchange(t, cache.Addr(0), getCommand("k", "q"))
 	for name, c := range map[string]struct {
 		faults Faults
 		ok     func(text string, err error) bool
@@ -126,7 +126,7 @@
 		"errors": {Faults{Errors: 1}, func(s string, _ error) bool { return strings.HasPrefix(s, "-ERR failed") }},
 		"reset":  {Faults{Reset: 1}, func(s string, err error) bool { return s == "" && errors.Is(err, syscall.ECONNRESET) }},
 		"truncated": {Faults{Truncated: 1}, func(s string, _ error) bool {
-			return strings.HasPrefix(s, "*3\r\n") && len(s) < len(usual)-5
+			return strings.HasPrefix(s, "*3\r\n") && len(s) < len(fullResponse)-5
 		}},
 		"corrupt":        {Faults{Corrupt: 1}, func(s string, _ error) bool { return strings.HasPrefix(s, "?3\r\n") }},
 		"duplicate":      {Faults{Duplicate: 1}, func(s string, _ error) bool { return strings.Count(s, "k|0|") == 2 }},
@@ -149,7 +149,7 @@
 	}
 }
 
-// open connects to a server as a node; the connection is closed when the test ends.
+// open connects to a server at a node's address. The connection is closed when the test ends.
 func open(t *testing.T, s *Server, node servermodel.NodeID) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", s.Addr(node))
@@ -160,7 +160,7 @@
 	return c
 }
 
-// readError returns why one byte could not be read within a while.
+// readError tries to read one byte within a time limit and returns the error.
 func readError(t *testing.T, c net.Conn, within time.Duration) error {
 	t.Helper()
 	setDeadline(t, c, within)
@@ -168,7 +168,7 @@
 	return err
 }
 
-// dialError returns why a connection did not come up.
+// dialError tries to connect to an address and returns the error.
 func dialError(t *testing.T, addr string, timeout time.Duration) error {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", addr, timeout)
@@ -178,15 +178,14 @@
 	return err
 }
 
-// A server that refuses, is dead, or is blackholed looks so to new connections and to open ones, for one node alone where that is
-// wanted.
+// A refusing, killed or blackholed server shows the corresponding errors on new and open connections. A blackhole can affect one node alone.
 func TestConnections(t *testing.T) {
 	fleet, cache, _ := startFleet(t)
 	c := open(t, cache, 0)
 	if err := cache.SetRefusing(true); err != nil {
 		t.Fatal(err)
 	}
-	if err := dialError(t, cache.Addr(0), soon); !errors.Is(err, syscall.ECONNREFUSED) {
+	if err := dialError(t, cache.Addr(0), responseTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("connecting to a server that refuses: %v", err)
 	}
 	if err := readError(t, c, 30*time.Millisecond); !isTimeout(err) {
@@ -208,21 +207,21 @@
 	t.Error("no connection beyond the limit is recorded as refused")
 }
 
-// testBlackhole makes a server silent for node 0, which has the open connection c.
+// testBlackhole makes a server unreachable for node 0, which has the open connection c.
 func testBlackhole(t *testing.T, cache *Server, c net.Conn) {
 	t.Helper()
 	cache.SetBlackholed(true, 0)
 	if err := readError(t, c, 30*time.Millisecond); !isTimeout(err) {
 		t.Errorf("an open connection to a blackholed server: %v", err)
 	}
-	if err := dialError(t, cache.Addr(0), soon); !isTimeout(err) {
+	if err := dialError(t, cache.Addr(0), responseTimeout); !isTimeout(err) {
 		t.Errorf("connecting to a blackholed server: %v", err)
 	}
 	if text, _ := exchange(t, cache.Addr(1), getCommand("k", "q")); !strings.Contains(text, "k|0|") {
-		t.Errorf("the server is silent for the other node too: %q", text)
+		t.Errorf("the server is unreachable for the other node too: %q", text)
 	}
 	cache.SetBlackholed(false)
-	if err := readError(t, c, soon); !errors.Is(err, syscall.ECONNRESET) {
+	if err := readError(t, c, responseTimeout); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("an open connection, once the server is reachable again: %v", err)
 	}
 	if text, err := exchange(t, cache.Addr(0), getCommand("k", "q")); !strings.Contains(text, "k|0|") {
@@ -239,10 +238,10 @@
 	}
 	time.Sleep(10 * time.Millisecond)
 	cache.Kill()
-	if err := readError(t, c, soon); !errors.Is(err, syscall.ECONNRESET) {
+	if err := readError(t, c, responseTimeout); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("an open connection to a server that is killed: %v", err)
 	}
-	if err := dialError(t, cache.Addr(1), soon); !errors.Is(err, syscall.ECONNREFUSED) {
+	if err := dialError(t, cache.Addr(1), responseTimeout); !errors.Is(err, syscall.ECONNREFUSED) {
 		t.Errorf("connecting to a server that was killed: %v", err)
 	}
 	if err := cache.Restart(false); err != nil {
@@ -251,13 +250,13 @@
 	if text, _ := exchange(t, cache.Addr(0), getCommand("k", "q")); !strings.Contains(text, "miss") {
 		t.Errorf("after a restart: %q", text)
 	}
-	if s := fleet.Snapshot(NowMs())[0]; !s.Up || !s.WarmingUp || s.Warmth > 0.5 {
+	if s := fleet.Snapshot(NowMs())[0]; !s.Up || !s.WarmingUp || s.CapacityShare > 0.5 {
 		t.Errorf("after a restart: %+v", s)
 	}
 }
 
-// A connection that entered the queue of an address in the moment in which that became unreachable is reset when it is back, as all are:
-// the server does not take what was sent on it, so long ago.
+// A connection can enter the accept queue at the moment in which the address becomes unreachable. It must be reset when the address is
+// reachable again, like all others, so that the server does not execute an outdated command.
 func TestQueuedConnectionIsResetOnceReachable(t *testing.T) {
 	fleet, cache, _ := startFleet(t)
 	l := cache.listeners[0]
@@ -273,7 +272,7 @@
 	}
 	cache.SetBlackholed(true, 0)
 	cache.SetBlackholed(false)
-	if err := readError(t, c, soon); !errors.Is(err, syscall.ECONNRESET) {
+	if err := readError(t, c, responseTimeout); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the connection: %v", err)
 	}
 	if all := fleet.Executions(); len(all) > 0 {
--- a/internal/testbed/fakes/fleet.go
+++ b/internal/testbed/fakes/fleet.go
@@ -1,9 +1,9 @@
-// Package fakes runs, on loopback sockets, all that a node talks to: cache servers (RESP2), their origin (HTTP/1.1) and the
-// discovery service. How servers behave is up to package servermodel; this package gives them sockets, injects faults into their
-// responses and connections, and records what happened.
+// Package fakes runs fakes of all services that a node talks to, on loopback sockets: cache servers (RESP2), their origin (HTTP/1.1) and
+// the discovery service. Package servermodel decides how servers behave; this package gives them sockets, injects faults into their
+// responses and connections, and records executions and connections.
 //
-// Each server listens on an address of its own for every node, as each node of the platform sees the others under addresses of its
-// own. So a record knows its node without asking it, and the network can fail for one node alone.
+// Each server listens on a separate address for every node, since each node of the platform sees the others under different addresses.
+// The address therefore identifies the node in each record, and the network can fail for one node alone.
 package fakes
 
 import (
@@ -16,13 +16,13 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// Kinds of servers, as discovery names them.
+// Kinds of servers, with the names that discovery uses.
 const (
 	CacheKind  = "box"
 	OriginKind = "origin"
 )
 
-// faultStream separates the random numbers of injected faults from others that are drawn under the same seed.
+// faultStream is the random number stream of injected faults. It keeps them independent of other draws from the same seed.
 const faultStream = 3
 
 // ServerSpec describes one server of a fleet.
@@ -31,7 +31,7 @@
 	Zone   string
 	Origin bool
 	Cell   int
-	Size   float64 // as discovery announces it
+	Size   float64 // in the entry that discovery lists
 	Config servermodel.ServerConfig
 }
 
@@ -40,11 +40,11 @@
 	Discovery *Discovery
 
 	servers []*Server     // the index is the server's ID
-	wake    chan struct{} // has run look at the model again
+	wake    chan struct{} // wakes run, which then advances the model
 	done    chan struct{} // closed by Close
 	running sync.WaitGroup
 
-	mu                  sync.Mutex // guards the fields below, and those of servers and connections that say so
+	mu                  sync.Mutex // guards the fields below, and the fields of servers and connections that are marked as guarded by it
 	cluster             *servermodel.Cluster
 	rng                 *rand.Rand // draws faults
 	connectionEvents    []ConnectionEvent
@@ -57,25 +57,25 @@
 	AtMs    float64 // Unix ms
 	Server  servermodel.ServerID
 	Node    servermodel.NodeID
-	Refused bool // beyond the limit of the server's connections
+	Refused bool // the server's connection limit was reached
 }
 
-// DuplicateDetection is a node's closing of a connection on which a duplicate response came late, before it sent anything more: by
-// then the node has seen that the server responds twice.
+// DuplicateDetection records that a node closed a connection after a late duplicate response and before it sent another command. By then
+// the node has seen that the server sends duplicate responses.
 type DuplicateDetection struct {
 	AtMs   float64 // Unix ms
 	Server servermodel.ServerID
 	Node   servermodel.NodeID
 }
 
-// NowMs returns the time that all fakes and nodes read, in Unix ms.
+// NowMs returns the current time in Unix ms, by the clock that the fakes and the nodes share.
 func NowMs() float64 { return float64(time.Now().UnixNano()) / 1e6 }
 
 // msDuration converts ms to a duration.
 func msDuration(ms float64) time.Duration { return time.Duration(ms * float64(time.Millisecond)) }
 
-// Start starts a fleet that the given number of nodes can talk to. Costs are those of request classes by name, values have
-// valueBytes, and chance follows the seed.
+// Start starts a fleet for the given number of nodes. costs holds the cost of each request class by name, values are valueBytes long, and
+// the seed determines all random choices.
 func Start(specs []ServerSpec, nodes int, costs map[string]servermodel.Cost, valueBytes int, seed uint64) (*Fleet, error) {
 	f := &Fleet{
 		cluster: servermodel.NewCluster(seed, costs), rng: rand.New(rand.NewPCG(seed, faultStream)),
@@ -104,7 +104,7 @@
 	return f, nil
 }
 
-// Close ends everything that the fleet has started. Closing it twice is fine.
+// Close stops all servers, the discovery service and their goroutines. It may be called more than once.
 func (f *Fleet) Close() {
 	f.mu.Lock()
 	wasClosed := f.closed
@@ -120,13 +120,13 @@
 	for _, server := range f.servers {
 		for _, l := range server.listeners {
 			l.close(true)
-			_ = l.port.Close() // a reservation that is given up cannot be of use to anybody
+			_ = l.port.Close() // the fleet no longer needs the reservation
 		}
 	}
 	f.running.Wait()
 }
 
-// Server returns a server by its name, nil for one that does not exist.
+// Server returns the server with a name, or nil if it does not exist.
 func (f *Fleet) Server(name string) *Server {
 	i := slices.IndexFunc(f.servers, func(s *Server) bool { return s.Name == name })
 	if i < 0 {
@@ -138,36 +138,36 @@
 // Servers returns all servers, the origin among them, in the order of their IDs.
 func (f *Fleet) Servers() []*Server { return f.servers }
 
-// Executions returns what came to the servers so far. The executions must not be changed, and are complete only after Close.
+// Executions returns all executions at the servers so far. They must not be changed, and are complete only after Close.
 func (f *Fleet) Executions() []*servermodel.Execution {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.cluster.Executions
 }
 
-// ConnectionEvents returns the connections so far.
+// ConnectionEvents returns all accepted and refused connections so far.
 func (f *Fleet) ConnectionEvents() []ConnectionEvent {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.connectionEvents
 }
 
-// DuplicateDetections returns those so far.
+// DuplicateDetections returns all detections of duplicates so far.
 func (f *Fleet) DuplicateDetections() []DuplicateDetection {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.duplicateDetections
 }
 
-// DiscardExecutions stops the recording of executions, for fleets that run for days.
+// DiscardExecutions stops the recording of executions, so that fleets that run for days do not run out of memory.
 func (f *Fleet) DiscardExecutions() {
 	f.mu.Lock()
 	f.cluster.RecordExecutions, f.cluster.Executions = false, nil
 	f.mu.Unlock()
 }
 
-// Collapses returns how often a server collapsed under overload, and the greatest share of the load of which the nodes are to blame:
-// at a cache what nodes sent that knew of its start, at the origin what came because cold caches missed.
+// Collapses returns how often a server collapsed under overload, and the greatest share of the load that the nodes caused: at a cache, the
+// load from nodes that were notified of its start; at the origin, the load from misses of cold caches.
 func (f *Fleet) Collapses(id servermodel.ServerID) (count int, blamedShare float64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -175,7 +175,7 @@
 	return s.Collapses, s.BlamedShare
 }
 
-// WarmCache stores copies of keys at a server, as if it had been running for long. The last key counts as the one used last.
+// WarmCache stores copies of keys at a server, as if it had run for a long time. The last key is the most recently used one.
 func (f *Fleet) WarmCache(s *Server, keys []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -184,10 +184,10 @@
 	}
 }
 
-// idleWait is how long run sleeps while nothing is in work.
+// idleWait is how long run sleeps if no event is due and nothing wakes it.
 const idleWait = time.Hour
 
-// run plays the model in real time until Close.
+// run advances the server model in real time until Close.
 func (f *Fleet) run() {
 	timer := time.NewTimer(idleWait)
 	defer timer.Stop()
@@ -210,7 +210,7 @@
 	}
 }
 
-// wakeUp has run look at the model again.
+// wakeUp makes run advance the model without waiting for its timer.
 func (f *Fleet) wakeUp() {
 	select {
 	case f.wake <- struct{}{}:
@@ -218,10 +218,10 @@
 	}
 }
 
-// deliverCompleted responds to what has ended, and closes the servers that have collapsed. Called with the lock held.
+// deliverCompleted sends the responses of completed executions, and closes the servers that have collapsed. Called with the lock held.
 func (f *Fleet) deliverCompleted(nowMs float64) {
 	for _, e := range f.cluster.Advance(nowMs) {
-		if p, ok := e.Tag.(*pending); ok && e.Outcome != servermodel.Killed {
+		if p, ok := e.Tag.(*pendingCommand); ok && e.Outcome != servermodel.Killed {
 			p.conn.complete(p)
 		}
 	}
@@ -229,14 +229,14 @@
 		if s.model.Collapsed && !s.down {
 			s.down = true
 			for _, l := range s.listeners {
-				go l.close(true) // it takes the lock that is held here
+				go l.close(true) // separate goroutine: close takes the lock that is held here
 			}
 		}
 	}
 }
 
-// recordConnection handles a connection to a server, and reports whether the server holds it.
-func (f *Fleet) recordConnection(s *Server, node servermodel.NodeID) (accepted bool) {
+// admitConnection records a new connection to a server, and reports whether it is within the server's connection limit.
+func (f *Fleet) admitConnection(s *Server, node servermodel.NodeID) (accepted bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	accepted = f.cluster.OpenConnection(s.model.ID)
@@ -251,30 +251,30 @@
 	f.duplicateDetections = append(f.duplicateDetections, DuplicateDetection{NowMs(), s.model.ID, node})
 }
 
-// ServerSnapshot is what can be seen of a server at one moment.
+// ServerSnapshot is the state of a server at one time.
 type ServerSnapshot struct {
 	Up, Collapsed, WarmingUp bool
-	BusyMs                   float64 // time that its cores have worked so far
-	Warmth                   float64 // share of its capacity that it has
+	BusyMs                   float64 // cumulative busy time of its cores
+	CapacityShare            float64 // current capacity as a share of that of a warm server
 	QueueLength, Connections int
 	Recovering               bool
 }
 
-// Snapshot looks at all servers at once.
+// Snapshot returns the states of all servers at one time.
 func (f *Fleet) Snapshot(nowMs float64) []ServerSnapshot {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return SnapshotServers(f.cluster, nowMs)
 }
 
-// SnapshotServers looks at all servers of a model.
+// SnapshotServers returns the states of all servers of a model.
 func SnapshotServers(cluster *servermodel.Cluster, nowMs float64) []ServerSnapshot {
 	out := make([]ServerSnapshot, 0, len(cluster.Servers))
 	for _, s := range cluster.Servers {
 		out = append(out, ServerSnapshot{
 			Up: s.Up, Collapsed: s.Collapsed, WarmingUp: s.WarmingUp(nowMs), BusyMs: s.BusyTime(nowMs),
-			Warmth:      s.Capacity(nowMs) / (float64(s.Config.Cores) * s.Config.Speed),
-			QueueLength: s.QueueLength(), Connections: s.Connections, Recovering: s.Recovering(nowMs),
+			CapacityShare: s.Capacity(nowMs) / (float64(s.Config.Cores) * s.Config.Speed),
+			QueueLength:   s.QueueLength(), Connections: s.Connections, Recovering: s.Recovering(nowMs),
 		})
 	}
 	return out
--- a/internal/testbed/fakes/listener.go
+++ b/internal/testbed/fakes/listener.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// backlog is the length of the queue of connections that were not accepted yet.
+	// backlog is the length of the accept queue.
 	backlog = 512
-	// backlogFillers is how many connections fill a queue of length 0; the kernel takes one or two more than its length.
+	// backlogFillers is the number of connections that fill an accept queue of length 0; the kernel queues one or two more than its length.
 	backlogFillers = 3
-	// fillTimeout is how long such a connection may take to come up before the queue counts as full.
+	// fillTimeout is the connect timeout of a filler, after which the accept queue counts as full.
 	fillTimeout = 20 * time.Millisecond
-	// acceptStopDelay is how long an accept loop takes at most to notice that its deadline has passed.
+	// acceptStopDelay is the longest time that an accept loop needs to end after its deadline has passed.
 	acceptStopDelay = 2 * time.Millisecond
-	// acceptRetryDelay is the time before another attempt when the process has no descriptor left.
+	// acceptRetryDelay is the pause before the next accept when the process has no file descriptors left or the peer has aborted.
 	acceptRetryDelay = time.Millisecond
 )
 
@@ -31,16 +31,16 @@
 type listener struct {
 	server *Server
 	node   servermodel.NodeID
-	port   *reservedport.Port // its address, also while it is closed
+	port   *reservedport.Port // keeps the address reserved while the listener is closed
 
 	mu          sync.Mutex       // guards the fields below
 	tcpListener *net.TCPListener // nil while it is closed
 	conns       map[*conn]struct{}
 	blackholed  bool
-	fillers     []net.Conn // connections that keep the queue of a blackholed listener full
+	fillers     []net.Conn // connections that keep the accept queue of a blackholed listener full
 }
 
-// newListener reserves an address and listens on it.
+// newListener reserves an address for a node at a server and listens on it.
 func newListener(s *Server, node servermodel.NodeID) (*listener, error) {
 	port, err := reservedport.Reserve()
 	if err != nil {
@@ -53,7 +53,7 @@
 	return l, nil
 }
 
-// open listens, always on the same address: a node may connect to it at once.
+// open listens on the reserved address, which stays the same. Nodes can connect when it returns.
 func (l *listener) open() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,15 +65,15 @@
 		return err
 	}
 	l.tcpListener = tcpListener
-	go l.acceptLoop(tcpListener) // ends with close and setBlackholed
+	go l.acceptLoop(tcpListener) // ended by close and by setBlackholed
 	return nil
 }
 
-// close accepts no more connections. With reset, those that are open are reset, as if the process were dead.
+// close stops accepting connections. With reset it also resets the open ones, as the kernel does when a process dies.
 func (l *listener) close(reset bool) {
 	l.mu.Lock()
 	if l.tcpListener != nil {
-		_ = l.tcpListener.Close() // the accept loop ends whatever it says
+		_ = l.tcpListener.Close() // the accept loop ends even if this reports an error
 		l.tcpListener = nil
 	}
 	l.closeFillers()
@@ -84,7 +84,7 @@
 	}
 }
 
-// closeFillers closes the connections that keep the queue full. Called with the lock held.
+// closeFillers closes the connections that keep the accept queue full. Called with the lock held.
 func (l *listener) closeFillers() {
 	for _, c := range l.fillers {
 		_ = c.Close() // nothing was ever sent on it
@@ -102,8 +102,8 @@
 	}
 }
 
-// setBlackholed makes the address silent, or has it work again. A full queue of connections that were not accepted makes the kernel
-// drop the packets with which new ones begin, so that they never come up, as with a machine that is unreachable.
+// setBlackholed makes the address unreachable, or reachable again. With a full accept queue the kernel drops the SYN packets of new
+// connections, so that they time out as with an unreachable machine.
 func (l *listener) setBlackholed(blackholed bool) {
 	l.mu.Lock()
 	tcpListener := l.tcpListener
@@ -129,9 +129,9 @@
 	go l.acceptLoop(tcpListener)
 }
 
-// resetQueue resets the connections that entered the queue of a listener as it stopped accepting.
+// resetQueue resets the connections that entered the accept queue while the listener stopped accepting.
 func resetQueue(tcpListener *net.TCPListener) {
-	_ = tcpListener.SetDeadline(time.Now().Add(acceptStopDelay)) // fails only if it is closed, which ends the loop too
+	_ = tcpListener.SetDeadline(time.Now().Add(acceptStopDelay)) // fails only if the listener is closed, which ends the loop too
 	for {
 		queued, err := tcpListener.AcceptTCP()
 		if err != nil {
@@ -142,24 +142,24 @@
 	}
 }
 
-// stopAccepting ends the accept loop of a listener that stays open, and leaves no room in its queue.
+// stopAccepting ends the accept loop without closing the listener, and sets the length of its accept queue to 0.
 func stopAccepting(tcpListener *net.TCPListener) {
 	_ = tcpListener.SetDeadline(time.Unix(1, 0)) // fails only if it is closed, which ends the loop too
 	setBacklog(tcpListener, 0)
 }
 
-// setBacklog sets the length of a listener's queue.
+// setBacklog sets the length of a listener's accept queue.
 func setBacklog(tcpListener *net.TCPListener, length int) {
 	raw, err := tcpListener.SyscallConn()
 	if err != nil {
 		return // it has been closed
 	}
 	_ = raw.Control(func(fd uintptr) {
-		_ = syscall.Listen(int(fd), length) // of a socket that listens already, it cannot fail
+		_ = syscall.Listen(int(fd), length) // cannot fail on a socket that is already listening
 	})
 }
 
-// fillBacklog fills the queue of a listener that does not accept.
+// fillBacklog fills the accept queue of a listener that no longer accepts.
 func (l *listener) fillBacklog() {
 	time.Sleep(acceptStopDelay)
 	for range backlogFillers {
@@ -173,7 +173,7 @@
 	}
 }
 
-// isBlackholed reports whether the address is silent.
+// isBlackholed reports whether the address is unreachable.
 func (l *listener) isBlackholed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,12 +191,12 @@
 			}
 			return
 		}
-		accepted := l.server.fleet.recordConnection(l.server, l.node)
+		accepted := l.server.fleet.admitConnection(l.server, l.node)
 		c := newConn(l, netConn, !accepted)
 		l.mu.Lock()
 		l.conns[c] = struct{}{}
 		l.mu.Unlock()
-		go c.writeLoop() // both end when the connection is closed
+		go c.writeLoop() // both goroutines end when the connection is closed
 		go c.readLoop()
 	}
 }
--- a/internal/testbed/fakes/protocol.go
+++ b/internal/testbed/fakes/protocol.go
@@ -13,16 +13,16 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// commandReader reads the next command of a connection. A command that needs no execution comes with its response.
+// commandReader reads the next command of a connection. For a command that needs no execution it returns the response.
 type commandReader func() (request servermodel.Request, rawResponse []byte, err error)
 
-// timestampReader notes when the first byte of a command came.
+// timestampReader records the time at which the first byte of a command was read.
 type timestampReader struct {
 	reader      io.Reader
-	firstByteMs float64 // 0: nothing was read since the last command
+	firstByteMs float64 // 0: no byte was read since the last command
 }
 
-// Read reads from the connection.
+// Read implements io.Reader.
 func (r *timestampReader) Read(b []byte) (int, error) {
 	n, err := r.reader.Read(b)
 	if n > 0 && r.firstByteMs == 0 {
@@ -31,9 +31,9 @@
 	return n, err
 }
 
-// take returns when the first and the last byte of the command that was read now came, and begins the next one. The first byte of a
-// command that was read together with the one before counts as coming now.
-func (r *timestampReader) take(nowMs float64) (firstByteMs, lastByteMs float64) {
+// takeTimestamps returns the times of the first and the last byte of the command that was just read, and resets them for the next command.
+// If a command was read together with the previous one, nowMs counts as the time of its first byte.
+func (r *timestampReader) takeTimestamps(nowMs float64) (firstByteMs, lastByteMs float64) {
 	firstByteMs = r.firstByteMs
 	if firstByteMs == 0 {
 		firstByteMs = nowMs
@@ -42,11 +42,11 @@
 	return firstByteMs, nowMs
 }
 
-// parseOptions reads the list of options that follows a key and a request ID: c is the class, k the idempotency key, d the time that
-// is left in ms.
+// parseOptions parses the options that follow a key and a request ID: c is the request class, k the idempotency key, d the time left until
+// the deadline in ms.
 func parseOptions(request *servermodel.Request, text string) {
-	for pair := range strings.SplitSeq(text, ",") {
-		name, value, _ := strings.Cut(pair, "=")
+	for option := range strings.SplitSeq(text, ",") {
+		name, value, _ := strings.Cut(option, "=")
 		switch name {
 		case "c":
 			request.Class = value
@@ -60,13 +60,13 @@
 	}
 }
 
-// Commands of cache servers, and how many words each has at least: the name, the key, the request id, options, and the value of a write.
+// Commands of cache servers and the least number of words in each: the name, the key, the request ID, the options, and the value of a write.
 const (
 	readCommand, readWords   = "KV.GET", 4
 	writeCommand, writeWords = "KV.SET", 5
 )
 
-// IsCacheRequest reports whether a command is a request to a cache server, with all words that it needs.
+// IsCacheRequest reports whether a command is a complete request to a cache server.
 func IsCacheRequest(words [][]byte) bool {
 	if len(words) == 0 {
 		return false
@@ -80,9 +80,9 @@
 	return false
 }
 
-// newRESPReader reads the commands of a cache server.
-func newRESPReader(in io.Reader) commandReader {
-	reader := redcon.NewReader(in)
+// newRESPReader returns a reader of the commands to a cache server.
+func newRESPReader(input io.Reader) commandReader {
+	reader := redcon.NewReader(input)
 	return func() (servermodel.Request, []byte, error) {
 		command, err := reader.ReadCommand()
 		if err != nil {
@@ -105,7 +105,7 @@
 	}
 }
 
-// encodeRESP returns the response of a cache server: its value, a note and its load report.
+// encodeRESP returns the response of a cache server: the value, a note (hit or miss) and the load report.
 func encodeRESP(e *servermodel.Execution) []byte {
 	switch e.Outcome {
 	case servermodel.Rejected, servermodel.Expired:
@@ -123,9 +123,9 @@
 	return redcon.AppendBulkString(b, e.Report)
 }
 
-// newHTTPReader reads the requests of an origin.
-func newHTTPReader(in io.Reader) commandReader {
-	reader := bufio.NewReader(in)
+// newHTTPReader returns a reader of the requests to an origin.
+func newHTTPReader(input io.Reader) commandReader {
+	reader := bufio.NewReader(input)
 	return func() (servermodel.Request, []byte, error) {
 		r, err := http.ReadRequest(reader)
 		if err != nil {
--- a/internal/testbed/fakes/protocol_test.go
+++ b/internal/testbed/fakes/protocol_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A request to a cache server is a read or a write with all of its words, in any case of the name, and nothing else.
+// Only a read or a write with all of its words is a request to a cache server. The case of the command name does not matter.
 func TestIsCacheRequest(t *testing.T) {
 	for text, want := range map[string]bool{
 		"KV.GET key id c=read":            true,
--- a/internal/testbed/fakes/server.go
+++ b/internal/testbed/fakes/server.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/testbed/servermodel"
 )
 
-// Server is one fake server on its sockets. Its methods may be called from any goroutine.
+// Server is one fake server with its sockets. Its methods may be called from any goroutine.
 type Server struct {
 	ServerSpec
 	fleet     *Fleet
@@ -19,17 +19,17 @@
 	down       bool
 	faults     Faults
 	startedMs  float64 // up_since_ms of discovery; 0: long ago
-	listedID   string  // the id under which discovery lists it, "" for its name
-	generation int     // how often it was replaced
+	listedID   string  // the id under which discovery lists it; "" means its name
+	generation int     // number of replacements
 }
 
-// ID returns the server's place in records.
+// ID returns the server's index in the fleet, which identifies it in records.
 func (s *Server) ID() servermodel.ServerID { return s.model.ID }
 
 // Addr returns the address at which a node reaches the server.
 func (s *Server) Addr(node servermodel.NodeID) string { return s.listeners[node].port.Addr() }
 
-// SetFaults sets what is wrong with the server from now on, in place of what was.
+// SetFaults replaces the faults that are injected at the server.
 func (s *Server) SetFaults(faults Faults) {
 	s.fleet.mu.Lock()
 	s.faults = faults
@@ -37,14 +37,14 @@
 	s.fleet.mu.Unlock()
 }
 
-// SetSlowdown makes the server's work take the given multiple of its usual time; 1 is as usual.
-func (s *Server) SetSlowdown(multiple float64) {
+// SetSlowdown multiplies the duration of the server's work by a factor; 1 restores the normal speed.
+func (s *Server) SetSlowdown(factor float64) {
 	s.fleet.mu.Lock()
-	s.fleet.cluster.SetSlowdown(s.model.ID, multiple)
+	s.fleet.cluster.SetSlowdown(s.model.ID, factor)
 	s.fleet.mu.Unlock()
 }
 
-// SetPaused pauses the server, or resumes it where it was. Its connections stay open.
+// SetPaused pauses or resumes the server's work. Its connections stay open.
 func (s *Server) SetPaused(paused bool) {
 	s.fleet.mu.Lock()
 	s.fleet.cluster.SetPaused(NowMs(), s.model.ID, paused)
@@ -63,7 +63,7 @@
 	}
 }
 
-// Restart starts the server's process again at its addresses: with an empty store and, unless it is to be warm, without most of its
+// Restart starts the server's process again at the same addresses with an empty store. A server that is not warm starts with reduced
 // capacity.
 func (s *Server) Restart(warm bool) error {
 	s.fleet.mu.Lock()
@@ -83,7 +83,7 @@
 	return cmp.Or(s.listedID, s.Name)
 }
 
-// AssignNewID gives the server an id that it never had, as a machine has that replaces another.
+// AssignNewID gives the server a new id, as if another machine had replaced it.
 func (s *Server) AssignNewID() {
 	s.fleet.mu.Lock()
 	s.generation++
@@ -91,7 +91,7 @@
 	s.fleet.mu.Unlock()
 }
 
-// SetRefusing makes the server refuse new connections, or accept them again. Those that are open stay so.
+// SetRefusing makes the server refuse new connections, or accept them again. Open connections stay open.
 func (s *Server) SetRefusing(refusing bool) error {
 	if !refusing {
 		return s.openListeners("accepting connections again at server")
@@ -102,18 +102,18 @@
 	return nil
 }
 
-// openListeners has the server accept connections; doing says what for in an error.
-func (s *Server) openListeners(doing string) error {
+// openListeners makes the server accept connections. operation begins the error message.
+func (s *Server) openListeners(operation string) error {
 	for _, l := range s.listeners {
 		if err := l.open(); err != nil {
-			return fmt.Errorf("%s %s: %w", doing, s.Name, err)
+			return fmt.Errorf("%s %s: %w", operation, s.Name, err)
 		}
 	}
 	return nil
 }
 
-// SetBlackholed makes the server silent for some nodes, for all if none is named: open connections stay open and carry nothing, and
-// new ones do not come up. When it is reachable again, the connections that it had are reset.
+// SetBlackholed makes the server unreachable, or reachable again, for the given nodes, or for all if none is given. While it is
+// unreachable, open connections carry no data and new ones time out. When it is reachable again, its open connections are reset.
 func (s *Server) SetBlackholed(blackholed bool, nodes ...servermodel.NodeID) {
 	for _, l := range s.listeners {
 		if len(nodes) == 0 || slices.Contains(nodes, l.node) {
@@ -129,7 +129,7 @@
 	}
 }
 
-// notifiedOfStart reports whether a node had been notified of the server's last start. Called with the fleet's lock held.
+// notifiedOfStart reports whether a node counts as notified of the server's last start. Called with the fleet's lock held.
 func (s *Server) notifiedOfStart(node servermodel.NodeID, nowMs float64) bool {
 	return s.startedMs == 0 || nowMs-s.startedMs > NotificationDeadlineMs ||
 		s.fleet.Discovery.notifiedOfStart(node, s.model.ID, s.startedMs)
