--- a/cmd/mintspring-bench/aliases.go
+++ b/cmd/mintspring-bench/aliases.go
@@ -2,7 +2,7 @@
 
 import "mintspring/internal/commandalias"
 
-// aliases are the old words of the command line that are still accepted.
+// aliases maps the former names of commands, flags and values, which are still accepted, to their current names.
 var aliases = commandalias.Table{
 	Commands: commandalias.Renames{
 		"ask":     "request",
@@ -22,7 +22,7 @@
 		"traced":  "trace-syscalls",
 	},
 	Subcommands: map[string]commandalias.Renames{
-		"trace-syscalls": {"refuse": "deny"}, // its mode
+		"trace-syscalls": {"refuse": "deny"}, // the mode argument
 	},
 	Flags: map[string]commandalias.Renames{
 		"adjustments": {"--for": "--duration"},
--- a/cmd/mintspring-bench/aliases_test.go
+++ b/cmd/mintspring-bench/aliases_test.go
@@ -11,13 +11,13 @@
 	"mintspring/internal/commandalias"
 )
 
-// newTestParser returns a parser of the program's command line that fails the test where the program would exit.
+// newTestParser returns a parser of the program's command line that fails the test instead of exiting the program.
 func newTestParser(t *testing.T) *kong.Kong {
 	t.Helper()
-	return newParser(&commandLine{}, kong.Exit(func(int) { t.Error("the parser ends the program") }))
+	return newParser(&commandLine{}, kong.Exit(func(int) { t.Error("the parser exits the program") }))
 }
 
-// Lines in old words are the lines in present ones, and the program's parser accepts both halves of what was replaced.
+// Command lines with former names resolve to the current names, and the program's parser accepts the resolved lines.
 func TestAliases(t *testing.T) {
 	for _, test := range []struct {
 		old, want string
@@ -72,52 +72,52 @@
 	return flags
 }
 
-// checkTargets checks that the present names of a table exist and that its old ones do not.
-func checkTargets(t *testing.T, what string, names commandalias.Renames, existing []string) {
+// checkAliasTargets checks that the current names of an alias table exist and that the former names do not.
+func checkAliasTargets(t *testing.T, context string, names commandalias.Renames, existing []string) {
 	t.Helper()
-	for old, present := range names {
-		if !slices.Contains(existing, present) {
-			t.Errorf("%s, alias %s: there is no %s", what, old, present)
+	for former, current := range names {
+		if !slices.Contains(existing, current) {
+			t.Errorf("%s, alias %s: its target %s does not exist", context, former, current)
 		}
-		if slices.Contains(existing, old) {
-			t.Errorf("%s: alias %s hides what there is", what, old)
+		if slices.Contains(existing, former) {
+			t.Errorf("%s: alias %s hides an existing name", context, former)
 		}
 	}
 }
 
-// Each name of the table leads to a command or flag that there is, and hides none.
+// Each alias resolves to an existing command or flag and does not hide another one.
 func TestAliasTargets(t *testing.T) {
 	flags := flagsByCommand(t)
-	checkTargets(t, "commands", aliases.Commands, slices.Collect(maps.Keys(flags)))
+	checkAliasTargets(t, "commands", aliases.Commands, slices.Collect(maps.Keys(flags)))
 	for command, names := range aliases.Flags {
-		checkTargets(t, command, names, flags[command])
+		checkAliasTargets(t, command, names, flags[command])
 	}
 	for command, values := range aliases.Values {
 		for flag := range values {
 			if !slices.Contains(flags[command], flag) {
-				t.Errorf("values of %s %s: there is no such flag", command, flag)
+				t.Errorf("values of %s %s: the flag does not exist", command, flag)
 			}
 		}
 	}
 }
 
-// Each former name of a command is replaced by a command that exists, with one line of warning, and nothing else is changed.
+// Each former name of a command is replaced by an existing command, with one line of warning. No other argument changes.
 func TestFormerCommands(t *testing.T) {
 	var commands []string
 	for _, node := range newTestParser(t).Model.Children {
 		commands = append(commands, node.Name)
 	}
-	for former, present := range aliases.Commands {
+	for former, current := range aliases.Commands {
 		var warnings strings.Builder
 		got := aliases.ResolveWithWarnings(programName, []string{former, "--seeds", "emulate"}, &warnings)
-		if want := []string{present, "--seeds", "emulate"}; !slices.Equal(got, want) {
+		if want := []string{current, "--seeds", "emulate"}; !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", former, got, want)
 		}
-		if text := warnings.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, present) {
+		if text := warnings.String(); strings.Count(text, "\n") != 1 || !strings.Contains(text, current) {
 			t.Errorf("%s: the warning is %q", former, text)
 		}
-		if !slices.Contains(commands, present) || slices.Contains(commands, former) {
-			t.Errorf("%s and %s among %v", former, present, commands)
+		if !slices.Contains(commands, current) || slices.Contains(commands, former) {
+			t.Errorf("want the command %s and not its former name %s among %v", current, former, commands)
 		}
 	}
 	for _, args := range [][]string{nil, {"run", "emulate"}, {"--help"}} {
--- a/cmd/mintspring-bench/common.go
+++ b/cmd/mintspring-bench/common.go
@@ -17,13 +17,13 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// mainProgram is how reports call the program that is judged, not a baseline.
+// mainProgram is the name in reports of the program under test, as opposed to a baseline.
 const mainProgram = "mintspring"
 
-// errInterrupted says that the user ended the program.
+// errInterrupted reports that the user interrupted the program.
 var errInterrupted = errors.New("interrupted")
 
-// siblingProgram returns where a program in the folder of this one is.
+// siblingProgram returns the path of a program in the folder of this executable, or the bare name if that folder is unknown.
 func siblingProgram(name string) string {
 	self, err := os.Executable()
 	if err != nil {
@@ -32,18 +32,18 @@
 	return filepath.Join(filepath.Dir(self), name)
 }
 
-// nodeProgram returns the node's program: the one that is named, or the one beside this program.
+// nodeProgram returns the path of the node's program: the given one, or the one in the folder of this executable by default.
 func nodeProgram(name string) (string, error) {
 	if name == "" {
 		name = siblingProgram("mintspring")
 	}
 	if _, err := os.Stat(name); err != nil {
-		return "", fmt.Errorf("the node's program: %w; make build makes it", err)
+		return "", fmt.Errorf("the node's program: %w; build it with make build", err)
 	}
 	return name, nil
 }
 
-// checkLoopback refuses addresses of other machines.
+// checkLoopback rejects addresses that are not on loopback.
 func checkLoopback(addr string) error {
 	if !strings.HasPrefix(addr, "127.") && !strings.HasPrefix(addr, "localhost:") && !strings.HasPrefix(addr, "[::1]:") {
 		return fmt.Errorf("%s is not a loopback address", addr)
@@ -51,7 +51,7 @@
 	return nil
 }
 
-// progress returns a function that shows how much of something is done on standard error; nil where that is no terminal.
+// progress returns a function that shows the completed share as a progress bar on standard error, or nil if that is not a terminal.
 func progress(description string) func(done float64) {
 	const steps = 1000
 	stat, err := os.Stderr.Stat()
@@ -65,7 +65,7 @@
 	}
 }
 
-// parseSeeds reads a seed, or A..B for the seeds from A to B. Without a text it is the file's own seed, which 0 stands for.
+// parseSeeds parses a single seed, or A..B for the seeds from A to B. An empty text means the experiment file's own seed, written as 0.
 func parseSeeds(text string) ([]uint64, error) {
 	const maxSeeds = 10_000
 	if text == "" {
@@ -87,14 +87,15 @@
 	return seeds, nil
 }
 
-// forEachParallel calls a function for every number below count, a limited number at a time or one for each core, until the context ends.
-func forEachParallel(ctx context.Context, count, jobs int, do func(i int), showProgress func(float64)) {
+// forEachParallel calls a function for each index below count, with at most jobs calls at a time (one per core if jobs is not above 0). It
+// starts no further call after the context ends.
+func forEachParallel(ctx context.Context, count, jobs int, call func(i int), showProgress func(float64)) {
 	if jobs <= 0 {
 		jobs = runtime.NumCPU()
 	}
 	var mu sync.Mutex // guards next and finished
 	next, finished := 0, 0
-	take := func() int {
+	nextIndex := func() int {
 		mu.Lock()
 		defer mu.Unlock()
 		next++
@@ -103,8 +104,8 @@
 	var workers sync.WaitGroup
 	for range min(jobs, count) {
 		workers.Go(func() {
-			for i := take(); i < count && ctx.Err() == nil; i = take() {
-				do(i)
+			for i := nextIndex(); i < count && ctx.Err() == nil; i = nextIndex() {
+				call(i)
 				mu.Lock()
 				if finished++; showProgress != nil {
 					showProgress(float64(finished) / float64(count))
@@ -116,7 +117,7 @@
 	workers.Wait()
 }
 
-// quantile returns the value below which a share of the values lies; 0 where there are none. It sorts them.
+// quantile sorts the values and returns the quantile at the given share, or 0 if there are no values.
 func quantile(values []float64, share float64) float64 {
 	if len(values) == 0 {
 		return 0
@@ -125,7 +126,7 @@
 	return values[min(len(values)-1, int(share*float64(len(values))))]
 }
 
-// printVerdict prints the result of a run.
+// printVerdict prints the verdict of a run.
 func printVerdict(v *experiment.Verdict, asJSON bool) error {
 	if asJSON {
 		text, err := v.JSON()
--- a/cmd/mintspring-bench/controlplane.go
+++ b/cmd/mintspring-bench/controlplane.go
@@ -13,10 +13,10 @@
 	"mintspring/internal/testbed/controlplanebench"
 )
 
-// maxDrain is the time within which a drain has to hold at all proxies.
-const maxDrain = 500 * time.Millisecond
+// maxDrainDelay is the longest time after a drain in which proxies may still send new requests to the drained endpoint.
+const maxDrainDelay = 500 * time.Millisecond
 
-// drainsCmd measures how soon drains hold at proxies.
+// drainsCmd measures how soon proxies stop sending new requests to a drained endpoint.
 type drainsCmd struct {
 	Rounds int `default:"200"`
 	Jobs   int `help:"Rounds at a time." default:"8"`
@@ -28,15 +28,15 @@
 	if err != nil {
 		return err
 	}
-	tooLong := 0
+	slowFaults := 0
 	for _, r := range results {
 		fmt.Printf("%-20s %4d rounds, the last new request %4d ms after the drain\n", r.Fault, r.Rounds, r.Longest.Milliseconds())
-		if r.Longest > maxDrain {
-			tooLong++
+		if r.Longest > maxDrainDelay {
+			slowFaults++
 		}
 	}
-	if tooLong > 0 {
-		return fmt.Errorf("over %v with %d of the faults", maxDrain, tooLong)
+	if slowFaults > 0 {
+		return fmt.Errorf("drains took longer than %v with %d of the faults", maxDrainDelay, slowFaults)
 	}
 	return nil
 }
@@ -66,8 +66,8 @@
 	return nil
 }
 
-// startProxyProcess starts proxies in a process of their own, so that the control plane's processor time is separate from theirs. It returns
-// what they print; the process ends with the context.
+// startProxyProcess starts proxies in a separate process, so that the control plane's CPU time is measured without theirs. It returns the
+// standard output of the process, which is killed when the context ends.
 func startProxyProcess(ctx context.Context, addr string, count int, incremental bool) (io.Reader, error) {
 	self, err := os.Executable()
 	if err != nil {
--- a/cmd/mintspring-bench/faultsearch.go
+++ b/cmd/mintspring-bench/faultsearch.go
@@ -17,15 +17,15 @@
 const (
 	// maxEvents bounds the simulation of a generated experiment.
 	maxEvents = 200_000_000
-	// maxBudget bounds how many are generated.
-	maxBudget = 100_000
-	// gapMargin is the difference of service from the oracle's that counts.
-	gapMargin = 0.02
-	// shrunkGapShare is the share of a scenario's gap that a smaller one has to have.
+	// maxExperiments bounds the number of generated experiments.
+	maxExperiments = 100_000
+	// significantGap is the least difference from the oracle's share within the latency objective that the summary counts.
+	significantGap = 0.02
+	// shrunkGapShare is the share of the original gap that a shrunk scenario must still show.
 	shrunkGapShare = 0.8
 )
 
-// searchCmd generates experiments, simulates them and shrinks the worst.
+// searchCmd generates experiments, simulates them and shrinks the worst ones.
 type searchCmd struct {
 	File           string `arg:"" optional:"" help:"Ranges to draw from; the default ones otherwise."`
 	Budget         int    `help:"Experiments to generate." default:"100"`
@@ -36,27 +36,27 @@
 	ShrinkAttempts int    `help:"How often a found experiment is played smaller." default:"40"`
 }
 
-// scenario is a generated experiment that was played, with the module and with the oracle.
+// scenario is a generated experiment with its results: with the node's own decisions, and with the oracle as a reference.
 type scenario struct {
-	experiment     *experiment.Experiment
-	service        float64 // share of the priority weight within its latency objective
-	oracleService  float64
-	recovery       float64 // s, or experiment.NeverRecovered
-	oracleRecovery float64
-	violations     []string // of the module
-	err            error
+	experiment           *experiment.Experiment
+	objectiveShare       float64 // share of the priority weight within its latency objective
+	oracleObjectiveShare float64
+	recovery             float64 // s, or experiment.NeverRecovered
+	oracleRecovery       float64
+	violations           []string // of invariants, without the oracle
+	err                  error
 }
 
-// gap returns how much better the oracle's service is.
-func (s *scenario) gap() float64 { return s.oracleService - s.service }
+// gap returns by how much the oracle's share within the latency objective is greater.
+func (s *scenario) gap() float64 { return s.oracleObjectiveShare - s.objectiveShare }
 
-// neverRecovers reports whether service does not come back where the oracle's does.
+// neverRecovers reports whether service does not recover although it does with the oracle.
 func (s *scenario) neverRecovers() bool {
 	return s.recovery == experiment.NeverRecovered && s.oracleRecovery != experiment.NeverRecovered
 }
 
-// isAsBadAs reports whether a smaller scenario still shows what another one did.
-func (s *scenario) isAsBadAs(original *scenario) bool {
+// reproduces reports whether a shrunk scenario still shows the violation, or most of the gap, of the original.
+func (s *scenario) reproduces(original *scenario) bool {
 	switch {
 	case s.err != nil:
 		return false
@@ -69,9 +69,9 @@
 // String describes the scenario in one line.
 func (s *scenario) String() string {
 	x := s.experiment
-	text := fmt.Sprintf("%s: %d nodes, %d caches, %.0f requests/s: in_slo %.3f, the reference %.3f", x.Name, x.Nodes.Count, x.CacheCount(), x.Load.Rate, s.service, s.oracleService)
+	text := fmt.Sprintf("%s: %d nodes, %d caches, %.0f requests/s: in_slo %.3f, the reference %.3f", x.Name, x.Nodes.Count, x.CacheCount(), x.Load.Rate, s.objectiveShare, s.oracleObjectiveShare)
 	if s.recovery == experiment.NeverRecovered {
-		text += ", not back"
+		text += ", not recovered"
 	}
 	if len(s.violations) > 0 {
 		text += "; BROKEN " + s.violations[0]
@@ -87,8 +87,8 @@
 	return text + "; " + cmp.Or(strings.Join(steps, ", "), "no fault")
 }
 
-// playScenario plays an experiment with the module and with the oracle.
-func playScenario(ctx context.Context, x *experiment.Experiment) *scenario {
+// runScenario simulates an experiment with the node's own decisions and with the oracle.
+func runScenario(ctx context.Context, x *experiment.Experiment) *scenario {
 	s := &scenario{experiment: x}
 	run, err := simulator.Play(ctx, x, simulator.Options{Program: mainProgram, MaxEvents: maxEvents})
 	if err != nil {
@@ -96,20 +96,20 @@
 		return s
 	}
 	v := run.Verdict(true)
-	s.service, s.violations, s.recovery = v.Figures["in_slo"], v.Violations, v.Figures["recovery_s"]
+	s.objectiveShare, s.violations, s.recovery = v.Figures["in_slo"], v.Violations, v.Figures["recovery_s"]
 	run, err = simulator.Play(ctx, x, simulator.Options{Program: oracleName, MaxEvents: maxEvents, NewPolicy: newPolicyFunc(oracleName)})
 	if err != nil {
 		s.err = fmt.Errorf("the reference: %w", err)
 		return s
 	}
 	v = run.Verdict(false)
-	s.oracleService, s.oracleRecovery = v.Figures["in_slo"], v.Figures["recovery_s"]
+	s.oracleObjectiveShare, s.oracleRecovery = v.Figures["in_slo"], v.Figures["recovery_s"]
 	return s
 }
 
 // Run implements the command.
 func (c *searchCmd) Run(ctx context.Context) error {
-	scenarios, err := c.playAll(ctx)
+	scenarios, err := c.generateAndRun(ctx)
 	if err != nil {
 		return err
 	}
@@ -133,8 +133,8 @@
 	return nil
 }
 
-// playAll generates and plays experiments.
-func (c *searchCmd) playAll(ctx context.Context) ([]*scenario, error) {
+// generateAndRun generates experiments and simulates them.
+func (c *searchCmd) generateAndRun(ctx context.Context) ([]*scenario, error) {
 	ranges := faultsearch.DefaultRanges()
 	if c.File != "" {
 		var err error
@@ -142,8 +142,8 @@
 			return nil, err
 		}
 	}
-	if c.Budget < 1 || c.Budget > maxBudget || c.From < 1 {
-		return nil, fmt.Errorf("--budget is wanted between 1 and %d, and --from above 0", maxBudget)
+	if c.Budget < 1 || c.Budget > maxExperiments || c.From < 1 {
+		return nil, fmt.Errorf("--budget must be between 1 and %d, and --from above 0", maxExperiments)
 	}
 	scenarios := make([]*scenario, c.Budget)
 	forEachParallel(ctx, c.Budget, c.Jobs, func(i int) {
@@ -153,7 +153,7 @@
 			scenarios[i] = &scenario{err: err, experiment: &experiment.Experiment{Name: fmt.Sprint("seed ", seed)}}
 			return
 		}
-		scenarios[i] = playScenario(ctx, x)
+		scenarios[i] = runScenario(ctx, x)
 	}, progress("search"))
 	if ctx.Err() != nil {
 		return nil, errInterrupted
@@ -161,27 +161,27 @@
 	return scenarios, nil
 }
 
-// printSummary prints how the module compares with the oracle.
+// printSummary prints how the results compare with the oracle's.
 func printSummary(scenarios []*scenario, violating int) {
-	behind, ahead, never := 0, 0, 0
+	worse, better, unrecovered := 0, 0, 0
 	sum := 0.0
 	for _, s := range scenarios {
 		sum += s.gap()
 		switch {
-		case s.gap() > gapMargin:
-			behind++
-		case s.gap() < -gapMargin:
-			ahead++
+		case s.gap() > significantGap:
+			worse++
+		case s.gap() < -significantGap:
+			better++
 		}
 		if s.neverRecovers() {
-			never++
+			unrecovered++
 		}
 	}
-	fmt.Printf("%d experiments: %d with an invariant violated, %d over %.2f behind the reference and %d ahead of it, on average %.3f behind; on %d service does not come back where the reference's does\n",
-		len(scenarios), violating, behind, gapMargin, ahead, sum/float64(len(scenarios)), never)
+	fmt.Printf("%d experiments: %d with an invariant violated, %d over %.2f behind the reference and %d ahead of it, on average %.3f behind; in %d service does not recover although the reference's does\n",
+		len(scenarios), violating, worse, significantGap, better, sum/float64(len(scenarios)), unrecovered)
 }
 
-// selectWorst returns the scenarios that violate a rule, and those that are furthest behind the oracle.
+// selectWorst returns all scenarios that violate an invariant, and up to Keep others with the largest gap to the oracle.
 func (c *searchCmd) selectWorst(scenarios []*scenario) []*scenario {
 	var worst []*scenario
 	for _, s := range scenarios {
@@ -200,14 +200,14 @@
 	return worst
 }
 
-// shrinkAll returns a smaller scenario for each one that still shows what it did.
+// shrinkAll returns, for each scenario, the smallest one found that reproduces it.
 func (c *searchCmd) shrinkAll(ctx context.Context, scenarios []*scenario) []*scenario {
 	smallest := make([]*scenario, len(scenarios))
 	forEachParallel(ctx, len(scenarios), c.Jobs, func(i int) {
 		smallest[i] = scenarios[i]
 		faultsearch.Shrink(scenarios[i].experiment, c.ShrinkAttempts, func(x *experiment.Experiment) bool {
-			s := playScenario(ctx, x)
-			if !s.isAsBadAs(scenarios[i]) {
+			s := runScenario(ctx, x)
+			if !s.reproduces(scenarios[i]) {
 				return false
 			}
 			smallest[i] = s
@@ -217,7 +217,7 @@
 	return smallest
 }
 
-// write writes the smallest scenarios as experiments and prints what was found.
+// write saves the shrunk scenarios as experiment files, and prints each found scenario with its shrunk one.
 func (c *searchCmd) write(found, smallest []*scenario) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return fmt.Errorf("creating the output directory: %w", err)
@@ -231,10 +231,10 @@
 			err = os.WriteFile(filepath.Join(c.Out, s.experiment.Name+".toml"), []byte(text), 0o644)
 		}
 		if err != nil {
-			return fmt.Errorf("writing what was found: %w", err)
+			return fmt.Errorf("writing a found experiment: %w", err)
 		}
 		fmt.Println(s)
-		fmt.Println("   least:", smallest[i])
+		fmt.Println("   shrunk:", smallest[i])
 	}
 	return nil
 }
--- a/cmd/mintspring-bench/gossip.go
+++ b/cmd/mintspring-bench/gossip.go
@@ -14,25 +14,25 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// How fleets of gossiping nodes are simulated. Times are ms.
+// Parameters of the simulated fleets.
 const (
-	gossipTickMs      = 50
-	joinStepMs        = 1000
-	maxJoinSteps      = 600
-	lossyJitterMs     = 20
-	lossySettleMs     = 10_000
-	deathStepMs       = 100
-	maxDeathMs        = 300_000
-	lyingServers      = 40
-	liarEvery         = 10 // one node in this many lies
-	lieIntervalMs     = 1000
-	liesPerServer     = 3
-	lieStepMs         = 100
-	lieSteps          = 600
-	msPerSecond       = 1000
-	secondsPerHour    = 3600
-	detectingShareNum = 9 // of detectingShareDen: nodes that have to know of a death
-	detectingShareDen = 10
+	gossipTickMs          = 50
+	joinStepMs            = 1000
+	maxJoinSteps          = 600
+	lossyJitterMs         = 20
+	lossySettleMs         = 10_000
+	detectionStepMs       = 100
+	maxDetectionMs        = 300_000
+	reportedServers       = 40
+	faultyNodeInterval    = 10 // one node in this many reports false failures
+	falseReportIntervalMs = 1000
+	falseReportsPerServer = 3
+	falseReportStepMs     = 100
+	falseReportSteps      = 600
+	msPerSecond           = 1000
+	secondsPerHour        = 3600
+	mostNodesNumerator    = 9 // with mostNodesDenominator, the share of nodes for mostAfterSeconds
+	mostNodesDenominator  = 10
 )
 
 // gossipCmd simulates the gossip of whole fleets.
@@ -44,10 +44,10 @@
 	FalseEvidence bool          `help:"Instead: a tenth of the nodes report failures of servers that work."`
 }
 
-// Run plays the gossip of whole fleets on a virtual clock, and prints a line for each size and loss.
+// Run simulates the gossip of whole fleets on a virtual clock, and prints one table row for each combination of size and loss.
 func (c *gossipCmd) Run(ctx context.Context) error {
 	if c.FalseEvidence {
-		return c.runLies(ctx)
+		return c.runFalseEvidence(ctx)
 	}
 	fmt.Println("| nodes | lost | a dead node is detected by nine in ten after s | by all after s | false deaths, a node and hour | datagrams, a node and second | bytes | ms of processor time, a node and second |")
 	fmt.Println("|---|---|---|---|---|---|---|---|")
@@ -56,13 +56,13 @@
 			if err := ctx.Err(); err != nil {
 				return err
 			}
-			c.printLine(size, loss)
+			c.measureAndPrint(size, loss)
 		}
 	}
 	return nil
 }
 
-// gossipFleet is a fleet of nodes that do nothing but gossip.
+// gossipFleet is a simulated fleet of nodes that only gossip and serve no requests.
 type gossipFleet struct {
 	*simnet.Network
 	nodes []*gossip.SimulatedNode
@@ -83,7 +83,7 @@
 	return f
 }
 
-// join plays until all nodes have found one another.
+// join advances the clock until each node knows all members, or until maxJoinSteps have passed.
 func (f *gossipFleet) join() {
 	for range maxJoinSteps {
 		if f.Run(joinStepMs); f.isComplete() {
@@ -92,7 +92,7 @@
 	}
 }
 
-// isComplete reports whether each node that is up knows all of them.
+// isComplete reports whether each node that is up knows all members of the fleet.
 func (f *gossipFleet) isComplete() bool {
 	for i, n := range f.nodes {
 		if f.Nodes[i].Up && n.MemberCount() < len(f.nodes) {
@@ -102,7 +102,7 @@
 	return true
 }
 
-// countDeaths returns how many deaths the nodes have found since the last call.
+// countDeaths returns how many times nodes have declared a member dead since the last call.
 func (f *gossipFleet) countDeaths() (deaths int) {
 	for _, n := range f.nodes {
 		for _, e := range n.DrainEvents() {
@@ -114,53 +114,54 @@
 	return deaths
 }
 
-// killFirst kills node 0, and returns after how many s nine in ten nodes know of it, and all; NaN for never.
-func (f *gossipFleet) killFirst() (mostAfter, allAfter float64) {
+// measureDeathDetection kills node 0. It returns the time until nine in ten of the other nodes have detected that, and until all have; NaN
+// means that it did not happen within maxDetectionMs.
+func (f *gossipFleet) measureDeathDetection() (mostAfterSeconds, allAfterSeconds float64) {
 	f.Kill(0)
 	killedAt := f.Now
 	others := len(f.nodes) - 1
-	mostAfter, allAfter = math.NaN(), math.NaN()
-	for f.Now-killedAt < maxDeathMs && math.IsNaN(allAfter) {
-		f.Run(deathStepMs)
-		known := 0
+	mostAfterSeconds, allAfterSeconds = math.NaN(), math.NaN()
+	for f.Now-killedAt < maxDetectionMs && math.IsNaN(allAfterSeconds) {
+		f.Run(detectionStepMs)
+		detecting := 0
 		for _, n := range f.nodes[1:] {
 			if !n.IsMember(0) {
-				known++
+				detecting++
 			}
 		}
-		after := (f.Now - killedAt) / msPerSecond
-		if math.IsNaN(mostAfter) && known >= (detectingShareNum*others+detectingShareDen-1)/detectingShareDen {
-			mostAfter = after
+		elapsedSeconds := (f.Now - killedAt) / msPerSecond
+		if math.IsNaN(mostAfterSeconds) && detecting >= (mostNodesNumerator*others+mostNodesDenominator-1)/mostNodesDenominator {
+			mostAfterSeconds = elapsedSeconds
 		}
-		if known == others {
-			allAfter = after
+		if detecting == others {
+			allAfterSeconds = elapsedSeconds
 		}
 	}
-	return mostAfter, allAfter
+	return mostAfterSeconds, allAfterSeconds
 }
 
-// printLine plays a fleet of a size with a share of datagrams lost, and prints what that costs and how soon a death is found.
-func (c *gossipCmd) printLine(size int, loss float64) {
+// measureAndPrint simulates a fleet with a share of datagrams lost, and prints its cost, its false deaths and how soon it detects a death.
+func (c *gossipCmd) measureAndPrint(size int, loss float64) {
 	f := newGossipFleet(size, c.Seed)
 	f.join()
 	f.Links.Set(f.NodeIndexes(), f.NodeIndexes(), func(l *faultrelay.Link) { l.LossRate, l.JitterMs = loss, lossyJitterMs })
 	f.Run(lossySettleMs)
-	f.countDeaths() // those so far do not count
+	f.countDeaths() // discards deaths from before the measurement
 	f.SentDatagrams, f.SentBytes = 0, 0
-	began, from := time.Now(), f.Now
+	wallStart, virtualStartMs := time.Now(), f.Now
 	f.Run(float64(c.Duration.Milliseconds()))
-	took := time.Since(began)
-	nodeSeconds := (f.Now - from) / msPerSecond * float64(size)
+	wallTime := time.Since(wallStart)
+	nodeSeconds := (f.Now - virtualStartMs) / msPerSecond * float64(size)
 	falseDeaths := f.countDeaths()
 	sent, bytes := float64(f.SentDatagrams)/nodeSeconds, float64(f.SentBytes)/nodeSeconds
-	mostAfter, allAfter := f.killFirst()
-	fmt.Printf("| %d | %.0f%% | %.1f | %.1f | %.3g (%d) | %.1f | %.0f | %.2f |\n", size, 100*loss, mostAfter, allAfter,
-		float64(falseDeaths)/nodeSeconds*secondsPerHour, falseDeaths, sent, bytes, float64(took.Milliseconds())/nodeSeconds)
+	mostAfterSeconds, allAfterSeconds := f.measureDeathDetection()
+	fmt.Printf("| %d | %.0f%% | %.1f | %.1f | %.3g (%d) | %.1f | %.0f | %.2f |\n", size, 100*loss, mostAfterSeconds, allAfterSeconds,
+		float64(falseDeaths)/nodeSeconds*secondsPerHour, falseDeaths, sent, bytes, float64(wallTime.Milliseconds())/nodeSeconds)
 }
 
-// runLies has a tenth of the nodes report failures of servers that work, each of a number of them, and prints for how many the threshold
-// of outlier detection is lowered.
-func (c *gossipCmd) runLies(ctx context.Context) error {
+// runFalseEvidence makes a tenth of the nodes report failures of a share of the healthy servers. It prints for how many servers a node
+// lowered its threshold of outlier detection because of those reports.
+func (c *gossipCmd) runFalseEvidence(ctx context.Context) error {
 	fmt.Println("| nodes | servers | accused by each faulty node | servers with a lower threshold at the worst node |")
 	fmt.Println("|---|---|---|---|")
 	for _, size := range c.Nodes {
@@ -170,51 +171,52 @@
 			}
 			f := newGossipFleet(size, c.Seed)
 			for i, n := range f.nodes {
-				n.SetServerCount(lyingServers)
-				if i%liarEvery == liarEvery-1 {
-					n.OnTick = lieAbout(n, int(share*lyingServers))
+				n.SetServerCount(reportedServers)
+				if i%faultyNodeInterval == faultyNodeInterval-1 {
+					n.OnTick = falseReporter(n, int(share*reportedServers))
 				}
 			}
-			worst := f.worstBias()
-			fmt.Printf("| %d | %d | %.0f%% | %d (%.0f%%) |\n", size, lyingServers, 100*share, worst, 100*float64(worst)/lyingServers)
+			worst := f.maxLoweredThresholds()
+			fmt.Printf("| %d | %d | %.0f%% | %d (%.0f%%) |\n", size, reportedServers, 100*share, worst, 100*float64(worst)/reportedServers)
 		}
 	}
 	return nil
 }
 
-// lieAbout returns a function that has a node report failures of a number of servers repeatedly.
-func lieAbout(n *gossip.SimulatedNode, servers int) func(now float64) {
-	next := 0.0
+// falseReporter returns a tick function with which a node periodically reports failures of the first servers of the list.
+func falseReporter(n *gossip.SimulatedNode, servers int) func(now float64) {
+	nextReportMs := 0.0
 	return func(now float64) {
-		if now < next {
+		if now < nextReportMs {
 			return
 		}
-		next = now + lieIntervalMs
+		nextReportMs = now + falseReportIntervalMs
 		for server := range servers {
-			for range liesPerServer {
+			for range falseReportsPerServer {
 				n.Observe(now, wire.HashName(strconv.Itoa(server)), true)
 			}
 		}
 	}
 }
 
-// worstBias plays the fleet, and returns for how many servers at once a node's threshold was lowered at most.
-func (f *gossipFleet) worstBias() (worst int) {
-	biased := make([]map[uint32]bool, len(f.nodes))
-	for i := range biased {
-		biased[i] = map[uint32]bool{}
+// maxLoweredThresholds runs the simulation and returns the greatest number of servers whose threshold was lowered at one node at the same
+// time.
+func (f *gossipFleet) maxLoweredThresholds() (worst int) {
+	lowered := make([]map[uint32]bool, len(f.nodes))
+	for i := range lowered {
+		lowered[i] = map[uint32]bool{}
 	}
-	for range lieSteps {
-		f.Run(lieStepMs)
+	for range falseReportSteps {
+		f.Run(falseReportStepMs)
 		for i, n := range f.nodes {
 			for _, change := range n.DrainOutlierChanges() {
 				if change.Bias > 0 {
-					biased[i][change.Server] = true
+					lowered[i][change.Server] = true
 				} else {
-					delete(biased[i], change.Server)
+					delete(lowered[i], change.Server)
 				}
 			}
-			worst = max(worst, len(biased[i]))
+			worst = max(worst, len(lowered[i]))
 		}
 	}
 	return worst
--- a/cmd/mintspring-bench/idempotency.go
+++ b/cmd/mintspring-bench/idempotency.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/testbed/idempotencytest"
 )
 
-// idempotencyCmd plays rounds of real processes with idempotency records.
+// idempotencyCmd runs fault-injection rounds of real processes with idempotency records.
 type idempotencyCmd struct {
 	Rounds    int           `help:"Rounds, one for each seed from the first on." default:"300"`
 	From      uint64        `help:"The first seed." default:"1"`
@@ -28,7 +28,7 @@
 	Simulate  bool          `help:"One round on a virtual clock, with any number of replicas: what it costs, and how soon a lost disk is made up for."`
 }
 
-// idempotencyProcessCmd is a process of a round.
+// idempotencyProcessCmd runs one process of a round.
 type idempotencyProcessCmd struct {
 	Config string `arg:""`
 }
@@ -36,7 +36,7 @@
 // Run implements the command.
 func (c *idempotencyProcessCmd) Run() error { return idempotencytest.RunMember(c.Config) }
 
-// Run plays rounds and says what was wrong in any.
+// Run runs the rounds, prints each one that failed, and prints totals.
 func (c *idempotencyCmd) Run(ctx context.Context) error {
 	if c.Simulate {
 		return c.simulate()
@@ -55,28 +55,28 @@
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	sum := idempotencySum{total: idempotencytest.Report{Answers: map[string]int{}}}
+	totals := idempotencyTotals{total: idempotencytest.Report{Answers: map[string]int{}}}
 	for _, r := range reports {
 		if r != nil {
-			sum.add(r)
+			totals.add(r)
 		}
 	}
-	sum.print()
-	if sum.failed > 0 {
-		return fmt.Errorf("%d of %d rounds failed", sum.failed, sum.rounds)
+	totals.print()
+	if totals.failed > 0 {
+		return fmt.Errorf("%d of %d rounds failed", totals.failed, totals.rounds)
 	}
 	return nil
 }
 
-// idempotencySum sums up rounds.
-type idempotencySum struct {
+// idempotencyTotals holds totals over rounds.
+type idempotencyTotals struct {
 	total          idempotencytest.Report
 	rounds, failed int
 	faults         int
 }
 
-// add adds a round. One that failed is printed.
-func (s *idempotencySum) add(r *idempotencytest.Report) {
+// add adds the report of a round, and prints it if the round failed.
+func (s *idempotencyTotals) add(r *idempotencytest.Report) {
 	s.rounds++
 	s.faults += len(r.Faults)
 	t := &s.total
@@ -98,8 +98,8 @@
 	}
 }
 
-// print prints the sum.
-func (s *idempotencySum) print() {
+// print prints the totals.
+func (s *idempotencyTotals) print() {
 	t := &s.total
 	fmt.Printf("%d rounds, %d faults, %d disks lost; %d operations, %d executions, %d of them duplicates; responses",
 		s.rounds, s.faults, t.WipedDisks, t.Operations, t.Executions, t.DuplicateExecutions)
@@ -111,7 +111,7 @@
 		quantile(t.CatchUpMs, 0.5), quantile(t.CatchUpMs, 1), t.Undecided)
 }
 
-// simulate plays one round on a virtual clock.
+// simulate runs one round on a virtual clock.
 func (c *idempotencyCmd) simulate() error {
 	const bytesPerKB = 1000
 	r := simcluster.SimulateLoad(c.Replicas, c.Rate, int(c.Duration/time.Second), c.From)
--- a/cmd/mintspring-bench/leases.go
+++ b/cmd/mintspring-bench/leases.go
@@ -12,10 +12,11 @@
 	"mintspring/internal/testbed/leasetest"
 )
 
-// maxSchedulingDelayMs is how long a machine may keep processes waiting for what went on at once to be judged, in ms.
+// maxSchedulingDelayMs is the longest scheduling delay with which concurrent steps of a round are still evaluated. On a busier
+// machine a contender may be paused between its lease check and its request, which makes its step a concurrent one.
 const maxSchedulingDelayMs = 20
 
-// leasesCmd plays rounds of real processes that compete for one lease.
+// leasesCmd runs fault-injection rounds of real processes that compete for one lease.
 type leasesCmd struct {
 	Rounds      int           `help:"Rounds, one for each seed from the first on." default:"200"`
 	From        uint64        `help:"The first seed." default:"1"`
@@ -29,7 +30,7 @@
 	Unchecked   bool          `help:"Contenders do not check their lease before a step: what that is worth."`
 }
 
-// leaseProcessCmd is a process of a round.
+// leaseProcessCmd runs one process of a round.
 type leaseProcessCmd struct {
 	Config string `arg:""`
 }
@@ -37,10 +38,10 @@
 // Run implements the command.
 func (c *leaseProcessCmd) Run() error { return leasetest.RunProcess(c.Config) }
 
-// freezesProcesses reports whether processes are frozen in the round of a seed: in every other one.
+// freezesProcesses reports whether the round of a seed freezes processes. Every other round does, unless holders are killed instead.
 func (c *leasesCmd) freezesProcesses(seed uint64) bool { return seed%2 == 0 && !c.KillHolders }
 
-// Run plays rounds and says what was wrong in any.
+// Run runs the rounds, prints each one that failed, and prints totals.
 func (c *leasesCmd) Run(ctx context.Context) error {
 	self, err := os.Executable()
 	if err != nil {
@@ -57,34 +58,34 @@
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
-	var sum leaseSum
+	var totals leaseTotals
 	for _, r := range reports {
 		if r != nil {
-			sum.add(r, c.freezesProcesses(r.Seed))
+			totals.add(r, c.freezesProcesses(r.Seed))
 		}
 	}
-	if len(sum.idleMillis) == 0 {
+	if len(totals.idleMillis) == 0 {
 		return errInterrupted
 	}
-	sum.print()
-	if sum.failed > 0 {
-		return fmt.Errorf("%d of %d rounds failed", sum.failed, len(sum.idleMillis))
+	totals.print()
+	if totals.failed > 0 {
+		return fmt.Errorf("%d of %d rounds failed", totals.failed, len(totals.idleMillis))
 	}
 	return nil
 }
 
-// leaseSum sums up rounds.
-type leaseSum struct {
-	total          leasetest.Report
-	failed, busy   int
-	inconclusive   int
-	concurrent     int       // steps in rounds with frozen processes
-	idleMillis     []float64 // the longest time without a step, by round
-	failoverMillis []float64
+// leaseTotals holds totals over rounds.
+type leaseTotals struct {
+	total              leasetest.Report
+	failed, overloaded int
+	inconclusive       int
+	concurrentSteps    int       // concurrent steps in rounds that freeze processes
+	idleMillis         []float64 // the longest time without a step in each round
+	failoverMillis     []float64
 }
 
-// add adds a round. One that failed is printed.
-func (s *leaseSum) add(r *leasetest.Report, freezes bool) {
+// add adds the report of a round, and prints it if the round failed.
+func (s *leaseTotals) add(r *leasetest.Report, freezes bool) {
 	s.total.Steps += r.Steps
 	s.total.Rejected += r.Rejected
 	s.total.Grants += r.Grants
@@ -93,13 +94,13 @@
 	s.idleMillis = append(s.idleMillis, r.LongestIdleMillis)
 	s.failoverMillis = append(s.failoverMillis, r.FailoverMillis...)
 	if freezes {
-		s.concurrent += r.Concurrent
+		s.concurrentSteps += r.Concurrent
 	}
 	if r.Inconclusive {
 		s.inconclusive++
 	}
 	if !freezes && r.SchedulingDelayMillis > maxSchedulingDelayMs {
-		s.busy++
+		s.overloaded++
 	}
 	if !r.Passed(freezes) {
 		s.failed++
@@ -108,8 +109,8 @@
 	}
 }
 
-// print prints the sum.
-func (s *leaseSum) print() {
+// print prints the totals.
+func (s *leaseTotals) print() {
 	slices.Sort(s.idleMillis)
 	slices.Sort(s.failoverMillis)
 	idle, failover := s.idleMillis, s.failoverMillis
@@ -120,8 +121,8 @@
 			len(failover), failover[len(failover)/2], failover[len(failover)*99/100], failover[len(failover)-1])
 	}
 	fmt.Printf("where processes were frozen, %d steps began while one of a frozen process was open; the checker was inconclusive in %d rounds, which counts as failed\n",
-		s.concurrent, s.inconclusive)
-	if s.busy > 0 {
-		fmt.Printf("in %d rounds without frozen processes the machine was too busy, so concurrent steps are not evaluated there\n", s.busy)
+		s.concurrentSteps, s.inconclusive)
+	if s.overloaded > 0 {
+		fmt.Printf("in %d rounds without frozen processes the machine was too busy, so concurrent steps are not evaluated there\n", s.overloaded)
 	}
 }
--- a/cmd/mintspring-bench/main.go
+++ b/cmd/mintspring-bench/main.go
@@ -1,5 +1,5 @@
-// Command mintspring-bench runs fake servers, load and experiments on loopback addresses, and whole fleets on a virtual clock. It exits with
-// 1 when something failed or fell short of what is expected.
+// Command mintspring-bench runs fake servers, load and experiments on loopback addresses, and simulates whole fleets on a virtual clock. It
+// exits with status 1 when a run fails or does not meet its expectations.
 package main
 
 import (
@@ -12,10 +12,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// programName is how the program calls itself.
+// programName is the program's name in messages.
 const programName = "mintspring-bench"
 
-// commandLine is the commands. Their names are those of the fields; aliases has their old names.
+// commandLine holds the commands. Kong derives the name of each command from its field; aliases has the former names.
 type commandLine struct {
 	Serve        serveCmd        `cmd:"" help:"Run fake servers in the foreground: caches, their origin and discovery."`
 	Try          tryCmd          `cmd:"" help:"Run a node among fake servers for one request and a short load, and end all of it."`
@@ -37,7 +37,7 @@
 	Adjustments  adjustmentsCmd  `cmd:"" help:"Measure what a ring point adjustment costs the control plane at size."`
 	CheckDynamic checkDynamicCmd `cmd:"" help:"Check that the platform can load its library into a program."`
 
-	// Commands that other commands start as processes of their own.
+	// Hidden commands, which other commands start as separate processes.
 	LeaseProcess       leaseProcessCmd       `cmd:"" hidden:"" help:"A process of a round."`
 	IdempotencyProcess idempotencyProcessCmd `cmd:"" hidden:"" help:"A process of a round."`
 	BaselineNode       baselineNodeCmd       `cmd:"" hidden:"" help:"A node that a baseline decides for."`
--- a/cmd/mintspring-bench/node.go
+++ b/cmd/mintspring-bench/node.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/testbed/baseline"
 )
 
-// baselineNodeCmd runs the node's own sockets with a baseline in place of its decisions.
+// baselineNodeCmd runs a node whose routing decisions are made by a baseline policy.
 type baselineNodeCmd struct {
 	Policy string `enum:"random,hash" required:""`
 }
--- a/cmd/mintspring-bench/report.go
+++ b/cmd/mintspring-bench/report.go
@@ -6,7 +6,7 @@
 	"mintspring/internal/testbed/experiment"
 )
 
-// reportCmd makes one page of the runs in a folder.
+// reportCmd writes one page about the runs in a folder.
 type reportCmd struct {
 	Dir string `arg:""`
 }
@@ -20,7 +20,7 @@
 	return err
 }
 
-// compareCmd sets the figures of two folders side by side.
+// compareCmd prints the figures of matching runs in two folders side by side.
 type compareCmd struct {
 	A string `arg:""`
 	B string `arg:""`
@@ -47,20 +47,20 @@
 	return nil
 }
 
-// isComparable reports whether two verdicts are of one experiment and one kind of program. Main programs may have different names.
+// isComparable reports whether two verdicts are of the same experiment and program. Two main programs match even if their names differ.
 func isComparable(a, b *experiment.Verdict) bool {
-	return a.Experiment == b.Experiment && a.IsMain == b.IsMain && (presentName(a.Program) == presentName(b.Program) || a.IsMain)
+	return a.Experiment == b.Experiment && a.IsMain == b.IsMain && (currentName(a.Program) == currentName(b.Program) || a.IsMain)
 }
 
-// presentName returns how a program is called now that a verdict of an earlier version may call by its old name.
-func presentName(program string) string {
+// currentName returns the current name of a program. Verdicts saved by earlier versions may have its former name.
+func currentName(program string) string {
 	if program == oldOracleName {
 		return oracleName
 	}
 	return program
 }
 
-// figuresCmd lists what an expectation can name.
+// figuresCmd lists the figures that an expectation can name.
 type figuresCmd struct{}
 
 // Run implements the command.
--- a/cmd/mintspring-bench/run.go
+++ b/cmd/mintspring-bench/run.go
@@ -13,7 +13,7 @@
 	"mintspring/internal/testbed/syscalltrace"
 )
 
-// runCmd plays experiments with real processes.
+// runCmd runs experiments with real processes.
 type runCmd struct {
 	Files         []string `arg:"" help:"Experiments."`
 	Seed          uint64   `help:"In place of the files' own."`
@@ -25,8 +25,8 @@
 	FailSyscalls  string   `help:"Fail the node's system calls by a plan, such as calls=connect,errno=ENOBUFS,share=0.5,from=4s,for=1s,every=3s." placeholder:"PLAN"`
 }
 
-// competitor is a program that experiments are played with.
-type competitor struct {
+// testedProgram is a program that experiments are run with: the main program or one that it is compared with.
+type testedProgram struct {
 	name    string
 	command []string
 	isMain  bool
@@ -34,13 +34,13 @@
 
 // Run implements the command.
 func (c *runCmd) Run(ctx context.Context) error {
-	competitors, err := c.competitors()
+	programs, err := c.testedPrograms()
 	if err != nil {
 		return err
 	}
 	failed := 0
 	for _, file := range c.Files {
-		passed, err := c.playFile(ctx, file, competitors)
+		passed, err := c.runFile(ctx, file, programs)
 		if err != nil {
 			return err
 		}
@@ -49,13 +49,13 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d experiments fell short", failed, len(c.Files))
+		return fmt.Errorf("%d of %d experiments did not meet their expectations", failed, len(c.Files))
 	}
 	return nil
 }
 
-// competitors returns the main program and what it is compared with.
-func (c *runCmd) competitors() ([]competitor, error) {
+// testedPrograms returns the main program, followed by the programs that it is compared with.
+func (c *runCmd) testedPrograms() ([]testedProgram, error) {
 	program, err := nodeProgram(c.Program)
 	if err != nil {
 		return nil, err
@@ -64,39 +64,39 @@
 	if err != nil {
 		return nil, err
 	}
-	judged := competitor{name: mainProgram, command: []string{program}, isMain: true}
+	mainTested := testedProgram{name: mainProgram, command: []string{program}, isMain: true}
 	if c.TraceSyscalls != "" {
-		judged.command = tracedCommand(self, c.TraceSyscalls, program)
+		mainTested.command = tracedCommand(self, c.TraceSyscalls, program)
 	}
 	if c.FailSyscalls != "" {
 		if _, err := syscalltrace.ParseFaultPlan(c.FailSyscalls); err != nil {
 			return nil, err
 		}
-		judged.command = tracedCommand(self, faultsMode+c.FailSyscalls, program)
+		mainTested.command = tracedCommand(self, faultPlanPrefix+c.FailSyscalls, program)
 	}
-	all := []competitor{judged}
+	all := []testedProgram{mainTested}
 	for _, name := range c.Against {
 		if name == baseline.Random || name == baseline.Hash {
-			all = append(all, competitor{name: name, command: []string{self, "baseline-node", "--policy", name}})
+			all = append(all, testedProgram{name: name, command: []string{self, "baseline-node", "--policy", name}})
 			continue
 		}
 		if _, err := os.Stat(name); err != nil {
-			return nil, fmt.Errorf("--against: %w; it is %s, %s or a program", err, baseline.Random, baseline.Hash)
+			return nil, fmt.Errorf("--against: %w; it must be %s, %s or the path of a program", err, baseline.Random, baseline.Hash)
 		}
-		all = append(all, competitor{name: filepath.Base(name) + "-before", command: []string{name}})
+		all = append(all, testedProgram{name: filepath.Base(name) + "-before", command: []string{name}})
 	}
 	return all, nil
 }
 
-// playFile plays an experiment with each program, and reports whether the main one passed.
-func (c *runCmd) playFile(ctx context.Context, file string, competitors []competitor) (passed bool, err error) {
+// runFile runs an experiment with each program, and reports whether the main program passed.
+func (c *runCmd) runFile(ctx context.Context, file string, programs []testedProgram) (passed bool, err error) {
 	x, err := experiment.Read(file)
 	if err != nil {
 		return false, err
 	}
 	var verdicts []experiment.Verdict
-	for _, competitor := range competitors {
-		v, err := c.play(ctx, x, competitor)
+	for _, program := range programs {
+		v, err := c.runProgram(ctx, x, program)
 		if err != nil {
 			return false, fmt.Errorf("%s: %w", file, err)
 		}
@@ -108,22 +108,22 @@
 	return verdicts[0].Passed() && verdicts[0].IsValid, nil
 }
 
-// play plays an experiment with one program, prints the verdict and keeps it.
-func (c *runCmd) play(ctx context.Context, x *experiment.Experiment, with competitor) (experiment.Verdict, error) {
+// runProgram runs an experiment with one program. It prints the verdict, and saves it if there is an output directory.
+func (c *runCmd) runProgram(ctx context.Context, x *experiment.Experiment, program testedProgram) (experiment.Verdict, error) {
 	options := processrunner.Options{
-		Program: with.name, Command: with.command, NoOperatorFile: !with.isMain, Seed: c.Seed, Progress: progress(x.Name),
+		Program: program.name, Command: program.command, NoOperatorFile: !program.isMain, Seed: c.Seed, Progress: progress(x.Name),
 	}
 	if c.Out != "" {
-		options.Dir = filepath.Join(c.Out, x.Name+"-"+with.name)
+		options.Dir = filepath.Join(c.Out, x.Name+"-"+program.name)
 	}
 	run, err := processrunner.Play(ctx, x, options)
 	if errors.Is(err, context.Canceled) {
-		return experiment.Verdict{}, fmt.Errorf("%w; all that was started has ended", errInterrupted)
+		return experiment.Verdict{}, fmt.Errorf("%w; all started processes have ended", errInterrupted)
 	}
 	if err != nil {
 		return experiment.Verdict{}, err
 	}
-	v := run.Verdict(with.isMain)
+	v := run.Verdict(program.isMain)
 	if c.Out != "" {
 		if err := v.Save(c.Out); err != nil {
 			return v, err
--- a/cmd/mintspring-bench/serve.go
+++ b/cmd/mintspring-bench/serve.go
@@ -12,7 +12,7 @@
 	"mintspring/internal/testbed/processrunner"
 )
 
-// builtinExperiment is played where no file is named.
+// builtinExperiment is used when no experiment file is named.
 const builtinExperiment = `name = "plain"
 about = "Three small caches, to try a node with."
 [fleet]
@@ -37,13 +37,13 @@
 rate = 300
 `
 
-// Classes of the built-in experiment, which requests from the command line are of.
+// Request classes of the built-in experiment. Requests from the command line use them by default.
 const (
 	readClass  = "read"
 	writeClass = "write"
 )
 
-// readExperiment reads an experiment file, or the built-in experiment where none is named.
+// readExperiment reads an experiment file, or returns the built-in experiment if no file is named.
 func readExperiment(file string) (*experiment.Experiment, error) {
 	if file == "" {
 		return experiment.Parse("plain", builtinExperiment)
@@ -89,7 +89,7 @@
 	return fleet.Wait(ctx)
 }
 
-// tryCmd runs a node for a moment.
+// tryCmd starts a node and fake servers, sends one request and a short load, and stops everything again.
 type tryCmd struct{}
 
 // Run implements the command.
@@ -124,7 +124,7 @@
 	return runLoadTest(&test)
 }
 
-// runLoadTest plays a load test and prints what came of it.
+// runLoadTest runs a load test and prints its result.
 func runLoadTest(test *processrunner.LoadTest) error {
 	result, err := test.Run()
 	if err == nil {
@@ -162,7 +162,7 @@
 	return err
 }
 
-// loadCmd puts a load on one node.
+// loadCmd sends load to one node.
 type loadCmd struct {
 	Addr     string        `arg:""`
 	Rate     float64       `help:"Requests a second, which do not wait for responses; 0: each client sends as soon as it has its response." default:"200"`
--- a/cmd/mintspring-bench/simulate.go
+++ b/cmd/mintspring-bench/simulate.go
@@ -15,15 +15,15 @@
 )
 
 const (
-	// oracleName is how the command line and reports call the simulator's oracle.
+	// oracleName is the name of the simulator's oracle on the command line and in reports.
 	oracleName = "oracle"
-	// oldOracleName is how they called it before.
+	// oldOracleName is the former name of the oracle, which is still accepted.
 	oldOracleName = "seer"
-	// oracleDelayMs is how old the oracle's knowledge may be, in ms: a few responses' time, less than load reports take.
+	// oracleDelayMs is the age of the oracle's knowledge of servers: the time of a few responses, and less than load reports take.
 	oracleDelayMs = 100
 )
 
-// simulateCmd plays experiments on a virtual clock.
+// simulateCmd runs experiments on a virtual clock.
 type simulateCmd struct {
 	Files   []string `arg:"" help:"Experiments."`
 	Nodes   int      `help:"So many nodes, in place of the files' own."`
@@ -36,7 +36,7 @@
 	JSON    bool     `name:"json" help:"Print verdicts as JSON."`
 }
 
-// simulatedRun is one run that is to be played.
+// simulatedRun is one run of an experiment with a program and a seed, and its result.
 type simulatedRun struct {
 	experiment *experiment.Experiment
 	options    simulator.Options
@@ -60,7 +60,7 @@
 	}
 	ctx, stop := context.WithCancel(ctx)
 	defer stop()
-	go forEachParallel(ctx, len(runs), jobs, func(i int) { runs[i].play(ctx) }, nil) // ends with its runs or the context
+	go forEachParallel(ctx, len(runs), jobs, func(i int) { runs[i].execute(ctx) }, nil) // ends after the last run or with the context
 	return c.printRuns(ctx, runs)
 }
 
@@ -72,7 +72,7 @@
 	}
 	for _, name := range c.Against {
 		if name != baseline.Random && name != baseline.Hash && name != oracleName {
-			return nil, fmt.Errorf("--against: %q is none of %s, %s and %s; other programs are played by %s run",
+			return nil, fmt.Errorf("--against: %q is none of %s, %s and %s; use %s run for other programs",
 				name, baseline.Random, baseline.Hash, oracleName, programName)
 		}
 	}
@@ -94,7 +94,7 @@
 	return runs, nil
 }
 
-// prepareExperiment reads a file and says what of it cannot be simulated.
+// prepareExperiment reads an experiment for simulation, and prints the expectations that cannot be evaluated there.
 func (c *simulateCmd) prepareExperiment(file string) (*experiment.Experiment, error) {
 	x, err := experiment.Read(file)
 	if err != nil {
@@ -108,7 +108,7 @@
 		return nil, err
 	}
 	if len(skipped) > 0 {
-		fmt.Printf("%s: not evaluated, since a simulated node has none: %s\n", x.Name, strings.Join(skipped, ", "))
+		fmt.Printf("%s: not evaluated, since simulated nodes do not have these figures: %s\n", x.Name, strings.Join(skipped, ", "))
 	}
 	return x, nil
 }
@@ -117,11 +117,11 @@
 	return &simulatedRun{experiment: x, options: options, done: make(chan struct{})}
 }
 
-// isMain reports whether the run is of the program that is judged.
+// isMain reports whether the run is of the main program rather than of a baseline.
 func (r *simulatedRun) isMain() bool { return r.options.Program == mainProgram }
 
-// play plays the run.
-func (r *simulatedRun) play(ctx context.Context) {
+// execute simulates the run and sets its verdict or error.
+func (r *simulatedRun) execute(ctx context.Context) {
 	defer close(r.done)
 	run, err := simulator.Play(ctx, r.experiment, r.options)
 	if err != nil {
@@ -131,7 +131,7 @@
 	r.verdict = run.Verdict(r.isMain())
 }
 
-// wait waits until the run has been played.
+// wait waits until the run has ended, and returns its error.
 func (r *simulatedRun) wait(ctx context.Context) error {
 	select {
 	case <-r.done:
@@ -141,9 +141,9 @@
 	}
 }
 
-// printRuns prints the verdicts in the order of the runs, and a table after all programs of one experiment and seed.
+// printRuns prints the verdicts in the order of the runs. After the last program of each experiment and seed it prints a table of them.
 func (c *simulateCmd) printRuns(ctx context.Context, runs []*simulatedRun) error {
-	failed, judged := 0, 0
+	failed, evaluated := 0, 0
 	var verdicts []experiment.Verdict
 	for i, run := range runs {
 		if err := run.wait(ctx); err != nil {
@@ -153,7 +153,7 @@
 			return err
 		}
 		if run.verdict.IsMain {
-			if judged++; !run.verdict.Passed() {
+			if evaluated++; !run.verdict.Passed() {
 				failed++
 			}
 		}
@@ -164,7 +164,7 @@
 		}
 	}
 	if failed > 0 {
-		return fmt.Errorf("%d of %d runs fell short", failed, judged)
+		return fmt.Errorf("%d of %d runs did not meet their expectations", failed, evaluated)
 	}
 	return nil
 }
@@ -186,7 +186,7 @@
 	}
 }
 
-// newPolicyFunc returns the policy of nodes that is called so. The oracle is one of its own for each run.
+// newPolicyFunc returns the constructor of the policy with the given name. Each call for the oracle returns that of a new oracle.
 func newPolicyFunc(name string) simulator.NewPolicyFunc {
 	if name == oracleName {
 		return simulator.NewOracle(oracleDelayMs).NewPolicy
@@ -194,7 +194,7 @@
 	return func(_ *simulator.Simulation, _ int, now float64, limits fleet.Limits, _ *fleet.Slab) inflight.Policy {
 		policy, err := baseline.New(name, now, limits)
 		if err != nil {
-			panic(err) // the names were checked
+			panic(err) // simulateCmd.prepare has checked the name
 		}
 		return policy
 	}
--- a/cmd/mintspring-bench/soak.go
+++ b/cmd/mintspring-bench/soak.go
@@ -20,7 +20,7 @@
 // maxShownViolations bounds how many violations of one run are printed.
 const maxShownViolations = 3
 
-// soakCmd plays generated runs with real processes, in which nodes are signalled, held up and stopped beside the usual faults.
+// soakCmd runs generated experiments with real processes. Besides the usual faults, nodes are signalled, paused and stopped.
 type soakCmd struct {
 	Seeds     string `help:"Seeds to play, such as 7 or 1..50." default:"1..6"`
 	Jobs      int    `help:"Runs at a time." default:"2"`
@@ -29,11 +29,11 @@
 	Out       string `help:"Directory for the experiments and the logs of nodes of runs that violate a rule; none otherwise."`
 }
 
-var errSoakFailed = errors.New("rules were broken")
+var errSoakFailed = errors.New("at least one run failed")
 
 // Run implements the command.
 func (c *soakCmd) Run(ctx context.Context) error {
-	all, err := parseSeeds(c.Seeds)
+	allSeeds, err := parseSeeds(c.Seeds)
 	if err != nil {
 		return err
 	}
@@ -45,29 +45,29 @@
 		return fmt.Errorf("--jobs: %d is not a number above 0", c.Jobs)
 	}
 	seeds := make(chan uint64)
-	var playing sync.WaitGroup
-	var mu sync.Mutex // guards failed, and the lines that are printed
+	var workers sync.WaitGroup
+	var mu sync.Mutex // guards failed and standard output
 	failed := 0
 	for range c.Jobs {
-		playing.Go(func() {
+		workers.Go(func() {
 			for seed := range seeds {
-				violations, err := c.play(ctx, program, seed)
+				violations, err := c.runSeed(ctx, program, seed)
 				mu.Lock()
-				if !printSoak(seed, violations, err) {
+				if !printSoakResult(seed, violations, err) {
 					failed++
 				}
 				mu.Unlock()
 			}
 		})
 	}
-	for _, seed := range all {
+	for _, seed := range allSeeds {
 		if ctx.Err() == nil {
 			seeds <- seed
 		}
 	}
 	close(seeds)
-	playing.Wait()
-	fmt.Printf("soak: %d runs, %d of them failed\n", len(all), failed)
+	workers.Wait()
+	fmt.Printf("soak: %d runs, %d of them failed\n", len(allSeeds), failed)
 	if ctx.Err() != nil {
 		return errInterrupted
 	}
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// play plays the run of a seed and returns the rules that it broke.
-func (c *soakCmd) play(ctx context.Context, program string, seed uint64) (violations []string, err error) {
+// runSeed runs the experiment generated from a seed and returns the violated invariants.
+func (c *soakCmd) runSeed(ctx context.Context, program string, seed uint64) (violations []string, err error) {
 	x, err := faultsearch.GenerateSoak(seed)
 	if err != nil {
 		return nil, err
@@ -100,26 +100,26 @@
 	}
 	verdict := run.Verdict(true)
 	if c.Out != "" && len(verdict.Violations) > 0 {
-		return verdict.Violations, saveSoak(options.Dir, x)
+		return verdict.Violations, saveSoakExperiment(options.Dir, x)
 	}
 	return verdict.Violations, nil
 }
 
-// tracedHoldUp is for how long a traced process is held up: tracing takes the rest of the time that the protocol's page allows for.
-const tracedHoldUp = tomlfile.Duration(80 * time.Millisecond)
+// maxTracedPause bounds the pauses of a traced process: tracing takes the rest of the time that the protocol's page allows for.
+const maxTracedPause = tomlfile.Duration(80 * time.Millisecond)
 
-// allowForTracing changes a run for processes that are traced, which take some 0.1 s more for a handover, and a millisecond for each new
-// connection: there are no crowds, and hold-ups are shorter.
+// allowForTracing adapts an experiment to traced processes, which take some 0.1 s more for a handover and 1 ms more for each new connection:
+// it removes the steps that open many idle connections, and shortens pauses.
 func allowForTracing(x *experiment.Experiment) {
 	x.Steps = slices.DeleteFunc(x.Steps, func(s experiment.Step) bool { return s.Action == "crowd_node" })
 	for i := range x.Steps {
 		if step := &x.Steps[i]; step.Action == "hold_node" {
-			step.Delay = min(step.Delay, tracedHoldUp)
+			step.Delay = min(step.Delay, maxTracedPause)
 		}
 	}
 }
 
-// command returns how a node is started.
+// command returns the command that starts a node, with failing system calls if they are requested.
 func (c *soakCmd) command(program string, seed uint64) ([]string, error) {
 	if !c.FailCalls {
 		return []string{program}, nil
@@ -128,11 +128,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return tracedCommand(self, faultsMode+faultsearch.SoakFaultPlan(seed), program), nil
+	return tracedCommand(self, faultPlanPrefix+faultsearch.SoakFaultPlan(seed), program), nil
 }
 
-// saveSoak keeps the experiment of a run beside the logs of its nodes, so that it can be played again.
-func saveSoak(dir string, x *experiment.Experiment) error {
+// saveSoakExperiment saves the experiment of a run beside the logs of its nodes, so that the run can be repeated.
+func saveSoakExperiment(dir string, x *experiment.Experiment) error {
 	text, err := faultsearch.EncodeTOML(x)
 	if err != nil {
 		return err
@@ -140,8 +140,8 @@
 	return os.WriteFile(filepath.Join(dir, "experiment.toml"), []byte(text), 0o644)
 }
 
-// printSoak prints what became of a run, and reports whether it broke no rule.
-func printSoak(seed uint64, violations []string, err error) bool {
+// printSoakResult prints the result of a run, and reports whether the run passed.
+func printSoakResult(seed uint64, violations []string, err error) bool {
 	switch {
 	case err != nil:
 		fmt.Printf("seed %d: %v\n", seed, err)
@@ -149,7 +149,7 @@
 		shown := violations[:min(len(violations), maxShownViolations)]
 		fmt.Printf("seed %d: BROKEN %d times: %s\n", seed, len(violations), strings.Join(shown, "; "))
 	default:
-		fmt.Printf("seed %d: rules kept\n", seed)
+		fmt.Printf("seed %d: no violations\n", seed)
 		return true
 	}
 	return false
--- a/cmd/mintspring-bench/sweep.go
+++ b/cmd/mintspring-bench/sweep.go
@@ -32,7 +32,7 @@
 		return err
 	}
 	runs, errs := make([][]experiment.SweepStep, len(seeds)), make([]error, len(seeds))
-	forEachParallel(ctx, len(seeds), 0, func(i int) { runs[i], errs[i] = c.play(ctx, x, seeds[i]) }, nil)
+	forEachParallel(ctx, len(seeds), 0, func(i int) { runs[i], errs[i] = c.runSeed(ctx, x, seeds[i]) }, nil)
 	if err := errors.Join(errs...); err != nil {
 		return err
 	}
@@ -43,7 +43,7 @@
 	return nil
 }
 
-// prepare returns the experiment that is played.
+// prepare returns the experiment of the sweep, with the load raised and lowered in steps.
 func (c *sweepCmd) prepare() (*experiment.Experiment, error) {
 	x, err := experiment.Read(c.File)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return x, err
 }
 
-// play plays the sweep under a seed. No rule may be violated.
-func (c *sweepCmd) play(ctx context.Context, x *experiment.Experiment, seed uint64) ([]experiment.SweepStep, error) {
+// runSeed simulates the sweep with a seed. It fails if an invariant is violated.
+func (c *sweepCmd) runSeed(ctx context.Context, x *experiment.Experiment, seed uint64) ([]experiment.SweepStep, error) {
 	options := simulator.Options{Program: "sweep", Seed: seed}
 	if c.Against != "" {
 		options.NewPolicy = newPolicyFunc(c.Against)
@@ -72,7 +72,7 @@
 	return run.SweepSteps(), nil
 }
 
-// printSweep prints a line for each rate.
+// printSweep prints a table row for each rate.
 func printSweep(steps []experiment.SweepStep) {
 	fmt.Printf("%8s  %-19s  %-19s  %-19s  %-19s\n%8s  %8s %10s  %8s %10s  %8s %10s  %8s %10s\n", "", "in SLO", "hits", "origin", "rejected", "a second",
 		"way up", "way down", "way up", "way down", "way up", "way down", "way up", "way down")
@@ -80,7 +80,7 @@
 		step := &steps[i]
 		note := ""
 		if step.HasHysteresis() {
-			note = "  the way down serves less: the state keeps itself"
+			note = "  the way down serves less: metastable failure"
 		}
 		fmt.Printf("%8.0f  %8.3f %10.3f  %8.3f %10.3f  %8.3f %10.3f  %8.3f %10.3f%s\n", step.Rate, step.Up.ObjectiveShare, step.Down.ObjectiveShare,
 			step.Up.HitShare, step.Down.HitShare, step.Up.OriginUtilization, step.Down.OriginUtilization, step.Up.Rejected, step.Down.Rejected, note)
--- a/cmd/mintspring-bench/syscalltrace.go
+++ b/cmd/mintspring-bench/syscalltrace.go
@@ -8,10 +8,10 @@
 	"mintspring/internal/testbed/syscalltrace"
 )
 
-// errTraceUsage says how the hidden command is called.
+// errTraceUsage reports missing arguments of the hidden command.
 var errTraceUsage = errors.New("trace-syscalls: a mode and a program are required")
 
-// checkDynamicCmd says whether the platform can load its library into a program.
+// checkDynamicCmd checks whether the platform can load its library into a program.
 type checkDynamicCmd struct {
 	Program string `arg:""`
 }
@@ -25,15 +25,15 @@
 	return err
 }
 
-// faultsMode begins the mode of a traced program whose system calls fail by a plan.
-const faultsMode = "faults:"
+// faultPlanPrefix is the prefix of a mode that makes system calls fail by a plan; the plan follows it.
+const faultPlanPrefix = "faults:"
 
-// tracedCommand returns how a node's program is started with its system calls traced in a mode. self is this program.
+// tracedCommand returns the command that starts a node's program with its system calls traced in a mode. self is the path of this program.
 func tracedCommand(self, mode, program string) []string {
 	return []string{self, "trace-syscalls", mode, program}
 }
 
-// syscallTraceCmd runs a node's program in place of itself: a mode, the program and its arguments.
+// syscallTraceCmd runs a program with its system calls traced. Its arguments are a mode, the program and the program's arguments.
 type syscallTraceCmd struct {
 	Args []string `arg:"" passthrough:""`
 }
@@ -43,7 +43,7 @@
 	if len(c.Args) < 2 {
 		return errTraceUsage
 	}
-	if text, found := strings.CutPrefix(c.Args[0], faultsMode); found {
+	if text, found := strings.CutPrefix(c.Args[0], faultPlanPrefix); found {
 		plan, err := syscalltrace.ParseFaultPlan(text)
 		if err != nil {
 			return err
