--- a/cmd/mintspring-bench/faultsearch.go
+++ b/cmd/mintspring-bench/faultsearch.go
@@ -43,7 +43,7 @@
 	oracleObjectiveShare float64
 	recovery             float64 // s, or experiment.NeverRecovered
 	oracleRecovery       float64
-	violations           []string // of invariants, without the oracle
+	violations           []string // invariants violated with the node's own decisions
 	err                  error
 }
 
--- a/cmd/mintspring-bench/gossip.go
+++ b/cmd/mintspring-bench/gossip.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/cluster/wire"
 )
 
-// Parameters of the simulated fleets.
+// Parameters of the simulated fleets and of their measurement.
 const (
 	gossipTickMs          = 50
 	joinStepMs            = 1000
@@ -31,7 +31,7 @@
 	falseReportSteps      = 600
 	msPerSecond           = 1000
 	secondsPerHour        = 3600
-	mostNodesNumerator    = 9 // with mostNodesDenominator, the share of nodes for mostAfterSeconds
+	mostNodesNumerator    = 9 // divided by mostNodesDenominator: share of nodes that mostAfterSeconds waits for
 	mostNodesDenominator  = 10
 )
 
--- a/cmd/mintspring-bench/run.go
+++ b/cmd/mintspring-bench/run.go
@@ -64,28 +64,28 @@
 	if err != nil {
 		return nil, err
 	}
-	mainTested := testedProgram{name: mainProgram, command: []string{program}, isMain: true}
+	mainTestedProgram := testedProgram{name: mainProgram, command: []string{program}, isMain: true}
 	if c.TraceSyscalls != "" {
-		mainTested.command = tracedCommand(self, c.TraceSyscalls, program)
+		mainTestedProgram.command = tracedCommand(self, c.TraceSyscalls, program)
 	}
 	if c.FailSyscalls != "" {
 		if _, err := syscalltrace.ParseFaultPlan(c.FailSyscalls); err != nil {
 			return nil, err
 		}
-		mainTested.command = tracedCommand(self, faultPlanPrefix+c.FailSyscalls, program)
+		mainTestedProgram.command = tracedCommand(self, faultPlanPrefix+c.FailSyscalls, program)
 	}
-	all := []testedProgram{mainTested}
+	programs := []testedProgram{mainTestedProgram}
 	for _, name := range c.Against {
 		if name == baseline.Random || name == baseline.Hash {
-			all = append(all, testedProgram{name: name, command: []string{self, "baseline-node", "--policy", name}})
+			programs = append(programs, testedProgram{name: name, command: []string{self, "baseline-node", "--policy", name}})
 			continue
 		}
 		if _, err := os.Stat(name); err != nil {
 			return nil, fmt.Errorf("--against: %w; it must be %s, %s or the path of a program", err, baseline.Random, baseline.Hash)
 		}
-		all = append(all, testedProgram{name: filepath.Base(name) + "-before", command: []string{name}})
+		programs = append(programs, testedProgram{name: filepath.Base(name) + "-before", command: []string{name}})
 	}
-	return all, nil
+	return programs, nil
 }
 
 // runFile runs an experiment with each program, and reports whether the main program passed.
--- a/internal/testbed/fakes/listener.go
+++ b/internal/testbed/fakes/listener.go
@@ -138,7 +138,7 @@
 			return
 		}
 		_ = queued.SetLinger(0) // fails only on a connection that is broken already
-		_ = queued.Close()      // nothing was sent on it
+		_ = queued.Close()      // the server has sent nothing on it
 	}
 }
 
