--- a/decide/admit.go
+++ b/decide/admit.go
@@ -9,8 +9,8 @@
 
 // originLimiter is this node's adaptive concurrency limit at the origin. Its window follows the response times.
 type originLimiter struct {
-	window, shrunkAt   float64     // attempts that may be in flight; time of the last reduction
-	latency, lateShare float64     // moving averages of the response time and of the share of late responses
+	window, shrunkAt   float64     // window: attempts that may be in flight; shrunkAt: time of the last reduction
+	latency, lateShare float64     // moving averages: response time, share of late responses
 	writesInFlight     int         // counted in origin.inFlight too
 	nextSendAt         float64     // earliest time of the next attempt while the window is below 1
 	waiting            []fleet.Ref // requests queued for the origin
@@ -36,7 +36,7 @@
 }
 
 // recordOutcome widens the window while responses are in time and cuts it when too many are late. Writes never count
-// as late, because they take several times as long as reads, and neither does an early reset.
+// as late, because they take several times as long as reads. An early reset does not count as late either.
 func (l *originLimiter) recordOutcome(n *Node, req *fleet.Request, attempt *fleet.Attempt, o fleet.Outcome) {
 	timeLimit, late, growth := n.limits.minObjective/2, 1.0, 0.17
 	if req.Write {
@@ -92,7 +92,7 @@
 	return r
 }
 
-// routeToOrigin sends req to the origin if that has capacity, queues req if its response can be in time, or rejects it.
+// routeToOrigin sends req to the origin if the origin has capacity, queues req if its response can be in time, or rejects it.
 func (n *Node) routeToOrigin(req *fleet.Request) fleet.Decision {
 	l := &n.originLimit
 	if n.origin == nil {
@@ -106,8 +106,8 @@
 	// A response after the latency objective keeps only lateFactor of its value.
 	timeLeft = max(timeLeft*class.lateFactor, min(timeLeft, req.ArrivedAt+class.objective-n.now))
 	wait := float64(len(l.waiting)+1) * latency / l.window
-	// The expected response time is a mean: when the queue was filled up to the limit, half of its responses were late
-	// and delayed other requests.
+	// The expected response time is a mean. When requests were queued behind others for up to all of timeLeft, half of
+	// the responses to queued requests were late and delayed other requests.
 	behindOthers := len(l.waiting) > 1 || len(l.waiting) > 0 && req.Stage != stageQueued
 	if wait+latency > timeLeft || behindOthers && wait+latency > maxQueuedTimeShare*timeLeft {
 		return n.reject(wait)
@@ -115,8 +115,8 @@
 	if req.Stage != stageQueued {
 		req.Stage, l.waiting = stageQueued, append(l.waiting, req.Ref)
 	}
-	// Route is called again halfway, so that a request that can no longer be in time is rejected then and not shortly
-	// before its deadline.
+	// Route is called again halfway, to reject a request that can no longer be in time. Otherwise the request would be
+	// rejected only shortly before its deadline.
 	return n.hold(req, n.now+max(timeLeft/2, min(timeLeft, latency)))
 }
 
@@ -130,8 +130,8 @@
 	return n.limits.coldCapacity + (1-n.limits.coldCapacity)*max(0, age)/n.limits.warmUpTime
 }
 
-// inSlowStartArc reports whether s serves point p. A cold server serves only the part of its arc next to its
-// predecessor, which is as long as the server's share of the ring's capacity.
+// inSlowStartArc reports whether s serves point p. A cold server serves only the first part of its arc, next to its
+// predecessor. This part is as long as the server's share of the ring's capacity.
 func (n *Node) inSlowStartArc(ring *hashRing, s *server, p float64) bool {
 	share := s.capacityShare(n)
 	if share >= 1 || len(ring.servers) < 2 {
@@ -141,7 +141,7 @@
 	return fleet.ArcLength(ring.pointAt(i-1), p) <= min(ring.arcLength(i), share/ring.capacity)
 }
 
-// hasSlowStartQuota reports whether this node's quota for s permits req; only cold servers have one. The quotas of all
+// hasSlowStartQuota reports whether this node's quota for s permits req. Only cold servers have quotas. The quotas of all
 // nodes add up to half of the load at which a cold server fails.
 func (n *Node) hasSlowStartQuota(s *server, req *fleet.Request) bool {
 	return s == n.origin || s.capacityShare(n) >= 1 || n.slowStart.Allow(n.now, &s.bucket,
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -2,7 +2,7 @@
 // or hedged, and what is rejected. It does no I/O and reads no clock; times are ms of its caller's clock.
 //
 // The caller allocates each request in the slab that it shares with the Node. Route sends, holds or answers a
-// request, AttemptDone returns what follows the end of an attempt, and NextDue returns how long to sleep and which
+// request, AttemptDone returns the decision after the end of an attempt, and NextDue returns how long to sleep and which
 // request to pass to Route next (none: the node's own maintenance is due). The other methods report events or read and
 // set state. ring.go adjusts ring points, health.go tracks the health of servers, admit.go limits the load on the
 // origin and on cold servers, list.go applies the endpoint list, snapshot.go exports and restores state.
@@ -39,11 +39,11 @@
 	servers                    []*server // by ServerID; nil for an id that was never listed
 	ring                       hashRing  // all caches
 	zoneRing                   hashRing  // the caches of this node's zone
-	meanUtil, zoneShare        float64   // mean utilization of caches; share of keys routed by zoneRing
+	meanUtil, zoneShare        float64   // meanUtil: of caches; zoneShare: share of keys routed by zoneRing
 	origin                     *server   // nil: none is ready
 	pollAt                     float64   // time of the next request for the endpoint list; +Inf: a watch is open
 	adjustAt                   float64   // time of the next adjustment of ring points
-	failedPolls, cacheInFlight int       // consecutive failed polls; attempts in flight at caches
+	failedPolls, cacheInFlight int       // failedPolls: consecutive; cacheInFlight: attempts in flight at caches
 
 	timers              fleet.TimerHeap
 	originLimit         originLimiter
@@ -58,9 +58,9 @@
 type requestClass struct {
 	effect                 fleet.Effect
 	scope                  fleet.DedupScope
-	dedupWindow, objective float64 // time for which servers drop repeats; latency objective
+	dedupWindow, objective float64 // dedupWindow: time for which servers drop repeats; objective: latency objective
 	maxWait                float64 // in overload, a request with a higher expected latency is not sent to a cache
-	priority, lateFactor   float64 // priority weight; factor on it for a late response
+	priority, lateFactor   float64 // priority: priority weight; lateFactor: factor on priority for a late response
 	maxAttempts            int
 	mayHedgeOrCancel       bool // an attempt in flight may be hedged, or cancelled and replaced
 }
@@ -69,16 +69,16 @@
 type limits struct {
 	classes                        []requestClass
 	zone                           fleet.ZoneID
-	nodesPerZone, hedgeRate        float64      // mean number of nodes in a zone; hedged requests per attempt
+	nodesPerZone, hedgeRate        float64      // nodesPerZone: mean number of nodes in a zone; hedgeRate: hedged requests per attempt
 	originKind                     fleet.KindID // below 0: there is no origin, caches fetch missing keys themselves
-	hedging, cancellation          bool         // two attempts may be in flight; an attempt may be cancelled
+	hedging, cancellation          bool         // hedging: two attempts may be in flight; cancellation: an attempt may be cancelled
 	serversRefuseWhenFull          bool         // a server at its connection limit refuses connects, as one that is down does
 	maxRetryAfter                  float64      // 0: rejections have no Retry-After
-	minObjective, minWindow        float64      // shortest latency objective; smallest window at the origin
-	deadlineMargin, adjustInterval float64      // reserve before a deadline; time between ring adjustments
+	minObjective, minWindow        float64      // minObjective: shortest latency objective; minWindow: smallest window at the origin
+	deadlineMargin, adjustInterval float64      // deadlineMargin: reserve before a deadline; adjustInterval: time between ring adjustments
 	maxPollInterval                float64      // time within which the endpoint list is requested again; 0: it is pushed
-	coldCapacity, warmUpTime       float64      // share of its capacity that a server starts with; time until it has all
-	coldLoadFactor, coldBurst      float64      // load allowed on a cold server, as a multiple of its capacity; ms of it at once
+	coldCapacity, warmUpTime       float64      // coldCapacity: share of capacity at a server's start; warmUpTime: until its full capacity
+	coldLoadFactor, coldBurst      float64      // allowed on a cold server; coldLoadFactor: load per capacity; coldBurst: ms of it at once
 }
 
 // deriveLimits computes the limits from the settings.
@@ -101,8 +101,8 @@
 		d.classes = append(d.classes, requestClass{
 			effect: class.Effect, scope: class.DedupScope, dedupWindow: class.DedupWindow, objective: class.LatencyObjective,
 			priority: class.PriorityWeight, lateFactor: class.LateWeightFactor, maxAttempts: l.AttemptLimit(&class),
-			// In overload, late responses displace those in time, and an overloaded server loses capacity: waits are
-			// kept short, and shorter for lower priorities.
+			// In overload, late responses take the place of responses in time, and an overloaded server loses
+			// capacity. The maximum wait is therefore short, and shorter for lower priorities.
 			maxWait:          class.LatencyObjective * (1 + class.LateWeightFactor) * (0.3 + 0.2*class.PriorityWeight/maxPriority),
 			mayHedgeOrCancel: class.Effect == fleet.Idempotent && (l.Hedging || l.Cancellation),
 		})
@@ -285,8 +285,9 @@
 	if s.isOutlier() {
 		return n.send(req, s) // a trial request: the server's past latency says nothing about it
 	}
-	// Deviation from the thesis: a request that its owner would answer late goes to the origin while that has capacity
-	// and is faster, and the owner keeps its other keys and copies. In overload, the other late ones are rejected at once.
+	// Deviation from the thesis: a request that its owner would answer late goes to the origin while the origin has
+	// capacity and is faster; the owner keeps its other keys and copies. In overload, a request that would be late and
+	// does not go to the origin is rejected at once.
 	expected, originLoad, limiter := s.expectedLatency(n), math.Inf(1), &n.originLimit
 	if n.origin != nil {
 		originLoad = limiter.utilization(n)
@@ -302,8 +303,8 @@
 	return n.send(req, s)
 }
 
-// send proposes an attempt with all the remaining time as its timeout: shorter ones would end heavy requests on healthy
-// servers.
+// send proposes an attempt with all the remaining time as its timeout: shorter timeouts would end heavy requests on
+// healthy servers.
 func (n *Node) send(req *fleet.Request, s *server) fleet.Decision {
 	return fleet.Decision{Action: fleet.Send, Server: s.id, Timeout: req.Deadline - n.now}
 }
@@ -333,7 +334,7 @@
 	case fleet.Send:
 		s := n.servers[d.Server]
 		d.SendBy = n.repeatableUntil(req, s)
-		// Wake is reset, because the timer of an earlier hold once led to the cancellation of an attempt that had to stay.
+		// WakeAt is reset, because the timer of an earlier hold once led to the cancellation of an attempt that had to stay.
 		d.Attempt, req.WakeAt = req.NumAttempts, 0
 		req.Attempts[req.NumAttempts] = fleet.Attempt{Server: s.id, SentAt: n.now, RequestsAhead: s.requestsAhead()}
 		req.NumAttempts++
@@ -355,16 +356,16 @@
 	return d
 }
 
-// maySend reports whether the four rules allow one more attempt of req at s: req is open, has attempts and time left, s
-// accepts attempts and has quota for one, and no effect is repeated.
+// maySend reports whether the four rules allow one more attempt of req at s: (1) req is open, (2) req has attempts and
+// time left, (3) s is ready and has quota for the attempt, (4) no effect is repeated.
 func (n *Node) maySend(req *fleet.Request, s *server) bool {
 	return !req.Closed && !req.Streaming && req.NumAttempts < n.limits.classes[req.Class].maxAttempts &&
 		n.now < req.Deadline && s.state == fleet.Ready && n.hasSlowStartQuota(s, req) &&
 		n.now <= n.repeatableUntil(req, s)
 }
 
-// repeatableUntil returns the time until which one more attempt of req at s cannot repeat an effect; -Inf if it can
-// already. Without s, it applies to any server.
+// repeatableUntil returns the time until which one more attempt of req at s cannot repeat an effect, or -Inf if such an
+// attempt could repeat one already. If s is nil, the attempt may be at any server, and dedupWindow is not considered.
 func (n *Node) repeatableUntil(req *fleet.Request, s *server) float64 {
 	class, until := &n.limits.classes[req.Class], math.Inf(1)
 	for i := range req.Attempts[:req.NumAttempts] {
--- a/decide/health.go
+++ b/decide/health.go
@@ -16,12 +16,12 @@
 	cell    fleet.CellID
 	started float64 // when its process started
 
-	listed, connected bool // in the endpoint list; this node may have connections to it
-	hasNewReport      bool // no point has been moved on the last load report yet
+	listed, connected bool // listed: in the endpoint list; connected: this node may have connections to it
+	hasNewReport      bool // the last load report has not moved a point yet
 
-	hashPoint, size float64     // the hash of its name on the ring; its nominal size
+	hashPoint, size float64     // hashPoint: hash of the server's name on the ring; size: nominal size
 	positions       [2]position // on the ring of all caches and on the ring of its zone
-	shedShare, step float64     // share of its arc that moves gave to its successor; share of a shift that the next move takes
+	shedShare, step float64     // shedShare: share of the arc that moves gave to the successor; step: share of a shift that the next move takes
 	report          fleet.LoadReport
 
 	queuePeak, hitRatioPeak     float64 // recent peaks of the reported queue and hit ratio
@@ -29,10 +29,10 @@
 	silentSince                 float64 // start of the time with attempts in flight and no response
 	timePerQueued               float64 // response time per request in the queue, the new one included
 	latency                     float64 // moving average of the response time
-	latencyAhead, latencyAt     float64 // moving average of the requests ahead of those measured; time of the last measurement
-	failureShare, indirectShare float64 // moving share of failures; what other nodes' evidence adds to it
-	trialAt, backoff            float64 // of an outlier: time of the next trial request; time between two
-	trialInterval, lastUsedAt   float64 // time between trials where other nodes send some too; time of the last attempt
+	latencyAhead, latencyAt     float64 // latencyAhead: moving average of requests ahead of the measured ones; latencyAt: last measurement
+	failureShare, indirectShare float64 // failureShare: moving share of failures; indirectShare: what other nodes' evidence adds to it
+	trialAt, backoff            float64 // of an outlier; trialAt: time of the next trial request; backoff: time between two of them
+	trialInterval, lastUsedAt   float64 // trialInterval: between trials while other nodes send some too; lastUsedAt: of the last attempt
 	bucket                      slowstart.Bucket
 }
 
@@ -55,7 +55,7 @@
 }
 
 // expectedLatency returns the response time to expect at s: the recent one, corrected by the change in the number of
-// requests ahead since then, so that errors of load reports cancel out. The recent time counts less with age. While s
+// requests ahead since its measurement, so that errors of load reports cancel out. The recent time counts less with age. While s
 // does not respond, the result is at least the time since its last response.
 func (s *server) expectedLatency(n *Node) float64 {
 	ahead := s.requestsAhead()
@@ -112,7 +112,7 @@
 	case fleet.NotSent:
 		return
 	case fleet.TimedOut, fleet.Cancelled:
-		// The response would have taken longer: a server must not look fast because its slow responses are cut off.
+		// The response would have taken longer than o.Took: a server must not look fast because its slow responses are cut off.
 		s.recordLatency(n, max(o.Took, s.latency), attempt.RequestsAhead)
 		// A slow server has not failed: only one that has answered nothing since the attempt was sent counts as silent.
 		if !responsive && o.Took >= objective/4 {
@@ -161,7 +161,7 @@
 func (s *server) isOutlier() bool { return s.failureShare+s.indirectShare >= outlierThreshold }
 
 // SetIndirectEvidence sets what other nodes' evidence adds to a server's failure share, and the interval between this
-// node's trial requests while those nodes send some too. The next one is sent by trialBy.
+// node's trial requests while those nodes send some too. The next trial request is due by trialBy.
 func (n *Node) SetIndirectEvidence(id fleet.ServerID, evidence, trialInterval, trialBy float64) {
 	s := n.servers[id]
 	s.indirectShare, s.trialInterval, s.trialAt = evidence, trialInterval, min(s.trialAt, trialBy)
@@ -187,9 +187,9 @@
 	return max(n.limits.classes[req.Class].objective/3, 4*s.timePerQueued)
 }
 
-// reviewAttempt decides whether to hedge or replace an attempt that takes long. It does so if the server is silent. A
-// server that responds to others works, and req is heavy or queued there; only when it takes much longer than expected
-// is its connection taken for lost.
+// reviewAttempt decides whether to hedge or replace an attempt that takes long. An attempt at a silent server is
+// hedged or replaced. A server that responds to other requests works, and req is heavy or queued there; only an attempt
+// that takes much longer than expected is assumed to have lost its connection.
 func (n *Node) reviewAttempt(req *fleet.Request) fleet.Decision {
 	attempt, class := &req.Attempts[req.NumAttempts-1], &n.limits.classes[req.Class]
 	s, nextReview := n.servers[attempt.Server], n.now+class.objective/8
@@ -222,8 +222,8 @@
 // pickIdleServer returns a server whose idle connections are to be closed, or nil. Deviation from the thesis: where full
 // servers refuse connects, a failed connect means that the nodes together hold too many connections. Each node then
 // halves the number of servers that it stays connected to, first closes the connections that it has used least recently,
-// and slowly raises the number again. Elsewhere nothing is closed: there, one lost server once made nodes close nearly
-// all connections.
+// and slowly raises the number again. Where full servers do not refuse connects, nothing is closed: otherwise the
+// loss of one server makes nodes close nearly all connections, as happened once.
 func (n *Node) pickIdleServer(s *server, result fleet.Result) *server {
 	refused := result == fleet.ConnectFailed && n.limits.serversRefuseWhenFull
 	if refused {
--- a/decide/helpers_test.go
+++ b/decide/helpers_test.go
@@ -20,7 +20,7 @@
 	classObjective                   = 300.0 // ms, latency objective of all classes
 	testWarmUpTime                   = 20_000.0
 	harnessStart                     = 1000.0 // ms, start of every harness
-	maxDecisionsAtOnce               = 10_000 // more at one moment are taken for an endless loop
+	maxDecisionsAtOnce               = 10_000 // more decisions at one moment are treated as an endless loop
 )
 
 // testLimits are the limits of a single node in a fleet of caches with an origin. The classes are idempotent, deduplicated and
--- a/decide/list.go
+++ b/decide/list.go
@@ -13,13 +13,13 @@
 // maintain does the node's own work that is due: it requests the endpoint list or adjusts the ring.
 func (n *Node) maintain() fleet.Decision {
 	if n.now >= n.pollAt {
-		// Each poll gets one answer. If that does not come, the node polls again after maxPollInterval.
+		// Each poll gets one answer. If the answer does not come, the node polls again after maxPollInterval.
 		n.pollAt = n.now + n.limits.maxPollInterval
 		return fleet.Decision{Action: fleet.Subscribe}
 	}
 	if n.now >= n.adjustAt {
 		n.adjustAt = n.now + n.limits.adjustInterval*(0.9+0.2*n.random())
-		n.lateShare *= 0.8 // a node that rejects most requests sees few responses that show the end of the overload
+		n.lateShare *= 0.8 // decays also without responses: a node that rejects most requests sees few that could show the end of the overload
 		n.keyCounts.Decay()
 		n.maxConnectedServers += 0.1
 		n.adjustPoints()
--- a/decide/origin_test.go
+++ b/decide/origin_test.go
@@ -9,7 +9,7 @@
 // originOfFourCaches is the id of the origin in a harness with four caches.
 const originOfFourCaches fleet.ServerID = 4
 
-// Neither late writes nor a single late read may close the origin to reads: that once left a fleet idle.
+// Neither late writes nor a single late read may close the origin to reads. They once did, which left a fleet idle.
 func TestLateWritesDoNotShrinkOriginWindow(t *testing.T) {
 	h := newHarness(testLimits())
 	h.listServers(4)
@@ -32,7 +32,8 @@
 	}
 }
 
-// A request that has only one attempt goes to the origin while that has capacity, because a miss at a cache would be its end.
+// A request that has only one attempt goes to the origin while the origin has capacity, because after a miss at a cache the request could
+// not be sent again.
 func TestLastAttemptGoesToOrigin(t *testing.T) {
 	limits := testLimits()
 	limits.MaxAttempts = 1
--- a/decide/ring.go
+++ b/decide/ring.go
@@ -10,10 +10,10 @@
 const (
 	maxLoadLevel    = 5.0                 // highest load level: gamma of the thesis (section 3.1, MOVE)
 	moveMargin      = 0.05 * maxLoadLevel // difference of load levels above which a point moves
-	firstStep       = 0.25                // share of the computed shift that a first move takes, since reports lag and differ between nodes
+	firstStep       = 0.25                // share of the computed shift that a first move takes; below 1, as reports lag and differ between nodes
 	stepDecay       = 0.7                 // factor on the step after each move, so that rings converge and keys stay
 	layoutRounds    = 12                  // rounds of moves that turn the hash points into the even ring; more rounds move more keys at a join
-	popularKeyCount = 10                  // decayed request count of a key in a zone from which the key has a copy in that zone
+	popularKeyCount = 10                  // a key whose decayed request count in a zone reaches this has a copy in that zone
 	minKeyCount     = 1.5                 // this node's decayed count below which a key's popularity is unknown
 	priorCount      = 20                  // added to the sum of counts, so that a key gets no large share while the node has seen few requests
 )
@@ -89,8 +89,8 @@
 	}
 }
 
-// ownerIndex returns the index of the server whose arc holds p. Behind the last point this is the first server, or the
-// second if the first one's point has moved back past 0 and past p.
+// ownerIndex returns the index of the server whose arc holds p. If p is behind the last point, this is the first
+// server, or the second if the first one's point has moved back past 0 and past p.
 func (r *hashRing) ownerIndex(p float64) int {
 	for count, offset := len(r.servers), 0.0; ; offset-- {
 		i := sort.Search(count, func(i int) bool { return r.servers[i].positions[r.positionIndex].point >= p+offset })
@@ -136,7 +136,7 @@
 }
 
 // adjustPoints moves back each point whose server's load level exceeds its successor's by moveMargin, and adapts the
-// share of keys routed by zone. A move needs a new report from both servers: an old one must not move a point twice.
+// share of keys routed by zone. A move needs a new report from both servers: no report may move a point twice.
 func (n *Node) adjustPoints() {
 	ring := &n.ring
 	for i, s := range ring.servers {
@@ -160,8 +160,8 @@
 }
 
 // copyCount returns how many servers of a zone have a copy of a key; 0: it is not popular. Deviation from the thesis: a
-// popular key has a copy in each zone, and a key whose requests would fill a server has as many copies as it takes, of
-// which each node uses one. The requests of the zone are estimated as this node's count times the nodes per zone.
+// popular key has a copy in each zone, and a key whose requests would fill a server has as many copies as that load
+// needs; each node uses one of them. The requests of the zone are estimated as this node's count times the nodes per zone.
 func (n *Node) copyCount(key fleet.Key) uint64 {
 	seen := n.keyCounts.Count(uint64(key))
 	if seen < minKeyCount || seen*max(1, n.limits.nodesPerZone) < popularKeyCount {
@@ -172,9 +172,9 @@
 }
 
 // pickCache chooses a cache for req, or nil. Deviation from the thesis: most keys stay on the ring of the node's zone,
-// which saves traffic between zones and connections. The ring of all caches serves the share of keys for which the zone
-// has no capacity. That share grows while responses are very late or the origin is slow, because one copy of a key on
-// the ring of all caches serves all zones.
+// which saves connections and traffic between zones. The ring of all caches serves the share of keys for which the zone
+// has no capacity. The share on the ring of all caches grows while responses are very late or the origin is slow, because
+// one copy of a key there serves all zones.
 func (n *Node) pickCache(req *fleet.Request) *server {
 	owner := n.firstAvailable(&n.ring, req, 0)
 	copies := n.copyCount(req.Key)
@@ -192,7 +192,7 @@
 			skip, highest = int(j), h
 		}
 	}
-	// A server of the zone may be slower than the owner by a fetch, and without overload also by a latency objective.
+	// A server of the zone may be slower than the owner by the latency of a fetch, and without overload also by a latency objective.
 	s, maxExtraLatency := n.firstAvailable(&n.zoneRing, req, skip), n.originLimit.latency
 	if n.lateShare <= overloadLateShare {
 		maxExtraLatency += n.limits.minObjective
@@ -205,7 +205,7 @@
 
 // firstAvailable returns the first server that accepts req, or nil. It begins skip places after the owner of req's key
 // and goes on along the successors. Deviation from the thesis: a server with more than twice its share of this node's
-// requests is passed over if that saves half a fetch.
+// requests is passed over if this saves half the latency of a fetch.
 func (n *Node) firstAvailable(ring *hashRing, req *fleet.Request, skip int) *server {
 	var pick *server
 	first, maxInFlight := ring.ownerIndex(req.Key.Point())+skip, max(2, 2*n.cacheInFlight/max(1, len(ring.servers)))
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -27,7 +27,7 @@
 			RequestsAhead: s.latencyAhead, Failures: s.failureShare, Backoff: s.backoff,
 			HitRatio: s.hitRatioPeak, QueuePeak: s.queuePeak, LastResponseAt: s.latencyAt,
 		}
-		// The latency is exported as far as it has decayed, so that a restart does not restore the rest.
+		// The exported latency includes the decay since its last measurement, so that a restart does not undo this decay.
 		weight := max(0, 1-(now-s.latencyAt)/(evidenceIntervals*n.limits.adjustInterval))
 		usualLatency := s.timePerQueued * (1 + s.latencyAhead)
 		v.ResponseTime = usualLatency + weight*max(0, s.latency-usualLatency)
@@ -41,7 +41,7 @@
 }
 
 // Restore takes over a snapshot as far as it is trusted. It makes no server an outlier, so that each gets its first
-// attempt as without a snapshot. The origin's window is no wider than at a start until responses widen it.
+// attempt as without a snapshot. The origin's window is no wider than without a snapshot until responses widen it.
 func (n *Node) Restore(now float64, snap *fleet.Snapshot) {
 	n.now = now
 	blend := func(v *float64, restored, trust float64) { *v += min(max(trust, 0), 1) * (restored - *v) }
--- a/internal/fleet/limits.go
+++ b/internal/fleet/limits.go
@@ -51,13 +51,13 @@
 	MaxRetryAfter     float64
 
 	Subscribe         bool    // the endpoint list has to be subscribed to; otherwise it is pushed
-	PollWithin        float64 // while it is not subscribed, the module requests the endpoint list within this time
-	StopSendingWithin float64 // longest time after the start of a drain in which attempts may still start at the server
+	PollWithin        float64 // while the endpoint list is not subscribed, the module requests it within this time
+	StopSendingWithin float64 // longest time after a server begins to drain during which attempts may still start there
 
 	ColdCapacity   float64 // share of its capacity that a server has when it starts
 	WarmUpTime     float64 // time from its start until a server has its full capacity
-	OverloadFactor float64 // load, as a multiple of its capacity, at which a warming server fails
-	OverloadBurst  float64 // work beyond its capacity, in ms, after which a warming server fails
+	OverloadFactor float64 // load at which a warming server fails, as a multiple of its capacity
+	OverloadBurst  float64 // work beyond a warming server's capacity, in ms, after which the server fails
 
 	AnswerSlack       float64 // margin before a client's timeout by which its response has to be ready
 	Quantum           float64 // time step of the platform
--- a/internal/fleet/request.go
+++ b/internal/fleet/request.go
@@ -79,7 +79,7 @@
 	Result          Result
 	Took            float64 // in ms
 	Closed          bool    // the request needs no further attempt
-	StaleConnection bool    // lost with a connection that had been idle, which says nothing about the server
+	StaleConnection bool    // the attempt was lost with a connection that had been idle; this says nothing about the server
 	Cache           CacheStatus
 	Report          LoadReport
 }
--- a/internal/fleet/ring.go
+++ b/internal/fleet/ring.go
@@ -6,12 +6,12 @@
 	"math"
 )
 
-// RingPoint is a server's point on a hash ring, the interval [0,1) closed to a circle. The server's arc ends at its point and begins after
-// the preceding point.
+// RingPoint is a server's point on a hash ring: the interval [0,1) with its ends joined. The server's arc begins after the preceding point
+// and ends at the server's own point.
 type RingPoint struct {
 	ID            ServerID
 	Position      float64 // below 1; the position of the first point may be below 0
-	CapacityShare float64 // lower bound of the share of its capacity that the server has; below 1 it may serve only a part of its arc
+	CapacityShare float64 // the server has at least this share of its capacity; if below 1, it may serve only a part of its arc
 }
 
 // Mix is the 64-bit finalizer of MurmurHash3. It mixes FNV hashes, whose high bits hardly differ between similar names.
@@ -45,7 +45,7 @@
 	return distance - math.Floor(distance)
 }
 
-// Random returns the pseudo-random number in [0,1) for a seed and a counter. It is the same on every machine.
+// Random returns the pseudo-random number in [0,1) for a seed and a counter. The number is the same on every machine.
 func Random(seed, counter uint64) float64 {
 	var b [16]byte
 	binary.LittleEndian.PutUint64(b[:8], seed)
--- a/internal/fleet/snapshot.go
+++ b/internal/fleet/snapshot.go
@@ -3,7 +3,7 @@
 // Snapshot is the state that a decision module has learned and keeps across a restart. Restoring weighs each part by its Trust; exported
 // snapshots have full trust.
 type Snapshot struct {
-	Trust              float64 // in all fields but Servers, from 0 to 1
+	Trust              float64 // from 0 to 1; applies to all fields but Servers
 	Servers            []ServerSnapshot
 	Keys               []KeyCount
 	KeySum             float64 // sum of the counts of all keys, listed in Keys or not
--- a/internal/slowstart/slowstart.go
+++ b/internal/slowstart/slowstart.go
@@ -5,8 +5,8 @@
 // A server in slow start fails at twice the capacity that is assumed here (callers pass half of the factor at which it fails), measured
 // over a window of twice the burst. Without leases, all nodes together send at most 1.5 times the capacity in such a window: the capacity
 // of the window, and the saved tokens, which are worth half of that. A node leases out at most half of its quota, the borrower stops before
-// the lender resumes, and borrowed rates save up no tokens. More is sent only if lenders lose their traffic after they leased: at most half
-// the capacity for the duration of a lease, which makes twice the capacity in all.
+// the lender resumes, and borrowed rates save up no tokens. All nodes together send more only if lenders lose their traffic after they
+// leased: at most half the capacity more for the duration of a lease, which makes twice the capacity in all.
 //
 // The package does no I/O and reads no clock; times are float64 ms. A Meter and its buckets are not safe for concurrent use.
 package slowstart
@@ -52,7 +52,8 @@
 // Lease is a borrowed rate and the time at which it expires.
 type Lease struct{ Rate, Until float64 }
 
-// borrowedAt returns the sum of the borrowed rates that have not expired, so that a process that was suspended uses no expired lease.
+// borrowedAt returns the sum of the borrowed rates that have not expired. Expiry is checked on each call, because a process that was
+// suspended must not use leases that expired meanwhile.
 func (l *Leases) borrowedAt(now float64) (rate float64) {
 	for _, lease := range l.Borrowed[:l.Count] {
 		if now < lease.Until {
@@ -62,9 +63,9 @@
 	return rate
 }
 
-// Quota returns this node's quota of a server, by the node's traffic, and its demand for the server, smoothed over the calls; both as work
-// per ms. A node without demand has a quota too, which it can lease out. The server's capacity is capacityFactor times the work that each
-// of the warm servers gets.
+// Quota returns this node's quota for a server and this node's demand for the server, both as work per ms. The quota follows from the
+// node's traffic; the demand is smoothed over the calls. A node without demand has a quota too, which it can lease out. The server's capacity is
+// capacityFactor times the work that each of the warm servers gets.
 func (m *Meter) Quota(now float64, b *Bucket, capacityFactor, warmServers float64) (own, demand float64) {
 	if elapsed := now - b.lastQuotaAt; elapsed > 0 {
 		b.demand += demandSmoothing * (b.demandCost/elapsed - b.demand)
@@ -92,8 +93,8 @@
 	}
 	b.Tokens += rate * (now - b.UpdatedAt)
 	b.UpdatedAt = now
-	// Tokens above the limit are dropped in whole tokens, so that a node whose limit is below one token reaches one from time to time. With a
-	// limit of at least one token each, hundreds of nodes could together save up hundreds of requests.
+	// Tokens above the limit are dropped in whole tokens, so that a node whose limit is below one token reaches one from time to time. If
+	// each node's limit were at least one token, hundreds of nodes could together save up hundreds of requests.
 	b.Tokens -= math.Floor(max(0, b.Tokens-limit))
 	return b.Tokens >= max(1, min(m.cost(work), limit))
 }
