--- a/internal/node/claims.go
+++ b/internal/node/claims.go
@@ -19,16 +19,17 @@
 	// claimTickMs is the interval at which the deadlines of waiting claims are checked.
 	claimTickMs = 5
 
-	// resultGraceMs is how long after its deadline a claim still waits for its result: the replica sends one by then, unless it has
-	// restarted and never will.
+	// resultGraceMs is how long a claim waits for its result beyond its deadline. The replica sends the result within that time, unless the
+	// replica has restarted: it then sends none.
 	resultGraceMs = 20
 
 	// responseMarginMs is reserved between the end of the grace time and the client's deadline, for the next tick and for sending the
-	// response. A request that no replica answered was rejected 20 ms after its client's deadline without the margin, and 0.1 ms after it
-	// with a margin of one tick.
+	// response. Without the margin, a request that no replica answered was rejected 20 ms after its client's deadline; with a margin of one
+	// tick, it was rejected 0.1 ms after the deadline.
 	responseMarginMs = 3 * claimTickMs
 
-	// settleTimeoutMs is how long a replica tries to settle a claim. Until it is settled, a retry of the request cannot learn its outcome.
+	// settleTimeoutMs is how long a replica tries to settle a claim. Until the claim is settled, a retry cannot learn the request's
+	// outcome.
 	settleTimeoutMs = 5000
 
 	// maxUploadMs is how long a client may take to send a large value (the operators' page of daily operation, "Less room").
@@ -52,7 +53,7 @@
 	manager         *claimManager
 	id              uint64
 	exchange        *exchange.Exchange
-	client          exchange.Client // client of the exchange; the claim stands in for it once granted
+	client          exchange.Client // original client of the exchange; once granted, the claim takes its place in exchange.Client
 	key             idempotency.Key
 	options         idempotency.ClaimOptions
 	phase           claimPhase
@@ -60,7 +61,7 @@
 
 	allowWithoutQuorum bool    // the request is executed even if no majority of replicas answers
 	clientGone         bool    // the client has disconnected in the phase claiming
-	bodyCompleteAt     float64 // when a streamed value was complete, if in the phase claiming; otherwise 0
+	bodyCompleteAt     float64 // time at which a streamed value was complete, if that was in the phase claiming; otherwise 0
 }
 
 // claimCounters counts claims by outcome since they were last logged.
@@ -159,7 +160,7 @@
 	case c != nil && c.phase == claiming:
 		m.node.withRecovery(c.exchange, func() { m.handleClaimResult(now, c, result) })
 	case result.Decision == idempotency.DecisionGranted:
-		// The request no longer waits for its claim, which would block a retry until it is settled.
+		// The request no longer waits for its claim. Until the claim is settled, it would block a retry.
 		m.settle(now, result.Number, idempotency.OutcomeNotExecuted, nil)
 	}
 }
@@ -251,7 +252,7 @@
 }
 
 // ResponseReady receives the response of a request in flight in place of its client. A rejection or an abort is passed on at once, a
-// receipt once the replicas have it or replicaDeadline has passed. It implements exchange.Client; the loop calls it.
+// receipt once the replicas have it or replicaDeadline has passed. ResponseReady implements exchange.Client; the loop calls it.
 func (c *claim) ResponseReady(x *exchange.Exchange) {
 	response := x.Response()
 	if response.Kind != exchange.Completed || c.phase != executing {
@@ -274,8 +275,8 @@
 	c.client.ResponseReady(c.exchange)
 }
 
-// handleReleased settles the claim of a request that was not answered with a receipt, once none of its attempts is running: a retry
-// then learns their outcome.
+// handleReleased settles the claim of a request that was answered without a receipt. It is called once none of the request's attempts is
+// running, so that a retry learns the outcome of the attempts.
 func (m *claimManager) handleReleased(now float64, entry *inflightEntry) {
 	c := m.byExchange[entry.Exchange]
 	if c == nil || c.phase != executing {
@@ -285,7 +286,7 @@
 	m.settle(now, c.id, outcomeOf(entry.Request), entry.Receipt)
 }
 
-// outcomeOf derives from the results of its attempts whether a request was executed.
+// outcomeOf reports whether a request was executed, derived from the results of the request's attempts.
 func outcomeOf(request *fleet.Request) idempotency.Outcome {
 	outcome := idempotency.OutcomeNotExecuted
 	for i := range request.Attempts[:request.NumAttempts] {
--- a/internal/node/cluster.go
+++ b/internal/node/cluster.go
@@ -21,9 +21,9 @@
 const (
 	// clusterTickMs is the interval between two ticks of the cluster member.
 	clusterTickMs = 20
-	// silentPeriods is the number of probe intervals after which a node logs a warning if it has never received a datagram. The number or
-	// the address of such a node differs from those that its peers have for it. Isolation detection does not notice this: it covers only
-	// nodes that have received datagrams before.
+	// silentPeriods is the number of probe intervals after which a node logs a warning if it has never received a datagram. The peers
+	// of such a node have a different number or address for it. Isolation detection does not notice this, because it covers only nodes that
+	// have received datagrams before.
 	silentPeriods = 10
 )
 
@@ -39,8 +39,8 @@
 
 	nextTickAt     float64
 	isolated       bool    // as last logged
-	warnSilentAt   float64 // when to warn that no datagram has arrived since the start; 0: one has, or the warning was logged
-	previousOpened int     // connections opened until the counters were last read
+	warnSilentAt   float64 // when to warn that no datagram has arrived since the start; 0: a datagram has arrived, or the warning was logged
+	previousOpened int     // total of opened connections at the last call of NodeCounters
 }
 
 // clusterConfig has the addresses of the peers, from the operator's file or the platform, and the gossip configuration.
@@ -113,8 +113,8 @@
 	}
 }
 
-// useLeasedQuota makes the connection pools use the node's part of the cluster's quota, and an initial part until the node has received
-// datagrams: without it a successor whose predecessor still holds the peer address would open no connection.
+// useLeasedQuota makes the connection pools use the node's part of the cluster's quota. Until the node has received datagrams, they use an
+// initial part: otherwise a successor whose predecessor still holds the peer address would open no connection.
 func (n *Node) useLeasedQuota(config *gossip.Config) {
 	n.cachePoolConfig.LeasedRate, n.cachePoolConfig.InitialQuota = config.ShareQuotas, config.QuotaConfig().InitialAllowance()
 }
--- a/internal/node/cluster_test.go
+++ b/internal/node/cluster_test.go
@@ -59,7 +59,7 @@
 	}
 	join() // just before the stop
 	tc.node.stopOptionalParts(time.Now().Add(time.Second))
-	join() // and after it
+	join() // and after the stop
 	tc.onLoop(func(float64) {})
 	join()
 }
--- a/internal/node/commands.go
+++ b/internal/node/commands.go
@@ -9,7 +9,8 @@
 	"mintspring/internal/node/exclusion"
 )
 
-// Commands of the admin port that are executed by both processes during a hot restart. The one that receives a command forwards it.
+// Commands of the admin port that are executed by both processes during a hot restart. The process that receives a command forwards it to
+// the other.
 const (
 	commandExclude = "maint-on"
 	commandReadmit = "maint-off"
--- a/internal/node/config.go
+++ b/internal/node/config.go
@@ -20,7 +20,7 @@
 	Discovery      string           // address of the discovery service
 	CachedList     discovery.Update // endpoint list known at the start
 	Deployment     settings.Deployment
-	Clock          *clock.Clock       // nil: a new clock that begins at the wall-clock time; a successor continues its predecessor's
+	Clock          *clock.Clock       // nil: a new clock that begins at the wall-clock time; a successor's clock continues its predecessor's
 	MemoryMB       int                // memory limit of the process; 0: none
 	MaxDescriptors int                // limit on file descriptors; 0: none
 	AdminEnabled   bool               // the admin port is open
@@ -40,8 +40,8 @@
 const (
 	// firstRequestTimeout is how long a client may take to complete its first request, in ms. The operators' page of daily operation
 	// allows 2,000 for the head of a command, and the page of bad clients requires that a connection whose command is never completed is
-	// closed within 3,000. Ordinary clients send soon after connecting; clients that never send come by the hundred and would use up the
-	// descriptors of the others.
+	// closed within 3,000. Ordinary clients send soon after connecting; clients that never send come by the hundred and would otherwise
+	// use up the descriptors that ordinary clients need.
 	firstRequestTimeout = 2500
 
 	// minIdleBeforeEviction is how long a client connection without a request in flight is kept before it may be closed to free a
@@ -62,8 +62,8 @@
 	return longestTimeout / 4
 }
 
-// SlotRetention returns how long the slot of a removed server is kept, in ms. No request stays in flight longer, so none can refer to
-// the slot's next server.
+// SlotRetention returns how long the slot of a removed server is kept, in ms. No request stays in flight longer, so a request for the
+// removed server cannot refer to the next server in the slot.
 func SlotRetention(deployment *settings.Deployment) float64 {
 	_, longestTimeout := deployment.TimeBounds()
 	return longestTimeout + deployment.Limits.StopSendingWithin
--- a/internal/node/consensusreplica.go
+++ b/internal/node/consensusreplica.go
@@ -30,7 +30,7 @@
 
 func superviseReplica(log *logrus.Entry, start func() (*replica.Replica, error)) *replicaSupervisor {
 	s := &replicaSupervisor{log: log, start: start, minBackoff: minReplicaBackoff, stopping: make(chan struct{}), done: make(chan struct{})}
-	first, err := start() // before run, to be up for the first call of this node's client
+	first, err := start() // started before run, so that the replica is up for the first call of this node's client
 	go s.run(first, err)
 	return s
 }
--- a/internal/node/doc.go
+++ b/internal/node/doc.go
@@ -5,9 +5,9 @@
 //
 // # Goroutines
 //
-// One goroutine, [Node.loop], owns the decision module and every field below "Owned by the loop" in [Node], and so the types
-// snapshotStore (its fields marked so), clusterMember, maintenanceTask and claimManager. It never blocks on a socket, a disk or
-// another process.
+// One goroutine, [Node.loop], owns the decision module and every field below "Owned by the loop" in [Node]. It also owns the
+// node's clusterMember, maintenanceTask and claimManager, and the fields of its snapshotStore below the same words. The loop never
+// blocks on a socket, a disk or another process.
 //
 // All other goroutines reach that state only by posting an event to the inbox, which never blocks, or by calling onLoop,
 // onLoopWithin or [Node.runOnLoop], which wait for the loop. They are:
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -72,8 +72,8 @@
 }
 
 // earliestStart returns the earliest plausible time of a server start that first appears in e. If this process began with a cached list,
-// its first full list may report starts from any time since that list was saved. A start so long ago that the server would be warm is
-// then not plausible, because the clock of the server's machine may be wrong.
+// its first full list may report starts from any time since the cached list was saved. A start so long ago that the server would be warm
+// is not trusted in that case, because the clock of the server's machine may be wrong.
 func (n *Node) earliestStart(now float64, e listChanged) float64 {
 	if e.mode == fleet.ListFull && e.confirmedAt == serverstart.NeverConfirmed() && len(n.servers) > 0 {
 		return now - n.deployment.Limits.WarmUpTime
--- a/internal/node/fingerprint.go
+++ b/internal/node/fingerprint.go
@@ -9,8 +9,8 @@
 	"mintspring/internal/state/snapshot"
 )
 
-// hashedLimits and hashedClass have the fields of fleet.Limits and fleet.Class under the names that these had when the policy hash was
-// defined. The names are part of the hash, which is stored in every snapshot file: they must not change.
+// hashedLimits and hashedClass have the fields of fleet.Limits and fleet.Class under the names that those fields had when the policy hash
+// was defined. The names are part of the hash, which is stored in every snapshot file: they must not change.
 type (
 	hashedLimits struct {
 		Seed              uint64
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -40,7 +40,7 @@
 	channel *hotrestart.Channel // nil: there is no other process
 	phase   handoverPhase
 
-	saveSequence uint64 // of the last saved exclusions; owned by the loop
+	saveSequence uint64 // sequence number of the last saved exclusions; owned by the loop
 }
 
 // nextSaveSequence numbers the exclusions to save, so that an older save never replaces a newer one. The loop calls it.
@@ -77,11 +77,11 @@
 }
 
 const (
-	// descriptorReportInterval is the time between two messages to the other process about the descriptors held here.
+	// descriptorReportInterval is the time between two messages to the other process about the descriptors that this process holds.
 	descriptorReportInterval = 20 * time.Millisecond
 	// successorDivisor gives the successor 1/successorDivisor of the descriptors until it serves.
 	successorDivisor = 4
-	// descriptorSlack is how many descriptors the counts of the two processes may differ by while reports are on their way.
+	// descriptorSlack is the number of descriptors by which the counts of the two processes may differ while reports are on their way.
 	descriptorSlack = 8
 	// listenRetryInterval is the time between two attempts to listen for a successor.
 	listenRetryInterval = 50 * time.Millisecond
@@ -111,7 +111,7 @@
 	n.lifecycle.SetPredecessor(true)
 	n.shareLimits(n.descriptors.Limit() * (successorDivisor - 1) / successorDivisor)
 	n.restoreTransfer(n.clock.Now(), &predecessor.State)
-	// The phase is set before the channel is read: if the predecessor is gone already, PeerLost needs it to undo the handover.
+	// The phase is set before the channel is read: if the predecessor is gone already, PeerLost needs the phase to undo the handover.
 	channel := predecessor.Channel()
 	n.handover.begin(channel, joining)
 	predecessor.Start(n)
@@ -130,7 +130,8 @@
 	n.listenForSuccessor()
 }
 
-// becomeReady waits until this process can serve, and announces that to the predecessor. It returns then, or when the node stops.
+// becomeReady waits until this process can serve, and announces that to the predecessor. It returns after the takeover, or when the node
+// stops.
 func (n *Node) becomeReady(channel *hotrestart.Channel, held int) {
 	for !n.lifecycle.CanServe() {
 		select {
@@ -140,11 +141,11 @@
 		}
 	}
 	n.handover.markSuccessorServing()
-	n.lendDescriptors(channel, held+descriptorSlack) // once readiness is announced the predecessor takes no more than it holds
+	n.lendDescriptors(channel, held+descriptorSlack) // once readiness is announced, the predecessor takes no further descriptors
 	if err := channel.AnnounceReady(); err != nil {
 		n.log.WithError(err).Warn("cannot announce readiness to the predecessor")
 	}
-	n.listenForSuccessor() // before this process reports ready to operators, who may then start the next one
+	n.listenForSuccessor() // before this process reports ready to operators, who may then start the next successor
 	n.lifecycle.SetPredecessor(false)
 	n.frontend.ResumeAccept()
 	n.log.Info("took over from the predecessor")
@@ -187,8 +188,8 @@
 	SetMemoryLimit(n.memoryMB, 1)
 }
 
-// lendDescriptors lends descriptors to the process at the other end of a channel, unless the channel has been lost: they would never be
-// returned.
+// lendDescriptors lends descriptors to the process at the other end of a channel, unless the channel has been lost: descriptors
+// lent after that would never be returned.
 func (n *Node) lendDescriptors(channel *hotrestart.Channel, count int) {
 	n.handover.mu.Lock()
 	defer n.handover.mu.Unlock()
@@ -206,7 +207,7 @@
 			return
 		}
 		if phase == successorServing {
-			n.lendDescriptors(channel, n.descriptors.Limit()-held) // this process takes no more: those it releases go to the successor
+			n.lendDescriptors(channel, n.descriptors.Limit()-held) // what this process releases goes to the successor: this process takes no more
 		}
 		if channel.ReportDescriptors(held) != nil {
 			return
@@ -214,8 +215,8 @@
 	}
 }
 
-// SuccessorJoined returns the state for a successor that has connected. If the state is not available in time the successor is refused:
-// it would serve without exclusions and servers. While the predecessor of this process has not ended, a successor is told to wait: three
+// SuccessorJoined returns the state for a successor that has connected. If the state is not available in time, the successor is refused: it
+// would otherwise serve without exclusions and servers. Until the predecessor of this process has ended, a successor is told to wait: three
 // processes could not keep to the limits of one node, and not all of them would receive operators' commands. SuccessorJoined implements
 // hotrestart.Handler, as the methods below do.
 func (n *Node) SuccessorJoined(channel *hotrestart.Channel) (hotrestart.State, error) {
@@ -244,7 +245,7 @@
 	return exported.state, nil
 }
 
-// SuccessorReady passes new clients to the successor, which serves now, and existing clients when they have no request in flight.
+// SuccessorReady passes new clients to the successor, which serves now. Existing clients follow when they have no request in flight.
 func (n *Node) SuccessorReady() {
 	channel, _ := n.handover.otherProcess()
 	n.handover.markSuccessorServing()
@@ -253,7 +254,7 @@
 	n.frontend.DrainConns()
 	n.upstreams.CloseUnused()
 	n.log.Info("successor ready, handing over client connections")
-	_ = n.runOnLoop(func(float64) {}) // wakes the loop, which passes on the remaining clients; errLoopBusy means that it is awake
+	_ = n.runOnLoop(func(float64) {}) // wakes the loop, which passes on the remaining clients; errLoopBusy means that the loop is awake
 }
 
 // ApplyCommand executes an admin command that was received by the other process.
@@ -265,7 +266,7 @@
 }
 
 // PeerDescriptorsReported handles a report of the number of descriptors that the other process holds. A predecessor that no longer serves needs
-// no more than that.
+// no further descriptors.
 func (n *Node) PeerDescriptorsReported(held int) {
 	if channel, phase := n.handover.otherProcess(); phase == takenOver {
 		n.lendDescriptors(channel, held+descriptorSlack)
--- a/internal/node/handover_test.go
+++ b/internal/node/handover_test.go
@@ -77,7 +77,7 @@
 		t.Fatal("all descriptors are lent, and one more is acquired")
 	}
 	n.PeerLost(nil)
-	n.lendDescriptors(c, all) // as by a goroutine that read the channel before it was lost
+	n.lendDescriptors(c, all) // as a goroutine would that read the channel before it was lost
 	n.PeerDescriptorsReported(all)
 	if !n.descriptors.Acquire(fdlimit.Server) {
 		t.Error("descriptors stay lent to a lost process")
--- a/internal/node/idempotency.go
+++ b/internal/node/idempotency.go
@@ -13,8 +13,8 @@
 	"mintspring/internal/node/exchange"
 )
 
-// bindRetryInterval is the interval at which the replica tries to bind an address that the predecessor still holds. Claims made before
-// then wait for it until their deadline.
+// bindRetryInterval is the interval at which the replica tries to bind an address that the predecessor still holds. A claim
+// made before the address is bound waits for the replica until the claim's deadline.
 const bindRetryInterval = 10 * time.Millisecond
 
 // errNoReplica is a reply on the admin port. Operators' scripts match its text, which uses the words of the admin commands.
@@ -121,7 +121,7 @@
 func (e replicaResult) handle(n *Node, now float64) { n.idempotency.handleResult(now, &e.result) }
 
 // stopIdempotency stops the replica once all claims are answered and replicated, or at the deadline. It does not wait for client
-// connections to close: until the replica has stopped, the successor has none and rejects requests that need a claim.
+// connections to close: until the replica has stopped, the successor has no replica and rejects requests that need a claim.
 func (n *Node) stopIdempotency(deadline time.Time) {
 	if n.idempotency == nil {
 		return
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -79,7 +79,7 @@
 		return tc.request("KV.SET", key, fmt.Sprint("id", requests), "c="+class+",d=500,k=m-"+key, "v")
 	}
 	tc.expectPrefix(send("pay", "a"), "PUT /a id1")
-	tc.expectPrefix(send("pay", "a"), "PUT /a id1") // the receipt of the first request, which has another id
+	tc.expectPrefix(send("pay", "a"), "PUT /a id1") // the receipt of the first request, whose id differs from that of the retry
 	expectExecutions("a", 1)
 
 	originMode.Store("lost")
@@ -156,7 +156,7 @@
 			t.Fatal(err)
 		}
 	}))
-	fastest := time.Second // of four requests, since the machine may be busy
+	fastest := time.Second // the fastest of four requests, since the machine may be busy
 	for i := range 4 {
 		began := time.Now()
 		tc.expectPrefix(tc.request("KV.SET", "k", fmt.Sprint("0", i), "c=put,d=80,k=1", "v"), "-BUSY ")
--- a/internal/node/loop.go
+++ b/internal/node/loop.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// withRecovery runs f and recovers from its panic. It then aborts the request x that f was handling, if any: an abort leaves open
+// withRecovery runs f. If f panics, withRecovery logs the panic and aborts the request x that f was handling, if any: an abort leaves open
 // whether the request was executed.
 func (n *Node) withRecovery(x *exchange.Exchange, f func()) {
 	defer func() {
--- a/internal/node/maintenance.go
+++ b/internal/node/maintenance.go
@@ -161,7 +161,8 @@
 	}
 }
 
-// applyExclusionChange excludes or readmits a server. A server that was never listed on this node is not excluded: it gets no requests.
+// applyExclusionChange excludes or readmits a server. A server that was never listed on this node is not excluded: it gets no requests
+// anyway.
 func (t *maintenanceTask) applyExclusionChange(id string, now float64, change func(id string, now float64) (bool, error)) {
 	if changed, err := change(id, now); err == nil && changed {
 		t.node.exclusionChanged(now, id)
@@ -227,7 +228,8 @@
 	return t.lastCallID
 }
 
-// poll renews or acquires the lease while there is work. Otherwise it releases the lease, or reads the plan if this node holds none.
+// poll renews or acquires the lease while there is work. Otherwise it releases the lease, or reads the plan if this node does not hold the
+// lease.
 func (t *maintenanceTask) poll(now float64) {
 	switch {
 	case t.hasUnfinishedPlan():
--- a/internal/node/maintenancecommands.go
+++ b/internal/node/maintenancecommands.go
@@ -108,8 +108,8 @@
 // membershipChange is a command that changes the members of the consensus group.
 type membershipChange struct {
 	command    string // take-in, add or drop
-	member     int    // its number, from 1
-	generation int    // of its data directory; unused by drop
+	member     int    // number of the member, from 1
+	generation int    // generation of the member's data directory; unused by drop
 }
 
 // ChangeMembership asks the leader of the consensus group to replace a member that has lost its data directory, or to add or remove one.
@@ -178,7 +178,7 @@
 			callID := t.nextCallID()
 			t.pendingCalls[callID] = results
 			command := newCommand(t)
-			command.Process = t.lease.Process // the incarnation distinguishes the result from one for an earlier process
+			command.Process = t.lease.Process // the incarnation in it distinguishes results for this process from those for an earlier process
 			t.send(callID, command)
 		}); err != nil {
 			return lease.Result{}, err
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -49,7 +49,7 @@
 	handover    handover
 	randomDraws atomic.Uint64
 
-	// Owned by the loop. New and StartHandover use them before it runs.
+	// Owned by the loop. New and StartHandover use them before the loop runs.
 	deployment                        settings.Deployment
 	inflight                          *inflight.Table[*upstream.Attempt]
 	exclusions                        *exclusion.Set // set by operators on the admin port
@@ -63,7 +63,7 @@
 	restoredSnapshotTime              float64 // when the last restored snapshot was taken; 0: none has been restored
 	shutdown                          shutdown
 
-	// Optional parts, owned by the loop unless they say otherwise.
+	// Optional parts, owned by the loop unless the comments in their types say otherwise.
 	snapshots     *snapshotStore   // nil: no snapshots are written
 	clusterMember *clusterMember   // nil: the node has no peers, or its peer address is still in use
 	maintenance   *maintenanceTask // nil: the node has no consensus group
--- a/internal/node/serverclock_test.go
+++ b/internal/node/serverclock_test.go
@@ -35,7 +35,7 @@
 	return started
 }
 
-// awaitStart waits until the decision module has the start time of a server, and returns the time since then in ms.
+// awaitStart waits until the decision module has the start time of a server, and returns the ms since that start time.
 func (tc *testCluster) awaitStart(id string) float64 {
 	tc.t.Helper()
 	for deadline := time.Now().Add(5 * time.Second); time.Now().Before(deadline); time.Sleep(time.Millisecond) {
--- a/internal/node/shutdown.go
+++ b/internal/node/shutdown.go
@@ -26,14 +26,14 @@
 const stopMargin = 80 * time.Millisecond
 
 // schedulingStallAllowance is how long the system may leave the process unscheduled at any moment (the standing test's page, "What
-// production adds"). Requests that arrive during a stop get their response that long before its bound.
+// production adds"). Requests that arrive during a stop get their response this long before the bound of the stop.
 const schedulingStallAllowance = 150 * time.Millisecond
 
 // closePollInterval is the interval at which a stop checks whether all client connections are closed.
 const closePollInterval = time.Millisecond
 
-// leaveTimeout is how long Stop waits for the loop to leave the cluster and the consensus group even if its deadline has passed: writing
-// the final snapshot to a slow disk may have used up the time.
+// leaveTimeout is how long Stop waits for the loop to leave the cluster and the consensus group even if the stop's deadline has passed:
+// writing the final snapshot to a slow disk may have used up the time.
 const leaveTimeout = 20 * time.Millisecond
 
 // Stop ends the node at a planned restart. It accepts new clients for the grace period, unless a successor accepts them already, and
--- a/internal/node/snapshotevents.go
+++ b/internal/node/snapshotevents.go
@@ -14,8 +14,8 @@
 	Restore(now float64, from *fleet.Snapshot)
 }
 
-// takeSnapshot copies the learned state of the policy, using exported as a buffer. Encoding and writing it take longer and are not done
-// on the loop.
+// takeSnapshot copies the learned state of the policy, using exported as a buffer. Encoding and writing the copy take longer and are not
+// done on the loop.
 func (n *Node) takeSnapshot(now float64, policy snapshotPolicy, config snapshot.Config, exported *fleet.Snapshot) *snapshot.State {
 	policy.Export(now, exported)
 	return snapshot.New(now, config, exported, func(id fleet.ServerID) string { return n.servers[id].entry.ID })
@@ -93,7 +93,8 @@
 	snapshotRequest{n.snapshots, e.reply}.handle(n, now)
 }
 
-// snapshotFound is the event that a snapshot was read from the directory, after another process had released it, or came from another node.
+// snapshotFound is the event that a snapshot was read from the directory, after another process had released the directory, or came from
+// another node.
 type snapshotFound struct {
 	store *snapshotStore
 	state *snapshot.State
--- a/internal/node/snapshots.go
+++ b/internal/node/snapshots.go
@@ -111,8 +111,8 @@
 	return state
 }
 
-// run acquires the directory, if acquireErr says that this has failed, and then writes snapshots until stop is closed. It retries without
-// limit: at each restart the old process holds the directory while the new one starts.
+// run writes snapshots until stop is closed. If acquireErr is not nil, the directory is not locked yet, and run first retries to acquire
+// it without limit: at each restart the old process holds the directory while the new one starts.
 func (s *snapshotStore) run(acquireErr error) {
 	defer func() {
 		if store := s.store.Swap(nil); store != nil { // acquired after writeFinal
@@ -133,7 +133,7 @@
 	}
 }
 
-// waitForDir tries to acquire the directory until it succeeds. It returns false if stop is closed before.
+// waitForDir tries to acquire the directory until it succeeds. It returns false if stop is closed first.
 func (s *snapshotStore) waitForDir(err error) bool {
 	for ; err != nil; err = s.acquire() {
 		delay := s.interval // an operator may repair the directory while the node runs
--- a/internal/node/snapshots_test.go
+++ b/internal/node/snapshots_test.go
@@ -54,8 +54,8 @@
 	return state
 }
 
-// waitForSnapshot returns the snapshot in a directory once it was taken later than after: on a busy machine a node may end before its last
-// write is complete.
+// waitForSnapshot waits for a snapshot in a directory that was taken later than the time after, and returns it: on a busy machine a node
+// may end before its last write is complete.
 func waitForSnapshot(t *testing.T, dir string, after float64) *snapshot.State {
 	t.Helper()
 	for deadline := time.Now().Add(10 * time.Second); ; time.Sleep(5 * time.Millisecond) {
@@ -186,8 +186,8 @@
 	n.Stop(0, time.Second)
 }
 
-// A successor that has already sent requests to its servers restores the final snapshot of its predecessor, as far as it is younger. It used
-// to restore only servers without any responses yet, of which there are none after a moment of traffic.
+// A successor that has already sent requests to its servers restores the final snapshot of its predecessor, weighted by age against its own
+// state. It used to restore only servers that had sent it no response yet; after a moment of traffic there are no such servers.
 func TestSuccessorRestoresLastSnapshot(t *testing.T) {
 	tc := newTestCluster(t, 3, serveHit, echoOrigin)
 	n := tc.startSnapshotNode(t.TempDir())
--- a/internal/node/traffic.go
+++ b/internal/node/traffic.go
@@ -13,13 +13,13 @@
 	"mintspring/internal/node/upstream"
 )
 
-// trafficCounters holds the data of the log line "traffic" that the counters of other types do not have. The loop owns it.
+// trafficCounters holds the data that the log line "traffic" needs besides the counters of other types. The loop owns it.
 type trafficCounters struct {
 	previous  upstream.Stats // as of the previous line
-	lastError error          // error of the last failed attempt since then
+	lastError error          // error of the last failed attempt since the previous line
 }
 
-// logTrafficAndReap logs the traffic since the last call, and closes connections to servers that have been idle too long.
+// logTrafficAndReap logs the traffic since the last call, and closes server connections that have been idle too long.
 func (n *Node) logTrafficAndReap() {
 	for _, s := range n.servers {
 		s.endpoint.Reap()
--- a/internal/node/transfer.go
+++ b/internal/node/transfer.go
@@ -76,8 +76,8 @@
 	n.restoreSnapshot(now, policy, s, n.transferSnapshotConfig())
 }
 
-// transferSnapshotConfig returns the configuration for snapshots in a state transfer. They are moments old, so any half-life and maximum
-// age will do.
+// transferSnapshotConfig returns the configuration for snapshots in a state transfer. Such snapshots are only moments old, so any
+// half-life and maximum age will do.
 func (n *Node) transferSnapshotConfig() snapshot.Config {
 	return SnapshotConfig(n.name, n.deployment, &operatorfile.Snapshot{
 		HalfLife: tomlfile.Duration(10 * time.Minute),
