--- a/cmd/mintspring/fleet_test.go
+++ b/cmd/mintspring/fleet_test.go
@@ -159,12 +159,12 @@
 var coldServersReplacer = strings.NewReplacer("count = 2\ncores = 8", "count = 6\ncores = 1", "rate = 300", "rate = 450",
 	`zones = ["a"]`, `zones = ["a", "b", "c"]`, "times = 11", "times = 1")
 
-// TestSixProcessesShareQuota checks that six processes share a quota of new connections to a server while links between them are cut,
-// faulty and healed, one process is frozen with borrowed quota, one is killed, and one loses its machine with its memory. In the case
-// "cold servers" they share the capacity of a restarted server, while their messages are late and duplicated, one process is frozen, and
-// one half of the nodes receives nothing from the other. The servers' records must show that in no second all nodes together open more
-// than 31 connections (20, the 5 of another quarter of a second, and one for each node), that no warming server is overloaded, and that
-// no rule is broken.
+// TestSixProcessesShareQuota checks that six processes share a quota of 20 new connections per second to a server. Meanwhile links between
+// them are cut or faulty for a time, one process is frozen with borrowed quota, one is killed, and one loses its machine with its memory.
+// In the case "cold servers" they share the capacity of a restarted server, while their messages are late and duplicated, one process is
+// frozen, and one half of the nodes receives nothing from the other. The servers' records must show that no warming server is overloaded,
+// that no rule is broken, and that all nodes together open at most 31 connections in any second: the quota of 20, the 5 of another quarter
+// of a second, and one per node.
 func TestSixProcessesShareQuota(t *testing.T) {
 	for name, events := range sharedQuotaEvents {
 		t.Run(name, func(t *testing.T) {
--- a/internal/cluster/consensus/storage/log.go
+++ b/internal/cluster/consensus/storage/log.go
@@ -9,8 +9,8 @@
 	"mintspring/internal/state/recordlog"
 )
 
-// minRewriteSize is the size in bytes that the log file must exceed before it is rewritten. A larger log file is rewritten, at the next snapshot,
-// once its size has more than doubled.
+// minRewriteSize is the size in bytes that the log file must exceed before it is rewritten. A larger log file is rewritten at the next snapshot
+// if its size is more than twice rewriteBaseSize, its size when it was last opened or rewritten.
 const minRewriteSize = 1 << 20
 
 // loadLog reads the log file and applies its records to the state. It truncates the file at the first unreadable record after the sync mark. An
--- a/internal/cluster/participant/participant.go
+++ b/internal/cluster/participant/participant.go
@@ -204,9 +204,10 @@
 	}
 }
 
-// trialBy returns the latest time of the next trial request to a server that fails here. It is +Inf while other nodes report only failures: their
-// trial requests serve this node as well. After one of them has received a response, each node tries the server soon, at a time that differs by
-// node, because hundreds of nodes learn of that response at once. When the reports of failures no longer prevail, this node tries it at once.
+// trialBy returns the latest time at which this node sends its next trial request to a server that has failed here. The time is:
+//   - now, if the other nodes' reports of failures no longer prevail;
+//   - soon, if another node has received a response. Hundreds of nodes learn of that response at once, so the time differs by node;
+//   - +Inf, if the other nodes report only failures. Their trial requests also show this node when the server recovers.
 func (p *Participant) trialBy(now float64, change outlier.Change) float64 {
 	switch {
 	case change.Bias <= 0:
--- a/internal/node/clients/resp.go
+++ b/internal/node/clients/resp.go
@@ -80,8 +80,8 @@
 	return 0
 }
 
-// parseLength parses a line of a type byte and a length at an offset. It returns the length and the offset of the next line. The offset
-// is 0 if the line is incomplete or has another type; the length is -1 if it is malformed.
+// parseLength parses the line at an offset, which consists of a type byte and a length. It returns the length and the offset of the next
+// line. If the line is incomplete or has another type, it returns 0, 0. If the length is invalid, it returns -1, 0.
 func parseLength(b []byte, offset int, typeByte byte) (length, next int) {
 	i := bytes.IndexByte(b[min(offset, len(b)):], '\n')
 	if i < 2 || b[offset] != typeByte {
--- a/internal/node/clients/server.go
+++ b/internal/node/clients/server.go
@@ -78,7 +78,7 @@
 	Malformed int64         // commands that could not be accepted
 	TimedOut  int64         // connections closed because a command did not arrive in time
 	Truncated int64         // large values that were not written to their end
-	Evicted   [Active]int64 // connections of each state closed to free a descriptor
+	Evicted   [Active]int64 // connections closed to free a descriptor, by their state
 }
 
 // TakeCounts returns the counts since the previous call.
--- a/internal/node/clients/stream_test.go
+++ b/internal/node/clients/stream_test.go
@@ -65,8 +65,8 @@
 	stream.expectClosed(t)
 }
 
-// If a value breaks off, the connection ends, so that the client can tell. If it breaks off before its first byte, the client gets an
-// error reply.
+// If a value breaks off before its first byte, the client gets an error reply. If it breaks off later, the connection is closed, so that
+// the client detects the incomplete value.
 func TestTruncatedStream(t *testing.T) {
 	h := newHarness(t)
 	c := h.dial()
--- a/internal/node/exclusion/exclusion.go
+++ b/internal/node/exclusion/exclusion.go
@@ -154,8 +154,8 @@
 }
 
 // RebaseStored adapts a stored state to the clock of a process that starts now. The stored times are on the clock of another process, and the
-// wall clock may have been stepped since. Exclusions therefore begin now, so that StartedAt ignores starts listed before, and readmissions
-// are not later than now.
+// wall clock may have been stepped since. Exclusions therefore begin now, so that StartedAt does not use a listed start before now, and the
+// last exclusions of readmitted servers begin and end no later than now.
 func (state *State) RebaseStored(now float64) {
 	for id := range state.Excluded {
 		state.Excluded[id] = now
--- a/internal/node/handover.go
+++ b/internal/node/handover.go
@@ -214,10 +214,10 @@
 	}
 }
 
-// SuccessorJoined returns the state for a successor that has connected. If the state is not available in time the successor is refused:
-// it would serve without exclusions and servers. While the predecessor of this process has not ended, a successor is told to wait: three
-// processes could not keep to the limits of one node, and not all of them would receive operators' commands. SuccessorJoined implements
-// hotrestart.Handler, as the methods below do.
+// SuccessorJoined returns the state for a successor that has connected. If the state cannot be exported in time, the successor is refused,
+// because without the state it would serve with neither exclusions nor servers. While the predecessor of this process is still running,
+// SuccessorJoined returns ErrBusy, which tells the successor to wait: three processes could not keep to the limits of one node, and not all
+// of them would receive operators' commands. SuccessorJoined implements hotrestart.Handler, as the methods below do.
 func (n *Node) SuccessorJoined(channel *hotrestart.Channel) (hotrestart.State, error) {
 	if _, phase := n.handover.otherProcess(); phase.isSuccessor() {
 		return hotrestart.State{}, hotrestart.ErrBusy
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -92,7 +92,7 @@
 				continue
 			}
 			nextRequestAt[i] = now + intervals[i]
-			bucket := &Bucket{} // of another server
+			bucket := &Bucket{} // placeholder for a request to a warm server
 			if now <= startsAt {
 				buckets[i].UpdatedAt = now
 			} else if meters[i].Allow(now, &buckets[i], capacityFactor, warmServers, burst, 0) {
@@ -149,7 +149,7 @@
 			if math.Mod(now, requestInterval) != float64(i%2) || isLender && now > trafficEnds {
 				continue
 			}
-			bucket := &Bucket{} // of another server
+			bucket := &Bucket{} // placeholder for a request to a warm server
 			if now > serverStarts && f.allow(now, i, isLender) {
 				bucket = &f.buckets[i]
 				f.sent = append(f.sent, now)
