--- a/cmd/mintspring/hotrestart_test.go
+++ b/cmd/mintspring/hotrestart_test.go
@@ -18,11 +18,11 @@
 	"mintspring/internal/state/snapshotfile"
 )
 
-// minRequests is the least number of requests that a requestLoad sends.
+// minRequests is the least number of requests that a loadGenerator sends.
 const minRequests = 20
 
-// requestLoad sends requests on persistent connections, one after the other on each connection, until it is stopped.
-type requestLoad struct {
+// loadGenerator sends requests on persistent connections, one after the other on each connection, until it is stopped.
+type loadGenerator struct {
 	stopped     atomic.Bool
 	workers     sync.WaitGroup
 	nextID      atomic.Int64
@@ -32,8 +32,8 @@
 	lastFailure atomic.Value // string: reply and error of the last failed request
 }
 
-func (n *testNode) startLoad(clients int) *requestLoad {
-	l := &requestLoad{}
+func (n *testNode) startLoad(clients int) *loadGenerator {
+	l := &loadGenerator{}
 	for range clients {
 		l.workers.Go(func() {
 			conn, err := net.Dial("tcp", n.addr)
@@ -52,13 +52,13 @@
 	return l
 }
 
-func (l *requestLoad) recordFailure(line string, err error) {
+func (l *loadGenerator) recordFailure(line string, err error) {
 	l.failed.Add(1)
 	l.lastFailure.Store(fmt.Sprintf("%q, %v", line, err))
 }
 
 // request sends a request, reads its reply, and reports whether the connection can be used again.
-func (l *requestLoad) request(conn net.Conn, r *bufio.Reader) bool {
+func (l *loadGenerator) request(conn net.Conn, r *bufio.Reader) bool {
 	id := fmt.Sprint("q", l.nextID.Add(1))
 	b := redcon.AppendArray(nil, 4)
 	for _, s := range []string{"KV.GET", "k" + id, id, "c=read,d=1500"} {
@@ -91,7 +91,7 @@
 }
 
 // stop ends the load after at least minRequests requests. It checks that no request failed and that few were rejected.
-func (l *requestLoad) stop(t *testing.T) {
+func (l *loadGenerator) stop(t *testing.T) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); l.sent.Load() < minRequests && time.Now().Before(deadline); { // a busy machine takes longer
 		time.Sleep(time.Millisecond)
@@ -174,7 +174,7 @@
 			t.Fatal(err)
 		}
 		defer closeAll(conn)
-		load := &requestLoad{}
+		load := &loadGenerator{}
 		if !load.request(conn, bufio.NewReader(conn)) || load.failed.Load() > 0 {
 			t.Errorf("%s: %v", id, load.lastFailure.Load())
 		}
--- a/decide/decide.go
+++ b/decide/decide.go
@@ -163,7 +163,7 @@
 	if req.Stage == stageNew && req.HasKey {
 		n.keyCounts.Add(uint64(req.Key))
 	}
-	return n.enforce(req, n.propose(req))
+	return n.enforce(req, n.chooseDecision(req))
 }
 
 // AttemptDone records the end of an attempt and returns the next decision for its request.
@@ -206,7 +206,7 @@
 	if req.Stage = stageReroute; s == n.origin || missed && n.origin != nil {
 		req.Stage = stageNeedsOrigin
 	}
-	return n.enforce(req, n.propose(req))
+	return n.enforce(req, n.chooseDecision(req))
 }
 
 // NextDue returns the request to pass to Route now, or NoRequest and the time in ms to sleep. A time of 0 with NoRequest
@@ -265,8 +265,8 @@
 	return fleet.Decision{}
 }
 
-// propose chooses a decision for an open request; enforce checks it against the rules.
-func (n *Node) propose(req *fleet.Request) fleet.Decision {
+// chooseDecision chooses a decision for an open request; enforce checks it against the rules.
+func (n *Node) chooseDecision(req *fleet.Request) fleet.Decision {
 	class, stage := &n.limits.classes[req.Class], req.Stage
 	lastAttempt := req.NumAttempts+1 == class.maxAttempts
 	switch {
@@ -302,7 +302,7 @@
 	return n.send(req, s)
 }
 
-// send proposes an attempt with all the remaining time as its timeout: shorter ones would end heavy requests on healthy
+// send returns the decision to send an attempt with all the remaining time as its timeout: shorter ones would end heavy requests on healthy
 // servers.
 func (n *Node) send(req *fleet.Request, s *server) fleet.Decision {
 	return fleet.Decision{Action: fleet.Send, Server: s.id, Timeout: req.Deadline - n.now}
--- a/decide/rules_test.go
+++ b/decide/rules_test.go
@@ -104,7 +104,7 @@
 }
 
 // enforce replaces a proposed attempt that a rule forbids by the nearest decision that the rules allow. The generated histories of
-// TestRulesHold do not reach most of these cases, because propose avoids them too.
+// TestRulesHold do not reach most of these cases, because chooseDecision avoids them too.
 func TestEnforceForbids(t *testing.T) {
 	const target fleet.ServerID = 0
 	for name, c := range map[string]struct {
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -97,28 +97,28 @@
 func TestRestoreAdmitsNoMoreToColdServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := testLimits()
-		var withSlab, withoutSlab fleet.Slab
-		with, without := New(1000, limits, &withSlab), New(1000, limits, &withoutSlab)
+		var slabWithSnapshot, slabWithoutSnapshot fleet.Slab
+		nodeWithSnapshot, nodeWithoutSnapshot := New(1000, limits, &slabWithSnapshot), New(1000, limits, &slabWithoutSnapshot)
 		list := endpointList(4)
 		list[1].StartedAt = 1000 - rapid.Float64Range(0, 25000).Draw(t, "age")
 		snap := drawSnapshot(t, list)
-		for _, n := range []*Node{with, without} {
+		for _, n := range []*Node{nodeWithSnapshot, nodeWithoutSnapshot} {
 			n.UpdateEndpoints(1000, fleet.ListFull, list)
 		}
-		with.Restore(1000, &snap)
-		cold, untouched := with.servers[1], without.servers[1]
-		restored := cold.bucket != untouched.bucket || cold.shedShare != 0 || cold.timePerQueued != untouched.timePerQueued
-		if cold.capacityShare(with) < 1 && restored {
+		nodeWithSnapshot.Restore(1000, &snap)
+		cold, coldWithoutSnapshot := nodeWithSnapshot.servers[1], nodeWithoutSnapshot.servers[1]
+		restored := cold.bucket != coldWithoutSnapshot.bucket || cold.shedShare != 0 || cold.timePerQueued != coldWithoutSnapshot.timePerQueued
+		if cold.capacityShare(nodeWithSnapshot) < 1 && restored {
 			t.Fatalf("the snapshot says something of a cold server: %+v", cold)
 		}
-		sentWith := countSentTo(with, &withSlab, cold.id, limits.OverloadBurst)
-		sentWithout := countSentTo(without, &withoutSlab, cold.id, limits.OverloadBurst)
+		attemptsWithSnapshot := countSentTo(nodeWithSnapshot, &slabWithSnapshot, cold.id, limits.OverloadBurst)
+		attemptsWithoutSnapshot := countSentTo(nodeWithoutSnapshot, &slabWithoutSnapshot, cold.id, limits.OverloadBurst)
 		// Both nodes have the same quota. They may use it for different keys, because the points of other servers differ.
-		if cold.capacityShare(with) < 0.9 && sentWith > 1.5*sentWithout+10 {
-			t.Fatalf("%v attempts at a cold server with the snapshot, %v without", sentWith, sentWithout)
+		if cold.capacityShare(nodeWithSnapshot) < 0.9 && attemptsWithSnapshot > 1.5*attemptsWithoutSnapshot+10 {
+			t.Fatalf("%v attempts at a cold server with the snapshot, %v without", attemptsWithSnapshot, attemptsWithoutSnapshot)
 		}
-		for _, s := range with.servers {
-			wide := with.originLimit.window > without.originLimit.window+64
+		for _, s := range nodeWithSnapshot.servers {
+			wide := nodeWithSnapshot.originLimit.window > nodeWithoutSnapshot.originLimit.window+64
 			if s.isOutlier() || math.IsNaN(s.timePerQueued) || s.shedShare > 0.75 || wide {
 				t.Fatalf("%+v", s)
 			}
--- a/internal/cluster/idempotency/proposal.go
+++ b/internal/cluster/idempotency/proposal.go
@@ -104,52 +104,52 @@
 // evaluatePromises decides the proposal by the promises of a quorum. It returns true if the second phase has to write the proposed record,
 // and false if the proposal ends at once.
 func (p *proposal) evaluatePromises(now float64) bool {
-	found := p.summarizePromises()
-	if found.exists {
-		found.ageMs += now - p.phaseStartedAt
+	summary := p.summarizePromises()
+	if summary.exists {
+		summary.ageMs += now - p.phaseStartedAt
 	}
-	p.ageMs, p.unchangedMs = found.ageMs, found.unchangedMs
+	p.ageMs, p.unchangedMs = summary.ageMs, summary.unchangedMs
 	switch p.kind {
 	case claimProposal:
-		return p.evaluateClaim(found)
+		return p.evaluateClaim(summary)
 	case settleProposal:
-		return p.evaluateSettlement(found)
+		return p.evaluateSettlement(summary)
 	default:
-		p.proposed, p.decision = found.record, DecisionNoQuorum
-		if found.exists {
+		p.proposed, p.decision = summary.record, DecisionNoQuorum
+		if summary.exists {
 			p.decision = DecisionGranted
 		}
-		return found.exists
+		return summary.exists
 	}
 }
 
-func (p *proposal) evaluateClaim(found promiseSummary) bool {
-	p.decision, p.proposed, p.waitMs = decideClaim(found.record, found.ageMs, found.unchangedMs, p.claim, p.options)
+func (p *proposal) evaluateClaim(summary promiseSummary) bool {
+	p.decision, p.proposed, p.waitMs = decideClaim(summary.record, summary.ageMs, summary.unchangedMs, p.claim, p.options)
 	switch p.decision {
 	case DecisionGranted:
-		if found.record.State == StateUnclaimed {
+		if summary.record.State == StateUnclaimed {
 			p.ageMs = 0
 		}
 		return true
 	case DecisionReplay:
 		// A record that the whole quorum reports is agreed on. Any other record is written first, or another claim might get a different
 		// answer.
-		return !found.unanimous
+		return !summary.unanimous
 	}
 	return false
 }
 
-func (p *proposal) evaluateSettlement(found promiseSummary) bool {
-	next, ok := p.settlement.apply(found.record, p.claim)
+func (p *proposal) evaluateSettlement(summary promiseSummary) bool {
+	next, ok := p.settlement.apply(summary.record, p.claim)
 	switch {
 	case ok:
 		p.proposed, p.decision = next, DecisionGranted
 		return true
-	case p.isRelease && found.record.State == StateInFlight:
+	case p.isRelease && summary.record.State == StateInFlight:
 		// The record belongs to another claim, and may not be agreed on. It is written to a quorum, so that the proposer of that claim
 		// finds and releases it. Otherwise two releases that each find only the record of the other claim would leave an operation in
 		// flight that nobody executes.
-		p.proposed, p.decision = found.record, DecisionUnknown
+		p.proposed, p.decision = summary.record, DecisionUnknown
 		return true
 	}
 	p.decision = DecisionUnknown
@@ -170,18 +170,18 @@
 	if latest == nil {
 		return promiseSummary{}
 	}
-	found := promiseSummary{record: latest.Record, exists: true, unanimous: true, ageMs: ageMs}
+	summary := promiseSummary{record: latest.Record, exists: true, unanimous: true, ageMs: ageMs}
 	for _, m := range p.groups.members() {
 		v := p.validVote(m)
 		switch {
 		case v == nil:
 		case v.HasRecord && v.AcceptedBallot == latest.AcceptedBallot:
-			found.unchangedMs = max(found.unchangedMs, v.UnchangedMs)
+			summary.unchangedMs = max(summary.unchangedMs, v.UnchangedMs)
 		default:
-			found.unanimous = false
+			summary.unanimous = false
 		}
 	}
-	return found
+	return summary
 }
 
 // latestPromise returns the promise with the highest accepted ballot, or nil if no promise has a record. ageMs is the greatest age of any
--- a/internal/config/platform/complete.go
+++ b/internal/config/platform/complete.go
@@ -70,12 +70,12 @@
 // missingInElements compares arrays. Elements may be added and removed, but each reloaded element has to have the keys that all
 // active elements have.
 func missingInElements(active, reloaded []any, path string) string {
-	common := commonKeys(active)
-	if common == nil {
+	requiredKeys := commonKeys(active)
+	if requiredKeys == nil {
 		return ""
 	}
 	for i := range reloaded {
-		if missing := missingPath(common, reloaded[i], fmt.Sprintf("%s[%d]", path, i)); missing != "" {
+		if missing := missingPath(requiredKeys, reloaded[i], fmt.Sprintf("%s[%d]", path, i)); missing != "" {
 			return missing
 		}
 	}
@@ -84,16 +84,16 @@
 
 // commonKeys returns the first element without the keys that any other element lacks, nil if an element is not an object.
 func commonKeys(elements []any) map[string]any {
-	var common map[string]any
+	var sharedKeys map[string]any
 	for i, element := range elements {
 		object, ok := element.(map[string]any)
 		if !ok {
 			return nil
 		}
 		if i == 0 {
-			common = maps.Clone(object)
+			sharedKeys = maps.Clone(object)
 		}
-		maps.DeleteFunc(common, func(key string, _ any) bool { return object[key] == nil })
+		maps.DeleteFunc(sharedKeys, func(key string, _ any) bool { return object[key] == nil })
 	}
-	return common
+	return sharedKeys
 }
--- a/internal/config/platform/platform.go
+++ b/internal/config/platform/platform.go
@@ -157,14 +157,14 @@
 // NodeConfig returns the configuration in the form that package node takes.
 func (c *Config) NodeConfig() node.Config {
 	return node.Config{
-		Name:         c.Name,
-		Discovery:    c.Discovery,
-		CachedList:   c.CachedList,
-		Deployment:   c.Deployment,
-		MemoryMB:     c.Limits.MemoryMB,
-		MaxDescriptors:  c.Limits.Sockets,
-		AdminEnabled: c.Admin != "",
-		PeerListen:   c.PeerListen,
-		Peers:        c.Peers,
+		Name:           c.Name,
+		Discovery:      c.Discovery,
+		CachedList:     c.CachedList,
+		Deployment:     c.Deployment,
+		MemoryMB:       c.Limits.MemoryMB,
+		MaxDescriptors: c.Limits.Sockets,
+		AdminEnabled:   c.Admin != "",
+		PeerListen:     c.PeerListen,
+		Peers:          c.Peers,
 	}
 }
--- a/internal/controlplane/stream/model_test.go
+++ b/internal/controlplane/stream/model_test.go
@@ -21,7 +21,7 @@
 	started  bool
 	wildcard bool
 	names    map[string]bool
-	held     map[string]string // version by name
+	versions map[string]string // version by name
 	nonce    string            // of the last response
 	pending  *Response         // response that is not acknowledged yet
 	rejected string            // version of the set rejected last
@@ -30,7 +30,7 @@
 func (m *modelSubscription) includes(name string) bool { return m.wildcard || m.names[name] }
 
 func (m *modelSubscription) dropUnsubscribed() {
-	maps.DeleteFunc(m.held, func(name, _ string) bool { return !m.includes(name) })
+	maps.DeleteFunc(m.versions, func(name, _ string) bool { return !m.includes(name) })
 }
 
 // modelProxy is a proxy that subscribes, acknowledges and rejects at random, and checks each response.
@@ -44,7 +44,7 @@
 func newModelProxy(t *rapid.T, variant Variant, s *Stream) *modelProxy {
 	p := &modelProxy{t: t, variant: variant, stream: s, types: map[snapshot.TypeURL]*modelSubscription{}}
 	for _, typeURL := range modelTypes {
-		p.types[typeURL] = &modelSubscription{names: map[string]bool{}, held: map[string]string{}}
+		p.types[typeURL] = &modelSubscription{names: map[string]bool{}, versions: map[string]string{}}
 	}
 	return p
 }
@@ -141,15 +141,15 @@
 
 func (m *modelSubscription) apply(variant Variant, response *Response) {
 	if variant == StateOfTheWorld {
-		clear(m.held)
+		clear(m.versions)
 	}
 	for _, resource := range response.Resources {
 		if m.includes(resource.Name) {
-			m.held[resource.Name] = resource.Version
+			m.versions[resource.Name] = resource.Version
 		}
 	}
 	for _, name := range response.Removed {
-		delete(m.held, name)
+		delete(m.versions, name)
 	}
 }
 
@@ -166,8 +166,8 @@
 				want[resource.Name] = resource.Version
 			}
 		}
-		if !maps.Equal(want, sub.held) {
-			p.t.Fatalf("%s: holds %v, wants %v", typeURL, sub.held, want)
+		if !maps.Equal(want, sub.versions) {
+			p.t.Fatalf("%s: holds %v, wants %v", typeURL, sub.versions, want)
 		}
 	}
 }
--- a/internal/controlplane/stream/stream_test.go
+++ b/internal/controlplane/stream/stream_test.go
@@ -73,20 +73,20 @@
 	s := New(Incremental, testLimits, testSource{}, current)
 	mustHandle(t, s, &Request{TypeURL: snapshot.RingPartType})
 	first, _ := s.Next(0)
-	held := map[string]string{}
+	versions := map[string]string{}
 	for _, resource := range first.Resources {
-		held[resource.Name] = resource.Version
+		versions[resource.Name] = resource.Version
 	}
-	if len(held) != 1+3+3 {
-		t.Fatalf("%d parts of 150 servers", len(held))
+	if len(versions) != 1+3+3 {
+		t.Fatalf("%d parts of 150 servers", len(versions))
 	}
 	unchanged := New(Incremental, testLimits, testSource{}, current)
-	mustHandle(t, unchanged, &Request{TypeURL: snapshot.RingPartType, InitialVersions: held})
+	mustHandle(t, unchanged, &Request{TypeURL: snapshot.RingPartType, InitialVersions: versions})
 	if r, due := unchanged.Next(0); !due || len(r.Resources) > 0 || len(r.Removed) > 0 {
 		t.Errorf("a proxy that holds everything gets %d parts", len(r.Resources))
 	}
 	fewer := New(Incremental, testLimits, testSource{}, maker.next(t, 100, 0))
-	mustHandle(t, fewer, &Request{TypeURL: snapshot.RingPartType, InitialVersions: held})
+	mustHandle(t, fewer, &Request{TypeURL: snapshot.RingPartType, InitialVersions: versions})
 	r, _ := fewer.Next(0)
 	var got []string
 	for _, resource := range r.Resources {
--- a/internal/controlplane/stream/subscription.go
+++ b/internal/controlplane/stream/subscription.go
@@ -23,7 +23,7 @@
 // replacedVersion is the version of a resource that the proxy held before the last response, if it held one.
 type replacedVersion struct {
 	version string
-	held    bool
+	wasHeld bool
 }
 
 // subscription is the state of one resource type on a stream.
@@ -149,7 +149,7 @@
 
 // restoreVersion restores a version that a rejected response replaced.
 func (s *subscription) restoreVersion(name string, replaced replacedVersion) {
-	if !replaced.held || !s.includes(name) {
+	if !replaced.wasHeld || !s.includes(name) {
 		delete(s.sentVersions, name)
 		return
 	}
@@ -209,8 +209,8 @@
 
 // recordReplaced records the held version of a resource before the response being built replaces or removes it.
 func (s *subscription) recordReplaced(name string) {
-	version, held := s.sentVersions[name]
-	s.replacedVersions[name] = replacedVersion{version, held}
+	version, wasHeld := s.sentVersions[name]
+	s.replacedVersions[name] = replacedVersion{version, wasHeld}
 }
 
 // deltaResponse returns the subscribed resources that have changed, and the names of those that do not exist.
--- a/internal/node/connpool/dialrate.go
+++ b/internal/node/connpool/dialrate.go
@@ -15,11 +15,11 @@
 // planDials returns how many connections to dial now. If the rate limit defers some of the wanted dials, retryAt is the time to call
 // again; +Inf means not before the pool's state changes.
 func (p *Policy) planDials(now float64, s State) (n int, retryAt float64) {
-	want := p.wantedDials(now, s)
-	for ; want > 0; want-- {
+	dialsNeeded := p.wantedDials(now, s)
+	for ; dialsNeeded > 0; dialsNeeded-- {
 		at, slotEnd := p.nextDial(now)
 		if at > now {
-			p.recentDials, p.deferredDials = p.recentDials+n, want
+			p.recentDials, p.deferredDials = p.recentDials+n, dialsNeeded
 			return n, at
 		}
 		p.lastSlotEnd = slotEnd
@@ -37,15 +37,15 @@
 
 // wantedDials returns how many connections to dial, regardless of the rate limit.
 func (p *Policy) wantedDials(now float64, s State) int {
-	want := s.Waiting - s.Dialing
-	if want > 0 && s.CoolingDown > 0 && p.waitSinceDial < p.config.DialAfterWait && !p.Suspected() {
+	dialsNeeded := s.Waiting - s.Dialing
+	if dialsNeeded > 0 && s.CoolingDown > 0 && p.waitSinceDial < p.config.DialAfterWait && !p.Suspected() {
 		// Cooling connections become ready before a new one would, at no cost to the server.
-		want = max(0, want-s.CoolingDown)
+		dialsNeeded = max(0, dialsNeeded-s.CoolingDown)
 	}
 	if now >= p.prewarmPausedUntil {
-		want = max(want, p.targetOpen(now, s)-s.Open-s.Dialing)
+		dialsNeeded = max(dialsNeeded, p.targetOpen(now, s)-s.Open-s.Dialing)
 	}
-	return min(want, p.limit()-s.Open-s.Dialing)
+	return min(dialsNeeded, p.limit()-s.Open-s.Dialing)
 }
 
 // nextDial returns when the next dial may start, and the end of the dial slot that it uses. To bound the rate of all nodes together, time
--- a/internal/node/connpool/policy.go
+++ b/internal/node/connpool/policy.go
@@ -134,16 +134,16 @@
 
 // targetOpen returns how many connections should be open before an attempt needs one.
 func (p *Policy) targetOpen(now float64, s State) int {
-	want := p.config.MinConns
+	target := p.config.MinConns
 	if !p.config.Prewarm {
-		return want
+		return target
 	}
 	p.recordInUse(now, s.InUse)
 	if peak := max(p.peakInUse[0], p.peakInUse[1]); peak > 0 {
 		// The number of arrivals varies by about its square root.
-		want = max(want, peak+int(math.Ceil(math.Sqrt(float64(peak)))))
+		target = max(target, peak+int(math.Ceil(math.Sqrt(float64(peak)))))
 	}
-	return want
+	return target
 }
 
 // idleTarget returns how many unused connections to keep.
--- a/internal/node/connpool/unused.go
+++ b/internal/node/connpool/unused.go
@@ -58,9 +58,9 @@
 	if !p.Policy.Suspected() {
 		return
 	}
-	want := len(p.waiters) - p.Dialing
-	excess := p.openConns() + p.Dialing + want - p.Policy.limit()
-	for range min(excess, want, len(p.coolingDown)) {
+	dialsNeeded := len(p.waiters) - p.Dialing
+	excess := p.openConns() + p.Dialing + dialsNeeded - p.Policy.limit()
+	for range min(excess, dialsNeeded, len(p.coolingDown)) {
 		p.closeNextReady()
 	}
 }
--- a/internal/testbed/servermodel/execution.go
+++ b/internal/testbed/servermodel/execution.go
@@ -75,14 +75,14 @@
 
 // countOffered adds an execution to the work offered to its server, which collapses under overload.
 func (c *Cluster) countOffered(now float64, s *Server, e *Execution) {
-	avoidable := e.NodeNotified
+	isAvoidable := e.NodeNotified
 	if s.Origin {
-		avoidable = c.isColdMiss(now, e.RequestID)
+		isAvoidable = c.isColdMiss(now, e.RequestID)
 	}
 	if s.Config.OverloadWindow <= 0 || !s.Up || s.downUntil > now {
 		return
 	}
-	offered, avoidableWork := s.queue.countOffered(now, e.work, avoidable)
+	offered, avoidableWork := s.queue.countOffered(now, e.work, isAvoidable)
 	// A cache that has warmed up rejects excess load and does not collapse. The origin can collapse at any time.
 	limit := s.Config.OverloadMultiple * s.queue.capacity(now) * s.Config.OverloadWindow
 	if offered > limit && (s.Origin || e.Warmth < 1) {
--- a/internal/testbed/servermodel/slidingwindow.go
+++ b/internal/testbed/servermodel/slidingwindow.go
@@ -5,10 +5,10 @@
 
 // slidingWindow sums offered work over a sliding window of time. It also sums the part that nodes could have avoided sending.
 type slidingWindow struct {
-	length     float64 // ms
-	slotNumber [windowSlots]int64
-	total      [windowSlots]float64
-	avoidable  [windowSlots]float64
+	length        float64 // ms
+	slotNumber    [windowSlots]int64
+	totalWork     [windowSlots]float64
+	avoidableWork [windowSlots]float64
 }
 
 func newSlidingWindow(length float64) slidingWindow {
@@ -20,21 +20,21 @@
 }
 
 // add adds work, in core-ms, and returns the sums over the window that ends now.
-func (w *slidingWindow) add(now, work float64, isAvoidable bool) (total, avoidable float64) {
+func (w *slidingWindow) add(now, work float64, isAvoidable bool) (totalWork, avoidableWork float64) {
 	number := int64(now / w.length * windowSlots)
 	slot := int(number % windowSlots)
 	if w.slotNumber[slot] != number {
-		w.slotNumber[slot], w.total[slot], w.avoidable[slot] = number, 0, 0
+		w.slotNumber[slot], w.totalWork[slot], w.avoidableWork[slot] = number, 0, 0
 	}
-	w.total[slot] += work
+	w.totalWork[slot] += work
 	if isAvoidable {
-		w.avoidable[slot] += work
+		w.avoidableWork[slot] += work
 	}
 	for i := range w.slotNumber {
 		if w.slotNumber[i] > number-windowSlots {
-			total += w.total[i]
-			avoidable += w.avoidable[i]
+			totalWork += w.totalWork[i]
+			avoidableWork += w.avoidableWork[i]
 		}
 	}
-	return total, avoidable
+	return totalWork, avoidableWork
 }
--- a/internal/testbed/servermodel/workqueue.go
+++ b/internal/testbed/servermodel/workqueue.go
@@ -126,10 +126,10 @@
 //
 // Each handshake counts once. Clients keep reconnecting to a paused server; counting all of its pending handshakes with every execution
 // would make it collapse.
-func (q *workQueue) countOffered(now, work float64, avoidable bool) (offered, avoidableWork float64) {
+func (q *workQueue) countOffered(now, work float64, isAvoidable bool) (offered, avoidableWork float64) {
 	work += q.uncountedHandshakeWork
 	q.uncountedHandshakeWork = 0
-	return q.offered.add(now, work, avoidable)
+	return q.offered.add(now, work, isAvoidable)
 }
 
 // accountBusyTime adds the time that cores were busy since the last call.
