--- a/cmd/mintspring-bench/simulate.go
+++ b/cmd/mintspring-bench/simulate.go
@@ -103,7 +103,7 @@
 	if x, err = x.WithSize(c.Nodes, c.Servers, c.Rate); err != nil {
 		return nil, err
 	}
-	x, skipped, err := simulator.Prepare(x)
+	x, skipped, err := simulator.SupportedExperiment(x)
 	if err != nil {
 		return nil, err
 	}
--- a/cmd/mintspring-bench/sweep.go
+++ b/cmd/mintspring-bench/sweep.go
@@ -52,7 +52,7 @@
 	if x, err = x.SaturationSweep(c.From, c.To, c.Steps, c.StepDuration); err != nil {
 		return nil, err
 	}
-	x, _, err = simulator.Prepare(x)
+	x, _, err = simulator.SupportedExperiment(x)
 	return x, err
 }
 
--- a/internal/cluster/consensus/bench_test.go
+++ b/internal/cluster/consensus/bench_test.go
@@ -43,7 +43,7 @@
 		}
 		responses += processReadyUpdates(b, c, store, now)
 	}
-	b.ReportMetric(float64(store.Size()), "log-bytes")
+	b.ReportMetric(float64(store.LogSize()), "log-bytes")
 	b.ReportMetric(float64(responses)/float64(max(1, b.N)), "answered/op")
 }
 
--- a/internal/cluster/consensus/storage/storage.go
+++ b/internal/cluster/consensus/storage/storage.go
@@ -137,8 +137,8 @@
 // State returns the contents of the data directory. The caller must not modify what it points to.
 func (s *Store) State() State { return s.state }
 
-// Size returns the size of the log file in bytes.
-func (s *Store) Size() int64 { return s.logSize }
+// LogSize returns the size of the log file in bytes.
+func (s *Store) LogSize() int64 { return s.logSize }
 
 // Close closes the data directory and unlocks it.
 func (s *Store) Close() {
--- a/internal/testbed/faultsearch/steps_test.go
+++ b/internal/testbed/faultsearch/steps_test.go
@@ -17,7 +17,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if _, skipped, err := simulator.Prepare(x); err != nil || len(skipped) > 0 {
+		if _, skipped, err := simulator.SupportedExperiment(x); err != nil || len(skipped) > 0 {
 			t.Fatalf("seed %d: %v, %v", seed+1, skipped, err)
 		}
 		for _, s := range x.Steps {
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -124,7 +124,7 @@
 // wasStopping reports whether a node was between the request for a graceful stop and its next start at a time.
 func (c *Checker) wasStopping(node servermodel.NodeID, at float64) bool {
 	return slices.ContainsFunc(c.downtimes, func(d Downtime) bool {
-		return d.Node == node && d.Stopped && d.StopAt <= at && at <= d.To
+		return d.Node == node && d.Stopped && d.StopRequestedAt <= at && at <= d.To
 	})
 }
 
--- a/internal/testbed/invariants/invariants.go
+++ b/internal/testbed/invariants/invariants.go
@@ -66,10 +66,10 @@
 
 // Downtime is a time in which a node was down, paused or stopping.
 type Downtime struct {
-	Node     servermodel.NodeID
-	From, To float64
-	Stopped  bool    // a graceful stop: the node must still answer the requests that it has read
-	StopAt   float64 // when the graceful stop was requested
+	Node            servermodel.NodeID
+	From, To        float64
+	Stopped         bool    // a graceful stop: the node must still answer the requests that it has read
+	StopRequestedAt float64 // when the graceful stop was requested
 }
 
 // ConnectionFlood is a time in which idle connections exhausted a node's descriptors. The node may then close new connections unread.
--- a/internal/testbed/processrunner/nodeprocess.go
+++ b/internal/testbed/processrunner/nodeprocess.go
@@ -132,7 +132,7 @@
 	p.expectedUp = false
 	downtime := n.beginDowntimeLocked()
 	if sig == syscall.SIGTERM {
-		n.downtimes[downtime].Stopped, n.downtimes[downtime].StopAt = true, fakes.NowMs()
+		n.downtimes[downtime].Stopped, n.downtimes[downtime].StopRequestedAt = true, fakes.NowMs()
 		n.downtimes[downtime].From = n.downtimes[downtime].To // what it has taken has to be answered still
 	}
 	n.mu.Unlock()
--- a/internal/testbed/servermodel/cluster.go
+++ b/internal/testbed/servermodel/cluster.go
@@ -17,10 +17,10 @@
 
 // Cluster models cache servers and their origin.
 type Cluster struct {
-	Servers      []*Server
-	Costs        map[string]Cost // by request class
-	ValueSize    int             // bytes of a value
-	FetchThrough bool            // there is no origin: caches do its work at its cost and share the records that deduplicate writes
+	Servers           []*Server
+	Costs             map[string]Cost // by request class
+	ValueSize         int             // bytes of a value
+	CachesActAsOrigin bool            // there is no origin: caches do its work at its cost and share the records that deduplicate writes
 
 	Executions       []*Execution // every submitted execution, if RecordExecutions is set
 	RecordExecutions bool
--- a/internal/testbed/servermodel/execution.go
+++ b/internal/testbed/servermodel/execution.go
@@ -49,7 +49,7 @@
 	s.reads++
 	missed := !s.Origin && (request.Write || !s.cache.contains(request.Key))
 	switch {
-	case missed && c.FetchThrough:
+	case missed && c.CachesActAsOrigin:
 		work = work*missCostShare + cost.draw(cost.Origin, request.RequestID, request.Key, "fetch")
 	case missed:
 		work *= missCostShare
@@ -117,7 +117,7 @@
 // complete produces the result of an execution whose work is done.
 func (c *Cluster) complete(now float64, s *Server, e *Execution) {
 	switch {
-	case e.Write && (s.Origin || c.FetchThrough):
+	case e.Write && (s.Origin || c.CachesActAsOrigin):
 		c.markUsed(s, e.Key)
 		c.applyWrite(now, e)
 	case s.Origin:
@@ -137,7 +137,7 @@
 // readCache responds with a cache's copy of a key, or with a miss. Writes always miss, because the origin executes them.
 func (c *Cluster) readCache(now float64, s *Server, e *Execution) {
 	object, found := s.cache.get(e.Key)
-	if c.FetchThrough && !found {
+	if c.CachesActAsOrigin && !found {
 		object, found = c.currentObject(e.Key), true
 		s.cache.put(object)
 	}
--- a/internal/testbed/simulator/simulation.go
+++ b/internal/testbed/simulator/simulation.go
@@ -82,7 +82,7 @@
 		recorder: experiment.NewExecutionRecorder(x),
 		checker:  invariants.NewChecker(x.Rules.DrainGrace.Milliseconds(), x.InvariantSlackMs()),
 	}
-	s.cluster.FetchThrough, s.cluster.RecordExecutions = x.Fleet.FetchThrough, false
+	s.cluster.CachesActAsOrigin, s.cluster.RecordExecutions = x.Fleet.FetchThrough, false
 	for i, spec := range x.ServerSpecs() {
 		s.servers = append(s.servers, newServer(s, i, spec))
 	}
--- a/internal/testbed/simulator/simulator.go
+++ b/internal/testbed/simulator/simulator.go
@@ -43,9 +43,9 @@
 // unsupportedFigures are figures of processes and machines. A simulated run does not have them.
 var unsupportedFigures = []string{"node_memory_mb", "node_descriptors"}
 
-// Prepare checks that an experiment can be simulated. It returns a copy of the experiment without the expectations that a simulation
-// cannot evaluate, and the figures of these expectations.
-func Prepare(x *experiment.Experiment) (prepared *experiment.Experiment, skipped []string, err error) {
+// SupportedExperiment checks that an experiment can be simulated. It returns a copy of the experiment without the expectations that a
+// simulation cannot evaluate, and the figures of these expectations.
+func SupportedExperiment(x *experiment.Experiment) (supported *experiment.Experiment, skipped []string, err error) {
 	for i, step := range x.Steps {
 		if requirement, unsupported := unsupportedActions[step.Action]; unsupported {
 			return nil, nil, x.FieldErrorf(fmt.Sprintf("at[%d].do", i), "%s cannot be simulated: %s", step.Action, requirement)
@@ -62,16 +62,16 @@
 	case x.Load.ValueBytes > maxValueBytes:
 		return nil, nil, x.FieldErrorf("load.bytes", "%d cannot be simulated: values over %d bytes pass in pieces", x.Load.ValueBytes, maxValueBytes)
 	}
-	supported := *x
-	supported.Expectations = nil
+	filtered := *x
+	filtered.Expectations = nil
 	for _, e := range x.Expectations {
 		if slices.Contains(unsupportedFigures, e.Figure) {
 			skipped = append(skipped, e.Figure)
 			continue
 		}
-		supported.Expectations = append(supported.Expectations, e)
+		filtered.Expectations = append(filtered.Expectations, e)
 	}
-	return &supported, skipped, nil
+	return &filtered, skipped, nil
 }
 
 // Run runs an experiment on the virtual clock and returns the measurements.
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -237,23 +237,23 @@
 	}
 }
 
-// Prepare rejects a feature that cannot be simulated with its name and, for a step, its line. Expectations on unsupported figures are
+// SupportedExperiment rejects a feature that cannot be simulated with its name and, for a step, its line. Expectations on unsupported figures are
 // dropped and reported as skipped.
 func TestPrepareRefusesWhatCannotBeSimulated(t *testing.T) {
 	for text, want := range map[string]string{
 		smallFleet + stepTOML(1, "replace_node", "node = 0"):               "small.toml:41: at[0].do: replace_node cannot be simulated",
 		strings.Replace(smallFleet, "[load]", "[load]\nbytes = 100000", 1): "load.bytes: 100000 cannot be simulated",
 	} {
-		if _, _, err := Prepare(parseExperiment(t, text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, _, err := SupportedExperiment(parseExperiment(t, text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%v, want %q", err, want)
 		}
 	}
 	limit := 40.0
 	x := parseExperiment(t, smallFleet)
 	x.Expectations = []experiment.Expectation{{Figure: "node_memory_mb", AtMost: &limit}, {Figure: "p50_ms", AtMost: &limit}}
-	prepared, skipped, err := Prepare(x)
-	if err != nil || len(skipped) != 1 || len(prepared.Expectations) != 1 || len(x.Expectations) != 2 {
-		t.Errorf("skipped %v, %d of %d expectations, %v", skipped, len(prepared.Expectations), len(x.Expectations), err)
+	supported, skipped, err := SupportedExperiment(x)
+	if err != nil || len(skipped) != 1 || len(supported.Expectations) != 1 || len(x.Expectations) != 2 {
+		t.Errorf("skipped %v, %d of %d expectations, %v", skipped, len(supported.Expectations), len(x.Expectations), err)
 	}
 	if _, err := Run(context.Background(), x, Options{MaxEvents: 1000}); err == nil || !strings.Contains(err.Error(), "over 1000 events") {
 		t.Errorf("%v", err)
--- a/internal/testbed/simulator/system.go
+++ b/internal/testbed/simulator/system.go
@@ -40,7 +40,7 @@
 	return nil
 }
 
-// unsupported returns the error for an operation that cannot be simulated. Prepare rejects experiments with such steps.
+// unsupported returns the error for an operation that cannot be simulated. SupportedExperiment rejects experiments with such steps.
 func unsupported(operation string) error { return fmt.Errorf("%s cannot be simulated", operation) }
 
 // nodeControl implements experiment.NodeControl for a simulated node.
