--- a/cmd/mintspring/main_test.go
+++ b/cmd/mintspring/main_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// TestListenWaits checks that listen waits until an address is no longer in use.
-func TestListenWaits(t *testing.T) {
+// TestListenWaitsForAddress checks that listen waits until an address is no longer in use.
+func TestListenWaitsForAddress(t *testing.T) {
 	anyPort, err := loopback.AnyPort()
 	if err != nil {
 		t.Fatal(err)
--- a/decide/origin_test.go
+++ b/decide/origin_test.go
@@ -118,7 +118,7 @@
 }
 
 // In a large fleet, late responses reduce the window of a node at the origin below one read. A silent origin gets no second read.
-func TestManyNodesPaceOrigin(t *testing.T) {
+func TestOriginWindowBelowOneRead(t *testing.T) {
 	h := newHarnesses(400, 4, testLimits())[0]
 	for i := range 60 {
 		trace := h.read(fleet.Key(i))
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -119,7 +119,7 @@
 }
 
 // A node sends fewer trial requests to an outlier while other nodes send some too, and the nodes do not all begin at the same moment.
-func TestTrialsSharedWithOtherNodes(t *testing.T) {
+func TestTrialRequestsAreSharedWithOtherNodes(t *testing.T) {
 	_, alone := trialGaps(0)
 	first, mean := trialGaps(100 * alone)
 	if mean < 80*alone || mean > 120*alone || first == 100*alone {
--- a/decide/ring_test.go
+++ b/decide/ring_test.go
@@ -8,7 +8,7 @@
 	"mintspring/internal/fleet"
 )
 
-func TestShiftAndLevel(t *testing.T) {
+func TestPointShiftAndLoadLevel(t *testing.T) {
 	expectNear := func(name string, got, want float64) {
 		t.Helper()
 		if math.Abs(got-want) > 1e-9 {
@@ -109,7 +109,7 @@
 
 // Without load reports, the arcs of a large fleet have nearly the same length, and nodes with the same endpoint list agree in whatever
 // order they got its entries. A server that leaves moves few keys, and gets them all back when it returns.
-func TestEvenRing(t *testing.T) {
+func TestArcsAreEvenWithoutLoadReports(t *testing.T) {
 	const size = 80
 	h, other := newHarness(testLimits()), newHarness(testLimits())
 	h.listServers(size)
--- a/decide/routing_test.go
+++ b/decide/routing_test.go
@@ -34,7 +34,7 @@
 
 // While most responses are late, requests that no server can answer in time are rejected at once with a Retry-After. Without new late
 // responses, the node admits requests again.
-func TestOverloadIsShedAndEnds(t *testing.T) {
+func TestLateRequestsAreRejectedUnderOverload(t *testing.T) {
 	limits := testLimits()
 	limits.OriginKind = -1
 	h := newHarness(limits)
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -191,7 +191,7 @@
 // Where a node has its own evidence of a server, restored evidence is weighted by age: the more recent of the two counts for more,
 // whichever comes first, and neither is lost. A successor process once kept the evidence of its first response, although its
 // predecessor's evidence was much more recent.
-func TestRestoreWeighsByAge(t *testing.T) {
+func TestRestoreWeightsEvidenceByAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var slab fleet.Slab
 		n := New(1000, testLimits(), &slab)
--- a/internal/cli/printer_test.go
+++ b/internal/cli/printer_test.go
@@ -32,8 +32,9 @@
 	}
 }
 
-// TestPrintsAboutFiles checks that errors of files are printed and counted, and that deprecated names are printed with their lines.
-func TestPrintsAboutFiles(t *testing.T) {
+// TestPrintFileErrorsAndWarnings checks that errors of files are printed and counted, and that deprecated names are printed with their
+// lines.
+func TestPrintFileErrorsAndWarnings(t *testing.T) {
 	var out strings.Builder
 	p := NewPrinter(&out)
 	if err := p.PrintFileErrors(nil, nil); err != nil {
--- a/internal/cluster/faultrelay/relay_test.go
+++ b/internal/cluster/faultrelay/relay_test.go
@@ -27,7 +27,7 @@
 }
 
 // Each fault has its effect in one direction only, and the same effect for the same seed.
-func TestFaults(t *testing.T) {
+func TestLinkFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		faults Link
 		check  func(all []Delivery) bool
@@ -115,7 +115,7 @@
 }
 
 // Datagrams arrive from the address that the receiver uses for the sender, unless the link is cut.
-func TestRelay(t *testing.T) {
+func TestRelayedAddresses(t *testing.T) {
 	r := newRelayTest(t, 3)
 	r.send(0, 2, "one")
 	if text, from := r.receive(2); text != "one" || from != r.Addr(2, 0) {
--- a/internal/cluster/idempotency/acceptor_test.go
+++ b/internal/cluster/idempotency/acceptor_test.go
@@ -93,7 +93,7 @@
 }
 
 // A late MsgAccept does not make a copied record younger: the acceptor counts the record's age from its promise.
-func TestAgesThroughLateMessages(t *testing.T) {
+func TestLateAcceptDoesNotReduceAge(t *testing.T) {
 	c := newTestCore(0, nil, nil)
 	c.Advance(deliver(c, 100, newPrepare(1, 1)))
 	c.Advance(deliver(c, 4100, newAccept(1, Record{State: StateInFlight, Claim: testClaim(1), TimeoutMs: 100})))
@@ -110,7 +110,7 @@
 }
 
 // The proposer of a claim settles it in one phase: an acceptor that votes for the claim also promises the next ballot.
-func TestSettleInOnePhase(t *testing.T) {
+func TestClaimIsSettledInOnePhase(t *testing.T) {
 	c := newTestCore(0, nil, nil)
 	c.Advance(deliver(c, 1, newPrepare(1, 1)))
 	c.Advance(deliver(c, 2, newAccept(1, Record{State: StateInFlight, Claim: testClaim(1)})))
--- a/internal/cluster/idempotency/catchup_test.go
+++ b/internal/cluster/idempotency/catchup_test.go
@@ -6,7 +6,7 @@
 )
 
 // Once a member with new storage has requested its records, each vote of the other members lists the new storage.
-func TestAnswersNameNewStorage(t *testing.T) {
+func TestVotesListNewStorage(t *testing.T) {
 	c := newTestCore(1, nil, nil)
 	deliver(c, 1, Message{Type: MsgCatchUp, From: 0, StorageIncarnation: 60})
 	r := deliver(c, 2, newPrepare(2, 1))
@@ -21,7 +21,7 @@
 
 // A member votes once one of two others knows its storage. A process with the same member number and an earlier storage incarnation asks
 // both others, and learns from that one that its storage is superseded.
-func TestVotesOnceItsStorageIsKnown(t *testing.T) {
+func TestMemberVotesOncePeerKnowsStorage(t *testing.T) {
 	stored := NewStoredState()
 	stored.CaughtUpStorage = testStorage
 	c := New(0, newTestCore(0, nil, nil).config, stored)
@@ -80,7 +80,7 @@
 }
 
 // If both others are gone, new storage waits until all records of the previous storage have expired.
-func TestNewStorageAlone(t *testing.T) {
+func TestNewStorageWaitsWithoutPeers(t *testing.T) {
 	c := newTestCore(0, NewStoredState(), nil)
 	c.Tick(10e3)
 	if c.CaughtUp() {
--- a/internal/cluster/idempotency/simcluster/cluster_test.go
+++ b/internal/cluster/idempotency/simcluster/cluster_test.go
@@ -80,7 +80,7 @@
 
 // In a group of thirty members that lose their disks one after another, no operation is executed twice, and members that lost their disk
 // catch up.
-func TestManyMembers(t *testing.T) {
+func TestDiskLossesInLargeGroup(t *testing.T) {
 	report := SimulateLoad(30, 300, 6, 1)
 	for _, violation := range report.Violations {
 		t.Error(violation)
--- a/internal/cluster/idempotency/storage/storage_test.go
+++ b/internal/cluster/idempotency/storage/storage_test.go
@@ -75,7 +75,7 @@
 }
 
 // An initial data directory can be created only once, and counts as caught up.
-func TestCreate(t *testing.T) {
+func TestInitialDirectoryIsCreatedOnce(t *testing.T) {
 	dir := testDir(t)
 	if err := Create(dir, testOwner, 60); err != nil {
 		t.Fatal(err)
--- a/internal/cluster/lease/lease_test.go
+++ b/internal/cluster/lease/lease_test.go
@@ -69,7 +69,7 @@
 }
 
 // A fence rejects operations under a token lower than one that it has seen for the same lease.
-func TestFence(t *testing.T) {
+func TestFenceRejectsLowerTokens(t *testing.T) {
 	var f Fence
 	for _, c := range []struct {
 		token Token
--- a/internal/cluster/outlier/detector_test.go
+++ b/internal/cluster/outlier/detector_test.go
@@ -48,7 +48,7 @@
 
 // Evidence from two sources lowers the threshold, evidence from one does not. It expires unless it is renewed. Responses that other nodes
 // received raise the threshold only if the node itself observes failures of the server.
-func TestBias(t *testing.T) {
+func TestEvidenceBiasesThreshold(t *testing.T) {
 	n := newNode(12)
 	n.receive(1, 7, wire.Failing)
 	n.tick(200)
@@ -245,7 +245,7 @@
 }
 
 // Failing reports do not count if their source reports half of all servers, as a node that is partitioned from them does.
-func TestExcessiveAccuser(t *testing.T) {
+func TestReportsOnHalfOfServersAreIgnored(t *testing.T) {
 	n := newNode(40)
 	for server := range uint32(20) {
 		for source := cluster.NodeID(1); source <= 6; source++ {
--- a/internal/cluster/quota/lend_test.go
+++ b/internal/cluster/quota/lend_test.go
@@ -20,7 +20,7 @@
 func lentUnits(ledger *Ledger, now float64) uint32 { return ledger.Status(now)[0].LentUnits }
 
 // Of two leases to one process, the larger counts until it expires. Leases to two incarnations add up.
-func TestLentUnits(t *testing.T) {
+func TestLentUnitsOfOverlappingLeases(t *testing.T) {
 	const start = 2.0 * leaseMs
 	ledger := New(0, Config{Self: 0, QuotaOwners: 2, MaxNodes: 2, LeaseMs: leaseMs}, 1)
 	mustGrant(t, ledger, start, 5, 1, 100_000)
@@ -42,7 +42,7 @@
 }
 
 // A duplicate request, or one that arrives after a later request, is not granted again.
-func TestDuplicateRequest(t *testing.T) {
+func TestDuplicateLeaseRequestIsNotGranted(t *testing.T) {
 	const start = 2.0 * leaseMs
 	ledger := New(0, Config{Self: 0, QuotaOwners: 2, MaxNodes: 2, LeaseMs: leaseMs}, 1)
 	mustGrant(t, ledger, start, 5, 2, 1000)
--- a/internal/cluster/wire/wire_test.go
+++ b/internal/cluster/wire/wire_test.go
@@ -96,7 +96,7 @@
 }
 
 // A message of a later version is decoded as far as it is understood.
-func TestLaterVersion(t *testing.T) {
+func TestLaterVersionIsPartlyDecoded(t *testing.T) {
 	m := &Message{Kind: Ping, From: 3, Updates: []MemberUpdate{{Node: 4, State: Alive}}}
 	b := m.Append(nil)
 	b[2] = Version + 1
--- a/internal/config/operatorfile/operatorfile_test.go
+++ b/internal/config/operatorfile/operatorfile_test.go
@@ -14,8 +14,8 @@
 
 var allSections = []string{"log", "connections", "snapshot", "fleet", "consensus", "idempotency"}
 
-// TestSections: each field of File except Deprecated is a section, and sections lists them under their names in the file.
-func TestSections(t *testing.T) {
+// TestSectionsListAllFields: each field of File except Deprecated is a section, and sections lists them under their names in the file.
+func TestSectionsListAllFields(t *testing.T) {
 	var names []string
 	for _, field := range reflect.VisibleFields(reflect.TypeFor[File]()) {
 		if name := field.Tag.Get("toml"); name != "-" {
@@ -43,8 +43,8 @@
 // idempotencySection is a section with three members, on four lines.
 const idempotencySection = "[idempotency]\nname = \"b\"\nmembers = [\"127.0.0.1:1\", \"127.0.0.1:2\", \"127.0.0.1:3\"]\ndata_dir = \"f\"\n"
 
-// TestDeployed: all sections in deploy/operator.toml, which are comments there, are valid when uncommented.
-func TestDeployed(t *testing.T) {
+// TestDeployedFileIsValid: all sections in deploy/operator.toml, which are comments there, are valid when uncommented.
+func TestDeployedFileIsValid(t *testing.T) {
 	b, err := os.ReadFile(filepath.Join("..", "..", "..", "deploy", "operator.toml"))
 	if err != nil {
 		t.Fatal(err)
@@ -83,8 +83,8 @@
 	}
 }
 
-// TestFaults: an error is one line with the file, the line and the field.
-func TestFaults(t *testing.T) {
+// TestErrorsNameLineAndField: an error is one line with the file, the line and the field.
+func TestErrorsNameLineAndField(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\n\nformat = \"xml\"\n":        "op.toml:3: log.format: ",
 		"[log]\nlevel = \"loud\"\n":          "op.toml:2: log.level: ",
--- a/internal/controlplane/controller/core_test.go
+++ b/internal/controlplane/controller/core_test.go
@@ -199,9 +199,9 @@
 	}
 }
 
-// TestEpochIsRaised checks that a process whose clock was set back raises its epoch above the versions that proxies hold, but not too often
-// and not above versions too far ahead of its clock.
-func TestEpochIsRaised(t *testing.T) {
+// TestEpochIsRaisedAboveHeldVersions checks that a process whose clock was set back raises its epoch above the versions that proxies hold,
+// but not too often and not above versions too far ahead of its clock.
+func TestEpochIsRaisedAboveHeldVersions(t *testing.T) {
 	now := 1e12
 	c := newStartedCore(t, now, 1, 3)
 	ownVersion := c.Snapshots()[0].Version
@@ -225,8 +225,9 @@
 	}
 }
 
-// TestDiscoveryFails checks that the last snapshot stays in use while discovery fails, and that invalid entries do not affect the others.
-func TestDiscoveryFails(t *testing.T) {
+// TestSnapshotStaysWhileDiscoveryFails checks that the last snapshot stays in use while discovery fails, and that invalid entries do not
+// affect the others.
+func TestSnapshotStaysWhileDiscoveryFails(t *testing.T) {
 	now := 1e6
 	c := newStartedCore(t, now, 1, 5)
 	previous := c.Snapshots()[0]
--- a/internal/controlplane/loadreport/loadreport_test.go
+++ b/internal/controlplane/loadreport/loadreport_test.go
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestReportsAreDropped checks that stale reports, reports of more than MaxProxies proxies and reports on removed servers are dropped.
-func TestReportsAreDropped(t *testing.T) {
+// TestStaleExcessAndRemovedReportsAreDropped checks that stale reports, reports of more than MaxProxies proxies and reports on removed
+// servers are dropped.
+func TestStaleExcessAndRemovedReportsAreDropped(t *testing.T) {
 	a := New(Config{MinReporters: 2, MaxAgeMs: 1000, MaxProxies: 3})
 	for i := range 5 {
 		if kept := a.Add(float64(i), fmt.Sprint("p", i), "s", Report{0.5, 1, unreported, 1}); kept != (i < 3) {
--- a/internal/controlplane/snapshot/golden_test.go
+++ b/internal/controlplane/snapshot/golden_test.go
@@ -76,8 +76,8 @@
 	return message + "-" + strings.ReplaceAll(name, "/", "-") + ".pb"
 }
 
-// TestGoldenDecodes checks that the golden files are decoded to the values that they were encoded from.
-func TestGoldenDecodes(t *testing.T) {
+// TestGoldenFilesAreDecoded checks that the golden files are decoded to the values that they were encoded from.
+func TestGoldenFilesAreDecoded(t *testing.T) {
 	input := goldenInput()
 	var c cluster.Cluster
 	var a endpoint.ClusterLoadAssignment
--- a/internal/hotkeys/hotkeys_test.go
+++ b/internal/hotkeys/hotkeys_test.go
@@ -37,7 +37,7 @@
 }
 
 // Top holds the hottest keys, even if other keys came first.
-func TestTop(t *testing.T) {
+func TestTopHoldsHottestKeys(t *testing.T) {
 	var c Counts
 	var top Top
 	for round := range 300 {
--- a/internal/node/admin/admin_test.go
+++ b/internal/node/admin/admin_test.go
@@ -98,7 +98,7 @@
 	return string(reply)
 }
 
-func TestCalls(t *testing.T) {
+func TestCommandReplies(t *testing.T) {
 	addr, _ := startRecordingServer(t)
 	for text, want := range map[string]string{
 		"status\n":                              "OK status\n",
--- a/internal/node/clients/closing_test.go
+++ b/internal/node/clients/closing_test.go
@@ -40,7 +40,7 @@
 
 // On standby, new and open connections are served for as long as the load balancer may send any. Then they are closed after their
 // replies, and idle ones early enough that no request on them outlasts the drain.
-func TestStandbyAndBack(t *testing.T) {
+func TestStandbyClosesConnections(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		state := &lifecycle.State{}
 		state.MarkEndpointsKnown()
--- a/internal/node/clients/limits_test.go
+++ b/internal/node/clients/limits_test.go
@@ -179,7 +179,7 @@
 }
 
 // A value that is far too large is not read to its end: reading 60 MB took a quarter of a second.
-func TestHugeValueIsNotRead(t *testing.T) {
+func TestHugeValueIsNotReadToItsEnd(t *testing.T) {
 	h := newHarness(t)
 	c := h.dial()
 	c.send("*5\r\n$6\r\nKV.SET\r\n$1\r\nk\r\n$1\r\n1\r\n$6\r\nc=read\r\n$60000000\r\n")
--- a/internal/node/connpool/policy_test.go
+++ b/internal/node/connpool/policy_test.go
@@ -17,7 +17,7 @@
 }
 
 // Attempts wait for a cooling connection until their total wait reaches DialAfterWait; then one more connection is dialed.
-func TestDialsOnceWaitingCostsMore(t *testing.T) {
+func TestDialsAfterMaximumWait(t *testing.T) {
 	p := NewPolicy(defaultConfig(), 1, 0)
 	s := State{Open: 1, CoolingDown: 1, Waiting: 1}
 	for i := range 10 {
@@ -38,7 +38,7 @@
 }
 
 // All nodes together hold no more connections than the server accepts, but each node may hold one.
-func TestLimitOfAllNodes(t *testing.T) {
+func TestConnectionLimitOfAllNodes(t *testing.T) {
 	for _, c := range []struct{ maxConns, nodes, want int }{{100, 20, 5}, {10, 3, 3}, {4, 20, 1}, {0, 20, math.MaxInt32}} {
 		config := defaultConfig()
 		config.MaxConns, config.Nodes = c.maxConns, c.nodes
--- a/internal/node/discovery/client_test.go
+++ b/internal/node/discovery/client_test.go
@@ -114,9 +114,9 @@
 	}
 }
 
-// TestTimeoutsAddUp: a change is known within 6 s even if a call fails first. A watch that stops receiving data or a call that never reaches
-// the service, followed by the backoff of the decision module, leaves enough time for the response of another call.
-func TestTimeoutsAddUp(t *testing.T) {
+// TestChangeIsKnownWithinMaxDelay: a change is known within 6 s even if a call fails first. A watch that stops receiving data or a call
+// that never reaches the service, followed by the backoff of the decision module, leaves enough time for the response of another call.
+func TestChangeIsKnownWithinMaxDelay(t *testing.T) {
 	const maxDelay, shortestBackoff, longestBackoff, responseTime = 6 * time.Second, time.Second, 1500 * time.Millisecond, 1500 * time.Millisecond
 	if sum := DefaultIdleTimeout + shortestBackoff + responseTime; sum > maxDelay {
 		t.Errorf("after a watch without data a change is known in %v", sum)
--- a/internal/node/exclusion/exclusion_test.go
+++ b/internal/node/exclusion/exclusion_test.go
@@ -20,9 +20,9 @@
 	readmitted map[string]Interval
 }
 
-// TestSet calls the methods in any order with listed and unlisted ids, and hands the set over at any time. A server is excluded from Exclude
-// until Readmit, and an id that was never listed is refused.
-func TestSet(t *testing.T) {
+// TestSetInvariants calls the methods in any order with listed and unlisted ids, and hands the set over at any time. A server is excluded
+// from Exclude until Readmit, and an id that was never listed is refused.
+func TestSetInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &setModel{set: New(), now: 1000, listed: map[string]bool{}, excluded: map[string]float64{}, readmitted: map[string]Interval{}}
 		t.Repeat(map[string]func(*rapid.T){
--- a/internal/node/fdlimit/fdlimit_test.go
+++ b/internal/node/fdlimit/fdlimit_test.go
@@ -11,9 +11,9 @@
 	return count
 }
 
-// TestNeitherOwnerUsesUpTheOther: of 300 descriptors, 24 are reserved for the process. Servers leave 100 for clients, which is a third of the
-// limit, and clients hold at most 150, half of the limit.
-func TestNeitherOwnerUsesUpTheOther(t *testing.T) {
+// TestReservedDescriptorsPerOwner: of 300 descriptors, 24 are reserved for the process. Servers leave 100 for clients, which is a third of
+// the limit, and clients hold at most 150, half of the limit.
+func TestReservedDescriptorsPerOwner(t *testing.T) {
 	b := New(300, 0)
 	if got := acquireAll(b, Server); got != 176 {
 		t.Errorf("servers got %d descriptors", got)
@@ -33,9 +33,9 @@
 	}
 }
 
-// TestEvictorsMakeRoom: evictors are tried in order and only for owners whose connections may be evicted. After a successful eviction the
-// descriptor is acquired.
-func TestEvictorsMakeRoom(t *testing.T) {
+// TestEvictorsFreeDescriptors: evictors are tried in order and only for owners whose connections may be evicted. After a successful
+// eviction the descriptor is acquired.
+func TestEvictorsFreeDescriptors(t *testing.T) {
 	b := New(300, 0)
 	var calls []string
 	evict := func(name string, owner Owner, succeeds bool) func() bool {
--- a/internal/node/hotrestart/channel_test.go
+++ b/internal/node/hotrestart/channel_test.go
@@ -57,9 +57,9 @@
 	return h.recordingHandler.SuccessorJoined(c)
 }
 
-// TestStateComesFirst: the predecessor sends nothing before the state. A successor that received another message first treated it as
+// TestStateIsSentFirst: the predecessor sends nothing before the state. A successor that received another message first treated it as
 // malformed and served on its own, beside the predecessor.
-func TestStateComesFirst(t *testing.T) {
+func TestStateIsSentFirst(t *testing.T) {
 	path := t.TempDir()
 	if err := openDir(t, path).Listen(earlyReportHandler{newRecordingHandler()}); err != nil {
 		t.Fatal(err)
@@ -184,9 +184,9 @@
 	}
 }
 
-// TestClientsArrive: client connections are handed over with their unread bytes and keep working. That includes the connections that the
-// predecessor sends just before it ends, even if a write of the successor fails meanwhile because the predecessor no longer reads.
-func TestClientsArrive(t *testing.T) {
+// TestClientsAreHandedOver: client connections are handed over with their unread bytes and keep working. That includes the connections that
+// the predecessor sends just before it ends, even if a write of the successor fails meanwhile because the predecessor no longer reads.
+func TestClientsAreHandedOver(t *testing.T) {
 	_, successor, predecessorEnd, successorEnd := joinedPair(t, t.TempDir())
 	const count = 60
 	var clients []net.Conn
--- a/internal/node/hotrestart/dir_test.go
+++ b/internal/node/hotrestart/dir_test.go
@@ -32,9 +32,9 @@
 	}
 }
 
-// TestBadPredecessors: Join reports no predecessor for the socket of a process that has ended, and an error for a process that has another
-// protocol version or sends nothing or malformed messages.
-func TestBadPredecessors(t *testing.T) {
+// TestJoinRejectsInvalidPredecessors: Join reports no predecessor for the socket of a process that has ended, and an error for a process
+// that has another protocol version or sends nothing or malformed messages.
+func TestJoinRejectsInvalidPredecessors(t *testing.T) {
 	path := t.TempDir()
 	dir := openDir(t, path)
 	if h, err := dir.Join(); h != nil || err != nil {
--- a/internal/node/hotrestart/golden_test.go
+++ b/internal/node/hotrestart/golden_test.go
@@ -94,8 +94,9 @@
 	expectMessage(t, raw, "done.bin")
 }
 
-// TestGoldenPredecessor runs this predecessor against a successor that sends and expects fixed bytes, which an earlier build wrote.
-func TestGoldenPredecessor(t *testing.T) {
+// TestPredecessorWithGoldenMessages runs this predecessor against a successor that sends and expects fixed bytes, which an earlier build
+// wrote.
+func TestPredecessorWithGoldenMessages(t *testing.T) {
 	path, h := t.TempDir(), newRecordingHandler()
 	h.state = goldenState()
 	h.state.Version = 0 // set when the state is sent
@@ -114,8 +115,9 @@
 	checkMessages(t, c, h, raw)
 }
 
-// TestGoldenSuccessor runs this successor against a predecessor that sends and expects fixed bytes, which an earlier build wrote.
-func TestGoldenSuccessor(t *testing.T) {
+// TestSuccessorWithGoldenMessages runs this successor against a predecessor that sends and expects fixed bytes, which an earlier build
+// wrote.
+func TestSuccessorWithGoldenMessages(t *testing.T) {
 	path, h := t.TempDir(), newRecordingHandler()
 	ln, err := net.Listen("unix", filepath.Join(path, "process.sock"))
 	if err != nil {
--- a/internal/node/idempotency_test.go
+++ b/internal/node/idempotency_test.go
@@ -176,7 +176,7 @@
 
 // A replica whose data directory cannot be opened at the start, because of a system error and not of its contents, stores records once it can
 // be opened.
-func TestDataDirIsOpenedLater(t *testing.T) {
+func TestReplicaOpensDataDirAfterTransientError(t *testing.T) {
 	var dir string
 	tc := newTestCluster(t, 1, serveHit, echoOrigin, singleReplica(t, func(section *operatorfile.Idempotency) {
 		dir = section.DataDir + "-later"
--- a/internal/node/lifecycle/lifecycle_test.go
+++ b/internal/node/lifecycle/lifecycle_test.go
@@ -16,8 +16,8 @@
 
 func (m *model) onStandby() bool { return m.standbySince >= 0 }
 
-// TestState calls the methods in any order and checks the readiness of the node and the times of the drain.
-func TestState(t *testing.T) {
+// TestStateInvariants calls the methods in any order and checks the readiness of the node and the times of the drain.
+func TestStateInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s State
 		m := model{now: 1000, standbySince: -1}
--- a/internal/node/requestclass/requestclass_test.go
+++ b/internal/node/requestclass/requestclass_test.go
@@ -76,7 +76,7 @@
 
 // While the settings change, the id of each request in flight keeps the class under which the request arrived, and names refer to the
 // classes of the latest settings.
-func TestTable(t *testing.T) {
+func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { t.Repeat(rapid.StateMachineActions(&tableModel{})) })
 }
 
--- a/internal/node/serverstart/serverstart_test.go
+++ b/internal/node/serverstart/serverstart_test.go
@@ -10,8 +10,9 @@
 	now  = 1_000_000_000.0
 )
 
-// TestObserve: a listed time is used if it is plausible; otherwise the start counts as having happened now, however far the clocks are apart.
-func TestObserve(t *testing.T) {
+// TestObserveUsesPlausibleStart: a listed time is used if it is plausible; otherwise the start counts as having happened now, however far
+// the clocks are apart.
+func TestObserveUsesPlausibleStart(t *testing.T) {
 	for _, test := range []struct {
 		name                string
 		listed, confirmedAt float64
--- a/internal/slowstart/slowstart_test.go
+++ b/internal/slowstart/slowstart_test.go
@@ -47,7 +47,7 @@
 // The operators bound what a server in slow start is sent in any window in which it may fail: with N requests of mean work allowed, it may
 // get N + 2*sqrt(N) + 2, or N + 3*sqrt(N) + 3 if N is below 30. The bound holds for one node, for a few, and for hundreds, however unevenly
 // they are loaded. Each node starts with a fraction of a token, as in the decision module, which draws it at random.
-func TestOperatorsBound(t *testing.T) {
+func TestRequestsInSlowStartAreBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SampledFrom([]int{1, 2, 3, 5, 12, 30, 100, 300}).Draw(t, "nodes")
 		mean := rapid.Float64Range(5, 2000).Draw(t, "mean ms between requests of a node")
@@ -106,7 +106,7 @@
 }
 
 // Twice the mean work costs two tokens, unknown work costs one, and the cost has a lower bound.
-func TestCost(t *testing.T) {
+func TestRequestCost(t *testing.T) {
 	var m Meter
 	var b Bucket
 	for at := range 100 {
--- a/internal/state/snapshotfile/store_test.go
+++ b/internal/state/snapshotfile/store_test.go
@@ -39,8 +39,8 @@
 	os.Exit(1)
 }
 
-// TestSIGKILL: a process that is killed at any moment of a write leaves a complete snapshot, and the directory is unlocked.
-func TestSIGKILL(t *testing.T) {
+// TestSnapshotSurvivesSIGKILL: a process that is killed at any moment of a write leaves a complete snapshot, and the directory is unlocked.
+func TestSnapshotSurvivesSIGKILL(t *testing.T) {
 	dir, rng := t.TempDir(), rand.New(rand.NewPCG(1, 2))
 	for range 12 {
 		c := exec.Command(os.Args[0])
@@ -91,8 +91,8 @@
 	}
 }
 
-// TestFallsBack: if the current file is truncated, corrupt, too long or of another version, the previous one is loaded.
-func TestFallsBack(t *testing.T) {
+// TestLoadFallsBackToPreviousFile: if the current file is truncated, corrupt, too long or of another version, the previous one is loaded.
+func TestLoadFallsBackToPreviousFile(t *testing.T) {
 	for name, corrupt := range map[string]func([]byte) []byte{
 		"truncated":       func(b []byte) []byte { return b[:len(b)/2] },
 		"empty":           func([]byte) []byte { return nil },
--- a/internal/testbed/faultsearch/faultsearch_test.go
+++ b/internal/testbed/faultsearch/faultsearch_test.go
@@ -11,7 +11,7 @@
 )
 
 // A seed always generates the same experiment, different seeds generate different ones, and an encoded experiment is decoded unchanged.
-func TestGeneratedExperimentsAreFiles(t *testing.T) {
+func TestGeneratedExperimentsRoundTrip(t *testing.T) {
 	r := DefaultRanges()
 	seen := map[string]uint64{}
 	for seed := range uint64(200) {
@@ -92,7 +92,7 @@
 }
 
 // Every file of ranges in the repository is valid and generates an experiment.
-func TestRangesOfTheRepository(t *testing.T) {
+func TestRepositoryRanges(t *testing.T) {
 	files, err := filepath.Glob("../../../experiments/hunts/*.toml")
 	if err != nil || len(files) == 0 {
 		t.Fatalf("%v, %v", files, err)
--- a/internal/testbed/invariants/invariants_test.go
+++ b/internal/testbed/invariants/invariants_test.go
@@ -155,7 +155,7 @@
 }
 
 // Operations on a node change what the rules require of it, each after its own limit or grace.
-func TestOperations(t *testing.T) {
+func TestOperationsChangeRules(t *testing.T) {
 	checkEach(t, map[string]ruleCase{
 		"notified in a takeover":  {takeoverEvidence(1750), ""},
 		"sent after a takeover":   {takeoverEvidence(1650), "rule 3: request other was sent to server 0"},
@@ -177,7 +177,7 @@
 }
 
 // Each kind of violation is found, and similar cases that the rules allow are not reported.
-func TestEachRule(t *testing.T) {
+func TestEachViolationIsDetected(t *testing.T) {
 	duplicated := func(a *ClientAttempt) { a.DuplicateResponse = true }
 	wrongKey := func(a *ClientAttempt) { a.WrongKey = true }
 	const served, failed, rejected = servermodel.Served, servermodel.Failed, servermodel.Rejected
--- a/internal/testbed/simulator/agree_test.go
+++ b/internal/testbed/simulator/agree_test.go
@@ -11,7 +11,7 @@
 
 // Compares a run of real nodes with fake servers to a simulated run. The figures must agree within bounds that a shared machine can keep,
 // which guards against a model that is too optimistic. The test is skipped if the machine is too busy to run real nodes on time.
-func TestAgreesWithRealNodes(t *testing.T) {
+func TestSimulationAgreesWithRealNodes(t *testing.T) {
 	x := parseExperiment(t, smallFleet+stepTOML(1.5, "kill", "box = \"box-0\"\nfor = \"1s\"")+stepTOML(3, "drain", "box = \"box-1\""))
 	realRun, err := processrunner.Play(context.Background(), x, processrunner.Options{
 		Program: "real", InProcess: processrunner.ServeInProcess, Dir: t.TempDir(),
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -158,7 +158,7 @@
 }
 
 // Fleets of extreme sizes and simultaneous faults must not break a rule, and must keep a minimum share of requests within the objective.
-func TestHardCases(t *testing.T) {
+func TestExtremeFleetsAndSimultaneousFaults(t *testing.T) {
 	smallest := strings.NewReplacer(`zones = ["a", "b"]`, `zones = ["a"]`, "count = 4", "count = 1\ncores = 8", "count = 3", "count = 1").Replace(smallFleet)
 	for name, c := range map[string]struct {
 		text           string
@@ -239,7 +239,7 @@
 
 // SupportedExperiment rejects a feature that cannot be simulated with its name and, for a step, its line. Expectations on unsupported figures are
 // dropped and reported as skipped.
-func TestPrepareRefusesWhatCannotBeSimulated(t *testing.T) {
+func TestUnsupportedFeaturesAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		smallFleet + stepTOML(1, "replace_node", "node = 0"):               "small.toml:41: at[0].do: replace_node cannot be simulated",
 		strings.Replace(smallFleet, "[load]", "[load]\nbytes = 100000", 1): "load.bytes: 100000 cannot be simulated",
