--- a/decide/decide.go
+++ b/decide/decide.go
@@ -302,8 +302,8 @@
 	return n.send(req, s)
 }
 
-// send returns the decision to send an attempt with all the remaining time as its timeout: shorter ones would end heavy requests on healthy
-// servers.
+// send returns the decision to send an attempt with all the remaining time as its timeout: shorter timeouts would end
+// heavy requests on healthy servers.
 func (n *Node) send(req *fleet.Request, s *server) fleet.Decision {
 	return fleet.Decision{Action: fleet.Send, Server: s.id, Timeout: req.Deadline - n.now}
 }
@@ -333,7 +333,7 @@
 	case fleet.Send:
 		s := n.servers[d.Server]
 		d.SendBy = n.repeatableUntil(req, s)
-		// Wake is reset, because the timer of an earlier hold once led to the cancellation of an attempt that had to stay.
+		// WakeAt is reset: the timer of an earlier hold once led to the cancellation of an attempt that was still needed.
 		d.Attempt, req.WakeAt = req.NumAttempts, 0
 		req.Attempts[req.NumAttempts] = fleet.Attempt{Server: s.id, SentAt: n.now, RequestsAhead: s.requestsAhead()}
 		req.NumAttempts++
@@ -363,8 +363,8 @@
 		n.now <= n.repeatableUntil(req, s)
 }
 
-// repeatableUntil returns the time until which one more attempt of req at s cannot repeat an effect; -Inf if it can
-// already. Without s, it applies to any server.
+// repeatableUntil returns the time until which one more attempt of req at s cannot repeat an effect. The result is -Inf
+// if an attempt could repeat an effect now, and +Inf if it never can. If s is nil, the result holds for every server.
 func (n *Node) repeatableUntil(req *fleet.Request, s *server) float64 {
 	class, until := &n.limits.classes[req.Class], math.Inf(1)
 	for i := range req.Attempts[:req.NumAttempts] {
--- a/decide/health.go
+++ b/decide/health.go
@@ -161,7 +161,7 @@
 func (s *server) isOutlier() bool { return s.failureShare+s.indirectShare >= outlierThreshold }
 
 // SetIndirectEvidence sets what other nodes' evidence adds to a server's failure share, and the interval between this
-// node's trial requests while those nodes send some too. The next one is sent by trialBy.
+// node's trial requests while those nodes send some too. The next trial request is sent at trialBy at the latest.
 func (n *Node) SetIndirectEvidence(id fleet.ServerID, evidence, trialInterval, trialBy float64) {
 	s := n.servers[id]
 	s.indirectShare, s.trialInterval, s.trialAt = evidence, trialInterval, min(s.trialAt, trialBy)
@@ -219,11 +219,11 @@
 	return fleet.Decision{Action: fleet.Cancel, Attempt: req.NumAttempts - 1}
 }
 
-// pickIdleServer returns a server whose idle connections are to be closed, or nil. Deviation from the thesis: where full
-// servers refuse connects, a failed connect means that the nodes together hold too many connections. Each node then
-// halves the number of servers that it stays connected to, first closes the connections that it has used least recently,
-// and slowly raises the number again. Elsewhere nothing is closed: there, one lost server once made nodes close nearly
-// all connections.
+// pickIdleServer returns a server whose idle connections are to be closed, or nil. Deviation from the thesis: if full
+// servers refuse connects (limits.serversRefuseWhenFull), a failed connect means that the nodes together hold too many
+// connections. The node then halves the number of servers that it stays connected to, first closes the connections that
+// it has used least recently, and slowly raises the number again. If full servers do not refuse connects, it closes
+// nothing: the loss of one server once made nodes close nearly all connections.
 func (n *Node) pickIdleServer(s *server, result fleet.Result) *server {
 	refused := result == fleet.ConnectFailed && n.limits.serversRefuseWhenFull
 	if refused {
--- a/decide/list_test.go
+++ b/decide/list_test.go
@@ -6,8 +6,8 @@
 	"mintspring/internal/fleet"
 )
 
-// However often requests for the endpoint list fail, the backoff stays short: soon after the discovery service is back, the rules
-// assume that the node knows the list.
+// The backoff stays short even if many requests for the endpoint list fail, because the rules assume that the node knows the list soon
+// after the discovery service is back.
 func TestPollBackoffIsBounded(t *testing.T) {
 	limits := testLimits()
 	limits.Subscribe, limits.PollWithin = true, 10_000
--- a/decide/outlier_test.go
+++ b/decide/outlier_test.go
@@ -151,14 +151,14 @@
 	return first, mean
 }
 
-// Where full servers refuse connections, a node closes the connections that it has used least recently. Where full servers respond that
-// they are full, a failed connect means that the server is down, and nothing is closed: on real sockets, one lost server once made the
-// nodes open a connection for every second request.
+// If full servers refuse connections, a failed connect makes a node close the connections that it has used least recently. If full
+// servers respond that they are full, a failed connect means that the server is down, and nothing is closed: on real sockets, the loss of
+// one server once made the nodes open a connection for every second request.
 func TestIdleConnectionsAreClosedWhenServersAreFull(t *testing.T) {
 	if closed, ejected := closedAfterConnectFailure(t, true); len(closed) < 4 || !ejected {
 		t.Errorf("closed %v after a failed connect, ejected its server: %v", closed, ejected)
 	}
-	// Where full servers respond that they are full, a failed connect must not eject a server: healthy ones were once ejected all day.
+	// If full servers respond that they are full, a failed connect must not eject a server: healthy servers were once ejected all day.
 	if closed, ejected := closedAfterConnectFailure(t, false); len(closed) > 0 || ejected {
 		t.Errorf("closed %v, ejected the server: %v, though full servers do not refuse connections", closed, ejected)
 	}
--- a/decide/ring.go
+++ b/decide/ring.go
@@ -192,7 +192,8 @@
 			skip, highest = int(j), h
 		}
 	}
-	// A server of the zone may be slower than the owner by a fetch, and without overload also by a latency objective.
+	// The server of the zone is preferred to the owner unless its expected latency is higher by more than a fetch from the
+	// origin takes. Without overload, a latency objective is added to that margin.
 	s, maxExtraLatency := n.firstAvailable(&n.zoneRing, req, skip), n.originLimit.latency
 	if n.lateShare <= overloadLateShare {
 		maxExtraLatency += n.limits.minObjective
--- a/decide/ring_test.go
+++ b/decide/ring_test.go
@@ -107,8 +107,8 @@
 	return nearest
 }
 
-// Without load reports, the arcs of a large fleet have nearly the same length, and nodes with the same endpoint list agree in whatever
-// order they got its entries. A server that leaves moves few keys, and gets them all back when it returns.
+// Without load reports, the arcs of a large fleet have nearly the same length. Nodes with the same endpoint list have the same ring, in
+// any order of its entries. Few keys move when a server leaves, and all of them return with it.
 func TestArcsAreEvenWithoutLoadReports(t *testing.T) {
 	const size = 80
 	h, other := newHarness(testLimits()), newHarness(testLimits())
--- a/decide/snapshot.go
+++ b/decide/snapshot.go
@@ -27,7 +27,7 @@
 			RequestsAhead: s.latencyAhead, Failures: s.failureShare, Backoff: s.backoff,
 			HitRatio: s.hitRatioPeak, QueuePeak: s.queuePeak, LastResponseAt: s.latencyAt,
 		}
-		// The latency is exported as far as it has decayed, so that a restart does not restore the rest.
+		// The exported latency has decayed towards the usual one with its age, so that a restart does not undo the decay.
 		weight := max(0, 1-(now-s.latencyAt)/(evidenceIntervals*n.limits.adjustInterval))
 		usualLatency := s.timePerQueued * (1 + s.latencyAhead)
 		v.ResponseTime = usualLatency + weight*max(0, s.latency-usualLatency)
--- a/decide/snapshot_test.go
+++ b/decide/snapshot_test.go
@@ -93,7 +93,8 @@
 	}
 }
 
-// Whatever a snapshot contains, and whenever servers start and nodes restart, a cold server gets no more requests than without it.
+// A node that restores a snapshot sends a cold server no more requests than a node without one. The contents of the snapshot and the
+// start times of the servers are random.
 func TestRestoreAdmitsNoMoreToColdServers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := testLimits()
@@ -188,8 +189,8 @@
 	}
 }
 
-// Where a node has its own evidence of a server, restored evidence is weighted by age: the more recent of the two counts for more,
-// whichever comes first, and neither is lost. A successor process once kept the evidence of its first response, although its
+// If a node has its own evidence of a server, restored evidence is weighted by age: the more recent of the two, own
+// or restored, counts for more, and neither is lost. A successor process once kept the evidence of its first response, although its
 // predecessor's evidence was much more recent.
 func TestRestoreWeightsEvidenceByAge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/cluster/counters/counters_test.go
+++ b/internal/cluster/counters/counters_test.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// However messages are lost, duplicated, delayed and reordered, and whichever nodes restart, the value that a node knows of another is one
-// that the other's current incarnation has had, and it is never replaced by an earlier one.
+// Messages are lost, duplicated, delayed and reordered, and nodes restart. Still each value that a node knows of another node is one that
+// the other's current incarnation has had, and it is never replaced by an earlier one.
 func TestValuesNeverRevert(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const nodes = 4
--- a/internal/cluster/quota/borrow.go
+++ b/internal/cluster/quota/borrow.go
@@ -148,8 +148,8 @@
 	b.storeLease(now, lease, l.config.LeaseMs)
 }
 
-// storeLease stores a lease in place of an earlier one from the same lender. A lease of 0 units is a refusal, which leaves an earlier one
-// unchanged.
+// storeLease stores a lease and replaces an earlier one from the same lender. A lease of 0 units is a refusal: an earlier lease stays
+// unchanged, and without one the lender is not asked again for a time.
 func (b *budgetState) storeLease(now float64, lease heldLease, leaseMs float64) {
 	i := slices.IndexFunc(b.held, func(h heldLease) bool { return h.lender == lease.lender })
 	switch {
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -17,7 +17,7 @@
 //
 // Some budgets have no fixed size: each node's quota follows from its own traffic (Ledger.SetTrafficQuota), such as the work that may be
 // sent to a server in slow start. They have neither floors nor quota owners. A node leases out the units that it does not need, but at most
-// half of its quota, whatever requests it receives. Hence all nodes together may spend at most the sum of their quotas. If lenders lose their
+// half of its quota, regardless of the requests of other nodes. Hence all nodes together may spend at most the sum of their quotas. If lenders lose their
 // traffic after they have leased units out, the nodes may spend up to half as much more until the leases expire.
 //
 // The package does no I/O and reads no clock. Times are float64 ms of a clock that advances while the process is suspended. One goroutine
