--- a/decide/decide.go
+++ b/decide/decide.go
@@ -163,7 +163,7 @@
 	if req.Stage == stageNew && req.HasKey {
 		n.keyCounts.Add(uint64(req.Key))
 	}
-	return n.enforce(req, n.propose(req))
+	return n.enforce(req, n.chooseDecision(req))
 }
 
 // AttemptDone records the end of an attempt and returns the next decision for its request.
@@ -206,7 +206,7 @@
 	if req.Stage = stageReroute; s == n.origin || missed && n.origin != nil {
 		req.Stage = stageNeedsOrigin
 	}
-	return n.enforce(req, n.propose(req))
+	return n.enforce(req, n.chooseDecision(req))
 }
 
 // NextDue returns the request to pass to Route now, or NoRequest and the time in ms to sleep. A time of 0 with NoRequest
@@ -265,8 +265,8 @@
 	return fleet.Decision{}
 }
 
-// propose chooses a decision for an open request; enforce checks it against the rules.
-func (n *Node) propose(req *fleet.Request) fleet.Decision {
+// chooseDecision chooses a decision for an open request; enforce checks it against the rules.
+func (n *Node) chooseDecision(req *fleet.Request) fleet.Decision {
 	class, stage := &n.limits.classes[req.Class], req.Stage
 	lastAttempt := req.NumAttempts+1 == class.maxAttempts
 	switch {
@@ -303,8 +303,8 @@
 	return n.send(req, s)
 }
 
-// send proposes an attempt with all the remaining time as its timeout: shorter timeouts would end heavy requests on
-// healthy servers.
+// send returns the decision to send an attempt with all the remaining time as its timeout: shorter timeouts would end
+// heavy requests on healthy servers.
 func (n *Node) send(req *fleet.Request, s *server) fleet.Decision {
 	return fleet.Decision{Action: fleet.Send, Server: s.id, Timeout: req.Deadline - n.now}
 }
@@ -334,7 +334,7 @@
 	case fleet.Send:
 		s := n.servers[d.Server]
 		d.SendBy = n.repeatableUntil(req, s)
-		// WakeAt is reset, because the timer of an earlier hold once led to the cancellation of an attempt that had to stay.
+		// WakeAt is reset: the timer of an earlier hold once led to the cancellation of an attempt that was still needed.
 		d.Attempt, req.WakeAt = req.NumAttempts, 0
 		req.Attempts[req.NumAttempts] = fleet.Attempt{Server: s.id, SentAt: n.now, RequestsAhead: s.requestsAhead()}
 		req.NumAttempts++
@@ -364,8 +364,8 @@
 		n.now <= n.repeatableUntil(req, s)
 }
 
-// repeatableUntil returns the time until which one more attempt of req at s cannot repeat an effect, or -Inf if such an
-// attempt could repeat one already. If s is nil, the attempt may be at any server, and dedupWindow is not considered.
+// repeatableUntil returns the time until which one more attempt of req at s cannot repeat an effect. The result is -Inf
+// if an attempt could repeat an effect now, and +Inf if it never can. If s is nil, the result holds for every server.
 func (n *Node) repeatableUntil(req *fleet.Request, s *server) float64 {
 	class, until := &n.limits.classes[req.Class], math.Inf(1)
 	for i := range req.Attempts[:req.NumAttempts] {
