--- a/internal/node/clients/closing.go
+++ b/internal/node/clients/closing.go
@@ -51,7 +51,7 @@
 
 // closeNet closes the network connection and removes it from the server.
 func (c *conn) closeNet() {
-	_ = c.net.Close() // the client is not expected to read more
+	_ = c.net.Close() // an error has no consequence: the client is not expected to read more
 	c.server.remove(c)
 }
 
@@ -96,10 +96,10 @@
 // tryDrain closes the connection or hands it over if the lifecycle asks for that and nothing is in flight, and reports whether it did.
 // The reader calls it when no part of a command has been read. Bytes that have arrived but are not read yet are served first. Closing
 // takes two steps: the writer shuts down the sending side after the last reply, and the reader drops the bytes that the client sends
-// until it sees that (linger).
+// until the client notices that shutdown (linger).
 //
-// Near the end of a stop, requests that arrive behind those in flight are rejected: dropping them would lose them, and leaving them
-// unread would hide a disconnect.
+// Near the end of a stop, requests that arrive behind those in flight are rejected: dropping them would leave them without a reply,
+// and leaving them unread would hide a disconnect of the client.
 func (c *conn) tryDrain() bool {
 	mode := c.closeMode()
 	c.mu.Lock()
@@ -141,8 +141,8 @@
 }
 
 // linger reads and drops bytes until the last reply is written, then for WriteTimeout/lingerDivisor or until it has dropped
-// maxConnBuffered bytes, more than a client can have sent before it sees the end. Then it closes the connection. Closing over unread
-// bytes would reset the connection, and the client would lose replies that it has not read yet.
+// maxConnBuffered bytes, more than a client can have sent before it sees the end of the replies. Then linger closes the connection.
+// Closing over unread bytes would reset the connection, and the client would lose replies that it has not read yet.
 func (c *conn) linger() {
 	timeout := clock.Duration(c.server.Config().WriteTimeout / lingerDivisor)
 	var deadline time.Time // zero until the last reply is written
--- a/internal/node/clients/closing_test.go
+++ b/internal/node/clients/closing_test.go
@@ -301,8 +301,8 @@
 	}
 }
 
-// An Accept call that began before another process took over may still return a connection, which is handed to that process. This process
-// would reject it, because the other one holds the descriptors by then.
+// An Accept call that began before another process took over may still return a connection, which must be handed to that process.
+// Otherwise this process would reject it, because the other one holds the descriptors by then.
 func TestLateAcceptIsHandedOver(t *testing.T) {
 	h := newHarness(t)
 	clientEnd, serverEnd := net.Pipe()
--- a/internal/node/clients/conn.go
+++ b/internal/node/clients/conn.go
@@ -13,8 +13,8 @@
 // Limits for one connection.
 const (
 	maxPipelined    = 64                             // commands that wait for their replies
-	maxReadAhead    = 32 << 10                       // bytes read beyond these commands to notice a disconnect
-	maxConnBuffered = 4 * exchange.MaxBufferedValue  // bytes of these commands and their replies
+	maxReadAhead    = 32 << 10                       // bytes read beyond maxPipelined commands to notice a disconnect
+	maxConnBuffered = 4 * exchange.MaxBufferedValue  // bytes of the commands that wait for their replies, and of the replies
 	maxDiscard      = 16 * exchange.MaxBufferedValue // bytes of an oversized value that are read and dropped
 	overloadFactor  = 1.5                            // multiple of Server.MaxBuffered beyond which values that have to wait are dropped
 )
@@ -54,8 +54,9 @@
 	return c
 }
 
-// submit queues the reply of a request and hands the request to the Handler. It reports whether it did. The queued reply takes over the
-// memory reserved for the value; if reserved is nil, the value counts as buffered.
+// submit queues the reply of a request and hands the request to the Handler. It reports false if the request was rejected or the
+// connection takes no more replies. The queued reply takes over the memory reserved for the value; if reserved is nil, the value
+// counts as buffered.
 func (c *conn) submit(request *exchange.Exchange, reserved *reservation) bool {
 	size := int64(requestOverhead)
 	if reserved == nil {
--- a/internal/node/clients/dispatch.go
+++ b/internal/node/clients/dispatch.go
@@ -53,7 +53,7 @@
 }
 
 // claimID registers a request under its ID. It reports false if another request in flight has the same ID: cache servers tell requests
-// apart by their IDs, and could give one the response of the other or take it for a duplicate.
+// apart by their IDs, and could answer one request with the response to the other, or take one for a duplicate of the other.
 func (s *Server) claimID(request *exchange.Exchange) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/clients/eviction.go
+++ b/internal/node/clients/eviction.go
@@ -21,8 +21,8 @@
 	Active
 )
 
-// A descriptor is freed a moment after the last byte of a reply, or after its connection is closed. A new client waits for that
-// at most maxCloseWaits times closeWait before it is rejected.
+// The descriptor of a connection can be freed a moment after the last byte of a reply is written, or after the connection is closed. A new
+// client waits for the descriptor of another connection at most maxCloseWaits times closeWait before it is rejected.
 const (
 	maxCloseWaits = 100
 	closeWait     = time.Millisecond
@@ -98,7 +98,7 @@
 	minReuseFraction = 0.25
 	minReuseSamples  = 64
 	maxReuseSamples  = 256
-	answeredGrace    = 50.0 // ms from the reply until such a connection may be closed
+	answeredGrace    = 50.0 // ms from a reply until its connection may be closed if clients use connections once
 	singleUseDivisor = 3    // divides the target for open connections if clients use them once
 )
 
--- a/internal/node/clients/eviction_test.go
+++ b/internal/node/clients/eviction_test.go
@@ -20,7 +20,7 @@
 
 // If descriptors run out, connections without a request are evicted first, then the one that has been idle longest.
 func TestEvictionOrder(t *testing.T) {
-	h := newHarness(t, func(s *Server) { // ten may be open
+	h := newHarness(t, func(s *Server) { // ten connections may be open
 		s.Sockets = fdlimit.New(30, 0)
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Idle, 400) })
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Silent, 0) })
@@ -52,7 +52,7 @@
 // If idle connections hold all descriptors for clients, they are evicted, and not new connections whose first request is on its way.
 // Otherwise new connections evict each other, and no client is served.
 func TestNewConnectionsDoNotEvictEachOther(t *testing.T) {
-	h := newHarness(t, func(s *Server) { // three may be open
+	h := newHarness(t, func(s *Server) { // three connections may be open
 		s.Sockets = fdlimit.New(10, 0)
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Idle, 100) })
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictOldest(Silent, 0) })
@@ -113,7 +113,7 @@
 // If clients send one request on each connection and keep it open, answered connections are evicted, and none whose request is on its
 // way. If they send more, silent connections are evicted. Thousands of incomplete connections keep no client out.
 func TestEvictionByUsage(t *testing.T) {
-	h := newHarness(t, func(s *Server) { // 40 may be open
+	h := newHarness(t, func(s *Server) { // 40 connections may be open
 		s.Sockets = fdlimit.New(90, 0)
 		s.CommandTimeout = 60_000
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { return s.EvictAnswered(60_000) })
@@ -211,7 +211,7 @@
 // A new connection waits a moment for another one whose last reply is being written.
 func TestNewConnectionWaitsForWriter(t *testing.T) {
 	var attempts atomic.Int64
-	h := newHarness(t, func(s *Server) { // one may be open
+	h := newHarness(t, func(s *Server) { // one connection may be open
 		s.Sockets = fdlimit.New(4, 0)
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool { defer attempts.Add(1); return s.EvictOldest(Idle, 0) })
 	})
@@ -240,7 +240,7 @@
 // A new connection is accepted if another one finishes writing its last reply just after the attempt to evict it has failed.
 func TestWriterFinishesAfterFailedEviction(t *testing.T) {
 	var busy *conn
-	h := newHarness(t, func(s *Server) { // one may be open
+	h := newHarness(t, func(s *Server) { // one connection may be open
 		s.Sockets = fdlimit.New(4, 0)
 		s.Sockets.AddEvictor(fdlimit.Client, func() bool {
 			evicted := s.EvictOldest(Idle, 0)
--- a/internal/node/clients/limits_test.go
+++ b/internal/node/clients/limits_test.go
@@ -221,8 +221,8 @@
 	})
 }
 
-// The disconnect of a client that has sent many commands is noticed although no more are processed. Otherwise its requests in flight are
-// executed although no client waits for them.
+// The disconnect of a client that has sent many commands is noticed although no more are processed. Otherwise its requests in flight
+// would be executed although no client waits for them.
 func TestPipelinedDisconnectIsNoticed(t *testing.T) {
 	h := newHarness(t)
 	c := h.dial()
--- a/internal/node/clients/reader.go
+++ b/internal/node/clients/reader.go
@@ -23,8 +23,8 @@
 	args    [][]byte     // of the previous command, for reuse
 	skip    int          // bytes of a rejected command that are still to arrive
 	timeout time.Duration
-	// deadline is when the first command, or the rest of a command that has begun, must have arrived, in whatever pieces. Zero: the
-	// client may be silent for any time.
+	// deadline is the time by which the first command, or the rest of a command that has begun, must have arrived. Zero: the client may
+	// be silent for any time.
 	deadline time.Time
 }
 
@@ -266,8 +266,8 @@
 // for a client more than 100 ms after it has disconnected.
 const disconnectCheckInterval = 25 * time.Millisecond
 
-// waitOrCloseDisconnected waits for a change of the state, but at most disconnectCheckInterval. If that has passed and the client has
-// disconnected, it closes the connection, although unread bytes precede the disconnect. Called with the mutex held.
+// waitOrCloseDisconnected waits for a change of the state, but at most disconnectCheckInterval. If this interval has passed and the client
+// has disconnected, it closes the connection, although unread bytes precede the disconnect. Called with the mutex held.
 func (c *conn) waitOrCloseDisconnected() {
 	wakeTimer := time.AfterFunc(disconnectCheckInterval, c.cond.Broadcast)
 	c.cond.Wait()
@@ -286,7 +286,7 @@
 }
 
 // setInputDeadline sets the deadline of the next read. The deadline is in the past if the reader has been asked to drain the connection
-// or may resume.
+// or may resume processing commands.
 func (c *conn) setInputDeadline(deadline time.Time) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/clients/request.go
+++ b/internal/node/clients/request.go
@@ -38,7 +38,7 @@
 	return len(b) > 0
 }
 
-// isWrite reports whether a command name, KV.GET or KV.SET in any case, is KV.SET.
+// isWrite reports whether a command name is KV.SET. The name must be KV.GET or KV.SET, in upper or lower case.
 func isWrite(name []byte) bool { return len(name) == len("KV.SET") && (name[3]|0x20) == 's' }
 
 // parseRequest parses KV.GET KEY ID EXTRA or KV.SET KEY ID EXTRA VALUE. Unless owned is set, the arguments are copied. The text of an
--- a/internal/node/clients/server.go
+++ b/internal/node/clients/server.go
@@ -78,7 +78,7 @@
 	Malformed int64         // commands that could not be accepted
 	TimedOut  int64         // connections closed because a command did not arrive in time
 	Truncated int64         // large values that were not written to their end
-	Evicted   [Active]int64 // connections of each state closed to free a descriptor
+	Evicted   [Active]int64 // connections closed to free a descriptor, by their ConnState
 }
 
 // TakeCounts returns the counts since the previous call.
@@ -146,8 +146,8 @@
 	return nil
 }
 
-// acceptOutage records since when accepts have failed, so that connections may have waited in the backlog. The zero value means that none
-// has.
+// acceptOutage records since when accepts have failed, so that connections may have waited in the backlog. The zero value means that there
+// is no outage.
 type acceptOutage struct {
 	since float64 // time of the first failure, in ms of the server's clock; 0: no outage
 }
@@ -161,7 +161,7 @@
 	return true
 }
 
-// endIfDrained ends the outage once the backlog is empty: connections that are accepted later have arrived after it.
+// endIfDrained ends the outage once the backlog is empty: connections that are accepted later have arrived after the outage.
 func (o *acceptOutage) endIfDrained(listener net.Listener) {
 	if o.since > 0 && !sockstate.HasPending(listener) {
 		o.since = 0
@@ -231,8 +231,8 @@
 	return len(s.conns)
 }
 
-// Adopt serves a connection that another process of the node has handed over. If its client has sent a request to that process, it may be
-// silent here for any time.
+// Adopt serves a connection that another process of the node has handed over. If the client has sent a request to that process, this
+// process does not limit how long the client may be silent.
 func (s *Server) Adopt(netConn net.Conn, requested bool) {
 	s.Sockets.AcquireLent()
 	s.serveConn(netConn, requested, 0)
@@ -299,8 +299,8 @@
 	return conns
 }
 
-// Close stops accepting. Before that it accepts the connections in the backlog, for at most timeout: their requests count as received,
-// and closing the listener resets connections that are still in the backlog. Accepted connections stay open.
+// Close accepts the connections in the backlog, for at most timeout, and then stops accepting: requests on these connections count as
+// received, and closing the listener resets connections that are still in the backlog. Accepted connections stay open.
 func (s *Server) Close(timeout time.Duration) {
 	s.mu.Lock()
 	ended := s.serveEnded
--- a/internal/node/clients/socketreader.go
+++ b/internal/node/clients/socketreader.go
@@ -15,7 +15,7 @@
 	raw  syscall.RawConn                      // nil: the connection is not a socket
 	read func(descriptor uintptr) (done bool) // the method value of tryRead, allocated once
 
-	buf []byte // buffer of the current Read; n and err are its result
+	buf []byte // buffer of the current Read; n and err are the result of that Read
 	n   int
 	err error
 }
--- a/internal/node/clients/state.go
+++ b/internal/node/clients/state.go
@@ -11,7 +11,7 @@
 
 const (
 	phaseOpen   phase = iota // commands are processed
-	phaseEnding              // the last reply is queued, and no more replies are
+	phaseEnding              // the last reply is queued; no reply is accepted after it
 	phaseClosed              // closed, or handed over to another process
 )
 
@@ -47,7 +47,7 @@
 type pendingReply struct {
 	request  *exchange.Exchange
 	text     string // the reply, if request is nil
-	last     bool   // the connection is closed after it
+	last     bool   // the connection is closed after this reply
 	size     int64  // bytes that count as buffered until the reply is written
 	reserved int64  // bytes of memory reserved for a large value until the reply is written
 }
@@ -133,8 +133,8 @@
 	return true
 }
 
-// replaceReply replaces the reply to a request by a text, and reports whether it did. It does so only behind other replies: the one at
-// the head is written at once, which frees its memory.
+// replaceReply replaces the reply to a request by a text, and reports whether it did. It replaces only replies behind others: the reply
+// at the head is written at once, which frees its memory.
 func (s *sharedState) replaceReply(request *exchange.Exchange, text string) bool {
 	i := slices.IndexFunc(s.replies, func(r pendingReply) bool { return r.request == request })
 	if i < 1 {
--- a/internal/node/clients/stream.go
+++ b/internal/node/clients/stream.go
@@ -14,7 +14,7 @@
 )
 
 // The connection of a client that takes nothing of a large value for maxStreamStall is closed. The whole value may take longer than any
-// client timeout: once its first bytes are sent, only the client and the cache server are concerned (the operators' page of daily
+// client timeout: once its first bytes are sent, a slow transfer concerns only the client and the cache server (the operators' page of daily
 // operation, "Less room"). Progress is checked every stallCheckInterval.
 const (
 	maxStreamStall     = 10 * time.Second
--- a/internal/node/clients/upload.go
+++ b/internal/node/clients/upload.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxUploadTime is how long a large value may take to arrive, even if the client keeps sending: its memory is reserved for all that
-	// time. It is ten times the limit that the operators' page sets for the head of a command.
+	// time. This limit is ten times the one that the operators' page sets for the head of a command.
 	maxUploadTime = 20 * time.Second
 	// uploadOverhead is the number of bytes that a buffered command takes in addition to its own length.
 	uploadOverhead = 512
@@ -121,8 +121,8 @@
 	return r.forwardBody(request, size-valueStart, length)
 }
 
-// forwardBody forwards the body of a request as it arrives. remaining is the number of bytes left of the command, bodyLength that of the
-// body.
+// forwardBody forwards the body of a request as it arrives. remaining is the number of bytes left of the command; bodyLength is the
+// number of bytes left of the body.
 func (r *commandReader) forwardBody(request *exchange.Exchange, remaining, bodyLength int) (skip int, open bool) {
 	c := r.conn
 	deadline := time.Now().Add(maxUploadTime)
@@ -151,8 +151,8 @@
 	return 0, true
 }
 
-// forwardableBytes returns how many bytes in the ring buffer may be forwarded now, if bodyLength bytes of the body are left. If all of
-// them are there with the end of the command, it reports the body as received.
+// forwardableBytes returns how many bytes in the ring buffer may be forwarded now, if bodyLength bytes of the body are left. If the
+// whole rest of the body and the end of the command are there, it reports the body as received.
 func (r *commandReader) forwardableBytes(request *exchange.Exchange, bodyLength int) (int, error) {
 	b := r.in.Peek()
 	n := min(len(b), bodyLength)
--- a/internal/node/clients/upload_test.go
+++ b/internal/node/clients/upload_test.go
@@ -86,7 +86,7 @@
 		c.expect("$4\r\ndone\r\n+PONG\r\n")
 		h.expectMemoryFree()
 	}
-	// Half a value and a disconnect, a request in flight at a disconnect, and an unknown class.
+	// Memory is also released if the client disconnects within the value or with the request in flight, and if the class is unknown.
 	c := h.dial()
 	c.send(text[:200_000])
 	time.Sleep(20 * time.Millisecond)
--- a/internal/node/connpool/policy.go
+++ b/internal/node/connpool/policy.go
@@ -104,7 +104,7 @@
 }
 
 // limit returns how many connections this node may hold. All nodes together stay within MaxConns, unless there are more nodes than
-// connections: each node may hold at least one.
+// MaxConns, because each node may hold at least one.
 func (p *Policy) limit() int {
 	limit := math.MaxInt32
 	if p.config.MaxConns > 0 {
--- a/internal/node/connpool/pool.go
+++ b/internal/node/connpool/pool.go
@@ -199,7 +199,7 @@
 }
 
 // Responded records the response to the attempt on a connection and releases the connection. rejected means that the server rejected
-// the attempt because it is full, last that the connection accepts no further requests.
+// the attempt because the server is full; last means that the connection accepts no further requests.
 func (p *Pool[C, A]) Responded(now float64, conn C, rejected, last bool) {
 	if last || p.exceedsLimit(now, conn, rejected) {
 		p.CloseConn(conn)
@@ -220,8 +220,8 @@
 }
 
 // Release makes a connection without an attempt available to other attempts. A connection that has had a response cools down first: a
-// duplicate response or other unsolicited bytes that arrive during the cooldown close the connection, but after the next attempt was
-// sent they would be read as its response. A connection that is no longer usable is closed.
+// duplicate response or other unsolicited bytes that arrive during the cooldown close the connection. If the next attempt had
+// already been sent, they would be read as the response to that attempt. A connection that is no longer usable is closed.
 func (p *Pool[C, A]) Release(now float64, conn C) {
 	c := conn.PoolConn()
 	switch {
--- a/internal/node/connpool/suspicion.go
+++ b/internal/node/connpool/suspicion.go
@@ -27,7 +27,7 @@
 }
 
 // begin records the first duplicate. Its lateness is only a lower bound: an attempt may have received the duplicate as its response, so
-// that its own response was then counted as the duplicate.
+// that the real response to the attempt was then counted as the duplicate.
 func (s *suspicion) begin(baseCooldown, lateness, idleTimeout float64) {
 	s.cooldown = capCooldown(max(initialCooldownFactor*baseCooldown, latenessFactor*lateness), idleTimeout)
 	s.samples, s.maxLateness = 0, 0
@@ -39,8 +39,8 @@
 	s.duplicateInterval = max(minDuplicateInterval, s.responses/s.duplicates)
 }
 
-// recordDuplicate records a further duplicate from a suspected server. Connections to it cool down for so long that the measured lateness
-// is correct.
+// recordDuplicate records a further duplicate from a suspected server. Connections to that server cool down long enough for
+// the duplicate to arrive before the next attempt is sent, so the measured lateness is correct.
 func (s *suspicion) recordDuplicate(lateness, safeIdle, idleTimeout float64) {
 	s.countDuplicate()
 	s.samples, s.maxLateness = min(s.samples+1, minSamples), max(s.maxLateness, lateness)
@@ -88,9 +88,9 @@
 
 // recordUnsolicited records that bytes arrived on a connection without a request, lateness ms after its last response, and reports
 // whether the server becomes suspected. The configured cooldown is enough for a duplicate that follows its response at once. If the
-// connection was reused early, the lateness is unknown: the bytes may be a duplicate of the response before the last one, or an attempt
-// may have received the duplicate and the bytes are its own response. Without this rule, a duplicate that was 20 ms late but arrived
-// 0.3 ms after the next response did not make the server suspected.
+// connection was reused early, the server becomes suspected regardless of lateness, because the real lateness is unknown: the bytes may
+// be a duplicate of the response before the last one, or the real response to an attempt that has received the duplicate instead. Without
+// this rule, a duplicate that was 20 ms late but arrived 0.3 ms after the next response did not make the server suspected.
 func (p *Policy) recordUnsolicited(lateness float64, reusedEarly bool) (newlySuspected bool) {
 	switch {
 	case p.Suspected():
--- a/internal/node/connpool/unused.go
+++ b/internal/node/connpool/unused.go
@@ -52,8 +52,8 @@
 	p.coolingDown = slices.Delete(p.coolingDown, 0, 1)
 }
 
-// evictCoolingDown closes cooling connections to a suspected server if attempts wait and the connection limit is reached: unlike them, new
-// connections can be used at once.
+// evictCoolingDown closes cooling connections to a suspected server if attempts wait and the connection limit is reached: new
+// connections can be used at once, cooling ones cannot.
 func (p *Pool[C, A]) evictCoolingDown() {
 	if !p.Policy.Suspected() {
 		return
--- a/internal/node/upstream/endpoint.go
+++ b/internal/node/upstream/endpoint.go
@@ -110,7 +110,7 @@
 	e.pool.Dispatch(e.group.Clock.Now())
 }
 
-// Demand returns the fraction of that rate which this node could use, measured since the last call.
+// Demand returns which fraction of the dials of all nodes to the server this node could use, measured since the last call.
 func (e *Endpoint) Demand(now float64) float64 {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/node/upstream/group.go
+++ b/internal/node/upstream/group.go
@@ -26,7 +26,7 @@
 	Dialer             net.Dialer // opens connections; the zero value is usable
 	ConnectTimeout     float64    // ms
 	StallTimeout       float64    // ms that a response may stall once it has begun; 0: no limit
-	StreamStallTimeout float64    // the same for large and unsized values, which cannot be requested again; 0: no limit
+	StreamStallTimeout float64    // ms that a large or unsized value, which cannot be requested again, may stall; 0: no limit
 
 	counters connpool.Counters
 
--- a/internal/node/upstream/harness_test.go
+++ b/internal/node/upstream/harness_test.go
@@ -69,7 +69,7 @@
 	endpoint    *Endpoint
 	completions chan Completion
 	panics      chan any
-	listener    net.Listener  // of the fake server
+	listener    net.Listener  // listener of the fake server
 	accepted    chan net.Conn // the server's ends of its connections
 }
 
--- a/internal/node/upstream/reader.go
+++ b/internal/node/upstream/reader.go
@@ -51,7 +51,7 @@
 		return false
 	case a.Request.Body != nil && a.progress == exchange.PartiallyWritten:
 		e.mu.Unlock()
-		e.fail(a, fleet.Declined, errEarlyResponse) // regardless of its content: without its last byte the request was not executed
+		e.fail(a, fleet.Declined, errEarlyResponse) // whatever the response says: a request is not executed before its last byte is sent
 		return false
 	case c.Responded && a.progress < exchange.FullyWritten:
 		e.recordUnsolicited(at, c)
--- a/internal/node/upstream/stream.go
+++ b/internal/node/upstream/stream.go
@@ -19,7 +19,7 @@
 	done chan struct{} // closed when the connection's reader may continue; err and tail do not change after that
 
 	mu        sync.Mutex    // held during Next and Close; guards the fields below
-	in        *ringbuf.Ring // of the connection's reader
+	in        *ringbuf.Ring // the ring of the connection's reader
 	returned  int           // bytes at the beginning of the ring that the last call of Next returned
 	remaining int64         // bytes of the value that Next has not returned yet
 	ended     bool
--- a/internal/node/upstream/unsized.go
+++ b/internal/node/upstream/unsized.go
@@ -13,8 +13,8 @@
 )
 
 // ErrUnsized is returned by Protocol.ParseResponse for an unsized response: one that does not announce the length of its value, and
-// ends with its last chunk or with the connection. A short one that is complete is parsed as usual. Clients are sent the length
-// before the value, so an unsized value must be buffered until its end.
+// ends with its last chunk or with the connection. A short unsized response that has arrived completely is
+// parsed as usual. Clients are sent the length before the value, so an unsized value must be buffered until its end.
 var ErrUnsized = errors.New("response of unknown length")
 
 // UnsizedReader is implemented by a Protocol that has unsized responses.
@@ -25,7 +25,7 @@
 
 var errNoMemory = errors.New("no memory for a value of unknown length")
 
-// firstChunkSize is the size of the first chunk of a buffered value, in bytes. It is small because most such values are.
+// firstChunkSize is the size of the first chunk of a buffered value, in bytes. It is small because most values of unknown length are small.
 const firstChunkSize = 4 << 10
 
 // bufferedValue buffers a value of unknown length. It consists of chunks, so that the value is not copied as it grows. Once it is
--- a/internal/node/upstream/writer.go
+++ b/internal/node/upstream/writer.go
@@ -121,8 +121,8 @@
 }
 
 // endWrite marks an attempt as sent, or ends the connection if the write or the reader has failed. It reports whether the connection
-// can still be used. The mutex stays locked throughout: otherwise a reader that fails after writing is cleared and before the progress
-// is corrected would report the attempt as fully written.
+// can still be used. The mutex stays locked throughout: otherwise a reader that fails after conn.writing is cleared, but before the
+// attempt's progress is corrected, would report the attempt as fully written.
 func (c *conn) endWrite(a *Attempt, writeErr error, partlyWritten bool) bool {
 	c.endpoint.mu.Lock()
 	c.writing = false
