--- a/internal/state/recordlog/recordlog.go
+++ b/internal/state/recordlog/recordlog.go
@@ -104,8 +104,8 @@
 	return err
 }
 
-// ParseSyncMark decodes a sync mark of count numbers. If the mark is empty, because WriteSyncMark has not been called yet, all numbers are 0.
-// The name of the file is used only in errors.
+// ParseSyncMark decodes a sync mark of count numbers. If the mark is empty, as it is until WriteSyncMark is called, all numbers are 0. The
+// name of the file is used only in errors.
 func ParseSyncMark(name string, mark []byte, count int) ([]uint64, error) {
 	numbers := make([]uint64, count)
 	if len(mark) == 0 {
