--- a/internal/cluster/idempotency/acceptor.go
+++ b/internal/cluster/idempotency/acceptor.go
@@ -12,7 +12,7 @@
 	record         Record
 	firstClaimedAt float64 // time of the first claim; -Inf: unknown
 	lastChangedAt  float64 // -Inf: unknown
-	retainedFrom   float64 // start of the RetentionMs for which it is kept
+	retainedFrom   float64 // time from which RetentionMs counts
 	batch          uint64  // batch that syncs it
 }
 
@@ -53,7 +53,7 @@
 	promises          map[Key]ballotPromise
 	nextExpirySweepAt float64 // time of the next sweep
 
-	promiseFloor  uint32 // rounds up to this one are rejected for every key
+	promiseFloor  uint32 // ballots of this round or a lower one are rejected for every key
 	ballotCeiling uint32 // must be synced before a promise above syncedCeiling is sent
 	syncedCeiling uint32
 	batch         uint64 // number of the batch being collected
@@ -64,7 +64,7 @@
 	acknowledgedPeers int // number of peers that know this member's storage
 	catchUps          map[MemberID]*catchUp
 	pageCursors       map[MemberID]*pageCursor
-	startedAt         float64 // of this member; new storage waits from then on until old records have expired
+	startedAt         float64 // start of this member; new storage waits from this time until old records have expired
 
 	caughtUp      bool // it has all records that it has to store
 	superseded    bool // another process has this member's number and later storage
@@ -228,8 +228,8 @@
 	stored.batch = a.batch
 }
 
-// addPromise remembers a promise. When there are maxPromises, it raises the promise floor above them, which covers every key, and forgets
-// them.
+// addPromise remembers a promise. When there are maxPromises, it raises the promise floor, which covers every key, to the highest promised round,
+// and forgets the promises.
 func (a *acceptor) addPromise(now float64, key Key, b Ballot) {
 	if len(a.promises) >= maxPromises {
 		for _, p := range a.promises {
@@ -252,7 +252,7 @@
 	}
 }
 
-// raisePromiseFloor promises to reject all rounds up to this one for every key.
+// raisePromiseFloor promises to reject all ballots of the given round or a lower one, for every key.
 func (a *acceptor) raisePromiseFloor(round uint32) {
 	a.promiseFloor = max(a.promiseFloor, round)
 	a.raiseBallotCeiling(a.promiseFloor)
@@ -261,11 +261,11 @@
 // mayVote reports whether this member may vote on a key with these replicas.
 //
 // A member with new storage must first catch up with enough members of each group that every quorum in which its previous storage voted
-// includes one of them. Of three replicas these are both others.
+// includes one of them. With three replicas, it must catch up with both others.
 //
-// In addition, enough members of each group must know its storage incarnation that any newer storage with the same member number meets one
-// of them while it catches up. Incarnations come from clocks, which may be behind, and the newer storage then takes a later incarnation.
-// Otherwise votes from this storage would count as votes from the newer one.
+// In addition, so many members of each group must know this member's storage incarnation that newer storage with the same member number
+// meets at least one of them while it catches up. Incarnations come from clocks, which may be behind. Newer storage that learns of a later
+// incarnation than its own takes one later still. Otherwise votes from this storage would count as votes from the newer storage.
 func (a *acceptor) mayVote(groups replicaGroups) bool {
 	for _, g := range groups {
 		if !slices.Contains(g, a.config.Self) {
@@ -323,7 +323,8 @@
 	}
 }
 
-// expireRecords removes expired records and their promises. It raises the promise floor instead, which covers every key.
+// expireRecords removes expired records and the promises for their keys. To keep these promises, it raises the promise floor, which covers
+// every key.
 func (a *acceptor) expireRecords(now float64) {
 	floor := a.promiseFloor
 	for key, r := range a.records {
--- a/internal/cluster/idempotency/acceptor_test.go
+++ b/internal/cluster/idempotency/acceptor_test.go
@@ -10,8 +10,8 @@
 
 var testKey = NewKey("sale", []byte("key"), []byte("mark"))
 
-// newTestCore returns one of three members. Without stored state its storage has caught up. Storage that has caught up is known to all
-// members.
+// newTestCore returns one of three members. If stored is nil, the member's storage has caught up. If the storage has caught up, all members
+// know it.
 func newTestCore(self MemberID, stored *StoredState, configure func(*Config)) *Core {
 	config := Config{
 		Self: self, Incarnation: testIncarnation, StorageIncarnation: testStorage, ReplicaSets: []ReplicaSet{{Members: []MemberID{0, 1, 2}}},
@@ -63,8 +63,8 @@
 	return Message{Type: MsgAccept, From: 1, Ballot: testBallot(round, 1), Record: r}
 }
 
-// A promise above the synced ceiling waits until the new ceiling is synced, even if an earlier batch that contains it is already being
-// written. An acceptor that crashed before that sync would otherwise restart with a ceiling below its promise.
+// A promise above the synced ceiling waits until the new ceiling is synced, even if an earlier batch that contains the new ceiling is
+// already being written. An acceptor that crashed before the sync would otherwise restart with a ceiling below its promise.
 func TestPromisesWaitForTheirCeiling(t *testing.T) {
 	c := newTestCore(0, nil, nil)
 	first := deliver(c, 1, newPrepare(1, 3))
@@ -78,7 +78,7 @@
 	if r := deliver(c, 3, newPrepare(1, 5)); len(r.Messages) != 1 || len(r.Entries) > 0 {
 		t.Fatalf("third promise, after the ceiling is synced: %+v", r)
 	}
-	// After a restart from the stored entries it rejects rounds up to the ceiling.
+	// After a restart from the stored entries, the acceptor rejects rounds up to the ceiling.
 	stored := NewStoredState()
 	for _, entry := range append(first.Entries, CaughtUpEntry(testStorage)) {
 		if err := stored.Apply(entry); err != nil {
--- a/internal/cluster/idempotency/antientropy.go
+++ b/internal/cluster/idempotency/antientropy.go
@@ -5,8 +5,8 @@
 // unresponsiveBackoffFactor is the backoff of a compare request, in multiples of RetryIntervalMs, at which a peer is considered unresponsive.
 const unresponsiveBackoffFactor = 8
 
-// Pacing of repairs: the unused part of the rate accumulates for repairIdleResetMs at most, and is then cut to that of
-// repairBurstAfterIdleMs.
+// Pacing of repairs: the unused part of the rate accumulates for repairIdleResetMs at most. After a longer idle time, only the part
+// of the last repairBurstAfterIdleMs is kept.
 const (
 	repairIdleResetMs      = 1000
 	repairBurstAfterIdleMs = 10
@@ -20,8 +20,10 @@
 	acceptor *acceptor
 	proposer *proposer
 
-	scan                  antiEntropyScan
-	consistentSince       float64    // start of the first scan since which no repair was needed; 0: the last scan needed some, or none has ended
+	scan antiEntropyScan
+	// consistentSince is the start of the first scan in the latest series of scans without repairs; 0: the last scan needed repairs, or no
+	// scan has ended.
+	consistentSince       float64
 	lastUnresponsivePeers []MemberID // peers that did not answer in the last scan
 
 	repairQueue      []Key
--- a/internal/cluster/idempotency/catchup.go
+++ b/internal/cluster/idempotency/catchup.go
@@ -296,7 +296,7 @@
 	}
 	c.done = true
 	// If a promise of the previous storage was part of a quorum, then one of the peers that this member catches up with made the same
-	// promise. It is not above that peer's ballot ceiling.
+	// promise. The promised round is not above that peer's ballot ceiling, which the page contains.
 	a.raisePromiseFloor(m.PromiseFloor)
 	if a.hasCaughtUpWithAll() {
 		a.finishCatchUp()
--- a/internal/cluster/idempotency/catchup_test.go
+++ b/internal/cluster/idempotency/catchup_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// Once a member with new storage has requested its records, each vote of the other members lists the new storage.
+// Once a member with new storage has requested records from another member, each vote of that other member lists the new storage.
 func TestVotesListNewStorage(t *testing.T) {
 	c := newTestCore(1, nil, nil)
 	deliver(c, 1, Message{Type: MsgCatchUp, From: 0, StorageIncarnation: 60})
@@ -19,8 +19,8 @@
 	}
 }
 
-// A member votes once one of two others knows its storage. A process with the same member number and an earlier storage incarnation asks
-// both others, and learns from that one that its storage is superseded.
+// A member votes once one of the two other members knows its storage. If a process with the same member number and an earlier storage
+// incarnation starts, it asks both others, and the one that knows the later storage tells it that its own is superseded.
 func TestMemberVotesOncePeerKnowsStorage(t *testing.T) {
 	stored := NewStoredState()
 	stored.CaughtUpStorage = testStorage
@@ -64,7 +64,8 @@
 			PromiseFloor: 700, KnownStorage: []MemberStorage{{2, 80}},
 		})
 	}
-	page(1, 40) // requested by the previous storage, which may have voted on more records since
+	// This page answers a request of the tested member's previous storage (40), which may have voted on more records after that request.
+	page(1, 40)
 	page(2, testStorage)
 	if c.CaughtUp() || len(deliver(c, 6, newPrepare(1, 9000)).MessagesAfterSync) > 0 {
 		t.Fatal("it votes having caught up with one of two others")
--- a/internal/cluster/idempotency/core.go
+++ b/internal/cluster/idempotency/core.go
@@ -38,8 +38,8 @@
 	c.proposer.claim(now, number, key, options, deadline)
 }
 
-// Settle proposes to record the outcome of the granted claim with this number. A receipt is stored with OutcomeCompleted only, unless it is
-// nil or larger than MaxReceiptBytes. The result is DecisionGranted if the outcome is recorded.
+// Settle proposes to record the outcome of the granted claim with this number. The receipt is stored only if the outcome is
+// OutcomeCompleted and the receipt is neither nil nor larger than MaxReceiptBytes. The result is DecisionGranted if the outcome is recorded.
 func (c *Core) Settle(now float64, number uint64, outcome Outcome, receipt []byte, deadline float64) {
 	s := settlement{outcome: outcome}
 	if receipt != nil && len(receipt) <= c.config.MaxReceiptBytes {
--- a/internal/cluster/idempotency/doc.go
+++ b/internal/cluster/idempotency/doc.go
@@ -11,8 +11,8 @@
 //
 // Guarantees:
 //
-//   - Only one claim of a key is granted at a time. The next one can be granted once the owner of that claim has recorded that the
-//     operation was not executed, or that it sends no more attempts.
+//   - Only one claim of a key is granted at a time. The next claim can be granted once the owner of the granted claim has recorded
+//     that the operation was not executed, or that the owner sends no more attempts.
 //   - Each later claim gets the settled outcome, for Config.RetentionMs from the record's last change.
 //   - A claim that reaches no quorum gets DecisionNoQuorum by its deadline.
 //
--- a/internal/cluster/idempotency/proposer.go
+++ b/internal/cluster/idempotency/proposer.go
@@ -3,7 +3,7 @@
 import "math/rand/v2"
 
 const (
-	// repairNumberBase is the number below those of repairs, and above those of all claims.
+	// repairNumberBase lies above the numbers of all claims and below those of all repairs.
 	repairNumberBase = 1 << 48
 	// settlementBit distinguishes the number of a settlement from that of its claim.
 	settlementBit = 1 << 63
@@ -187,7 +187,7 @@
 	case p.cannotReachQuorum():
 		pr.restart(now, p)
 	case p.restarts == 0 && p.phase == preparing && p.rejections[m.From]:
-		pr.restart(now, p) // its first round was a guess
+		pr.restart(now, p) // the proposal's first round was only a guess
 	}
 }
 
--- a/internal/cluster/idempotency/status.go
+++ b/internal/cluster/idempotency/status.go
@@ -20,12 +20,12 @@
 	Records            int                `json:"records"`
 	ByState            map[string]int     `json:"by_state"` // number of records in each state
 	Promises           int                `json:"promises"`
-	PromiseFloor       uint32             `json:"floor"` // rounds up to this one are rejected for every key
+	PromiseFloor       uint32             `json:"floor"` // ballots of this round or a lower one are rejected for every key
 	GrantedClaims      int                `json:"out"`   // granted to this member and not settled yet
 	OpenProposals      int                `json:"asking"`
 	PendingRepairs     int                `json:"to_mend"`
 	CaughtUpWith       []MemberID         `json:"caught_up_with,omitempty"`
-	ConsistentMs       float64            `json:"same_for_ms"`                 // how long scans have needed no repair; -1: the last one did, or none has ended
+	ConsistentMs       float64            `json:"same_for_ms"`                 // how long scans have needed no repair; -1: the last scan needed some, or no scan has ended
 	UnresponsivePeers  []MemberID         `json:"not_compared_with,omitempty"` // members that did not answer in the last scan
 	Counts             Counts             `json:"counts"`
 	Members            []MemberStatus     `json:"members"`
