--- a/internal/controlplane/server/session.go
+++ b/internal/controlplane/server/session.go
@@ -24,7 +24,7 @@
 	send(*stream.Response) error
 }
 
-// recvResult is what the read loop has recvResult.
+// recvResult is the result of one receive in the read loop: a request and its node, or an error.
 type recvResult struct {
 	request *stream.Request
 	node    *core.Node
--- a/internal/controlplane/stream/subscription.go
+++ b/internal/controlplane/stream/subscription.go
@@ -164,7 +164,7 @@
 	return s.upToDateWith == set || s.rejectedVersion == set.Version && s.state != responseDue
 }
 
-// recordSent notes a response that is recordSent.
+// recordSent records that a response is sent now and awaits an acknowledgement.
 func (s *subscription) recordSent(now float64, response *Response) {
 	s.state, s.sentAtMs = awaitingAck, now
 	s.lastNonce, s.lastVersion = response.Nonce, response.Version
--- a/internal/state/snapshot/trust.go
+++ b/internal/state/snapshot/trust.go
@@ -52,7 +52,8 @@
 )
 
 // Assess computes the trust in the snapshot for a node that starts now with the given servers. The state of a server that has
-// restarted since gets none, and trust in the rest declines with the share of servers that have changed.
+// restarted since the snapshot was taken gets no trust. Trust in all other state is multiplied by the share of servers that have
+// not changed.
 func (s *State) Assess(now float64, config Config, servers []CurrentServer) Trust {
 	result := Trust{Servers: map[string]float64{}}
 	if reason := s.unusableReason(now, config); reason != "" {
--- a/internal/state/snapshotfile/load.go
+++ b/internal/state/snapshotfile/load.go
@@ -11,8 +11,9 @@
 	"mintspring/internal/state/snapshot"
 )
 
-// Load returns the newest snapshot in the directory that can be read, or nil. The error covers the files that exist and cannot be
-// read, also if an older one could be. In a directory without files, the snapshot and the error are nil. Load takes no lock.
+// Load returns the newest snapshot in the directory that can be read, or nil. It tries the newest file first and stops at
+// the first it can read. The error reports each file it tried that exists but cannot be read, even if Load returns an older
+// snapshot. In a directory without files, the snapshot and the error are nil. Load takes no lock.
 func Load(dir string) (*snapshot.State, error) {
 	var unreadable []error
 	for _, name := range []string{currentName, previousName} {
--- a/internal/testbed/idempotencytest/round.go
+++ b/internal/testbed/idempotencytest/round.go
@@ -252,7 +252,7 @@
 	return nil
 }
 
-// memberIndexes returns the numbers of memberIndexes members.
+// memberIndexes returns the numbers of all members.
 func (r *round) memberIndexes() []int {
 	indexes := make([]int, len(r.Nodes))
 	for i := range indexes {
