--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -17,7 +17,7 @@
 	inverseValue float64 // Step.Value of the inverse
 	needsValue   bool    // Step.Value must be above 0
 
-	needsServer bool // it acts on a node with the server of the step as an argument
+	needsServer bool // the action acts on a node and takes the step's server as an argument
 
 	onServer func(ServerControl, *Step) error
 	onNode   func(NodeControl, *Step) error
--- a/internal/testbed/experiment/nodefigures.go
+++ b/internal/testbed/experiment/nodefigures.go
@@ -18,9 +18,9 @@
 	avoidanceNodeShare = 0.9  // this share of the nodes avoids the server
 )
 
-// avoidanceSeconds returns the time from the start of the window until nine in ten of the nodes that sent to a cache before avoid it. A node
-// avoids the cache as soon as it sends at most half of its usual number of executions there over three seconds. The limit is above 0
-// because a node that avoids a failing server still sends it trial requests.
+// avoidanceSeconds returns the time from the start of the window until a cache is avoided by nine in ten of the nodes that sent to the cache
+// before the window. A node avoids the cache as soon as the node sends it at most half of the usual number of executions over three seconds.
+// The limit is above 0 because a node that avoids a failing server still sends trial requests to that server.
 func (r *Run) avoidanceSeconds(w measureWindow) float64 {
 	sentTimes := map[int32][]float64{} // by node
 	r.eachExecution(measureWindow{class: w.class, server: w.server, fromMs: r.FromMs, toMs: r.ToMs}, func(e *ExecutionRecord) {
--- a/internal/testbed/experiment/recovery.go
+++ b/internal/testbed/experiment/recovery.go
@@ -48,9 +48,10 @@
 	return service
 }
 
-// recoverySeconds returns the time from the end of the last fault until service reaches recoveredShare of its level before the first one for
-// steadySeconds. It is 0 if there is no fault, no service before it, or too little time after it. It is NeverRecovered if service does not
-// recover before the run ends: then the failure is metastable and sustains itself after its cause has gone.
+// recoverySeconds returns the time from the end of the last fault until service has recovered, which means that it stays at or above
+// recoveredShare of the service before the first fault for steadySeconds. The result is 0 if there is no fault, no service before the first
+// fault, or too little time after the last one. The result is NeverRecovered if service does not recover before the run ends: then the
+// failure is metastable and sustains itself after its cause has gone.
 func (r *Run) recoverySeconds(measureWindow) float64 {
 	faults, ok := r.faultWindow()
 	if !ok {
@@ -69,7 +70,7 @@
 	return NeverRecovered
 }
 
-// worstSecond returns the service in the worst second from the first fault on, as a share of its level before.
+// worstSecond returns the service in the worst second from the first fault on, as a share of the service before that fault.
 func (r *Run) worstSecond(measureWindow) float64 {
 	faults, ok := r.faultWindow()
 	if !ok {
--- a/internal/testbed/experiment/requestfigures.go
+++ b/internal/testbed/experiment/requestfigures.go
@@ -75,8 +75,8 @@
 	return ratioOrZero(float64(executions), float64(r.requestCount(w)))
 }
 
-// wrongKeysAfterDetection counts wrong responses that a node could have avoided: it sent the request after it had detected a duplicate
-// response of that server.
+// wrongKeysAfterDetection counts wrong responses that a node could have avoided: the node sent the request to a server after it had
+// detected a duplicate response of the same server.
 func (r *Run) wrongKeysAfterDetection(measureWindow) float64 {
 	count := 0
 	for _, wrong := range r.WrongKeyResponses {
--- a/internal/testbed/invariants/checker.go
+++ b/internal/testbed/invariants/checker.go
@@ -24,7 +24,7 @@
 	reported          map[Violation]bool
 }
 
-// nodeServer identifies a pair of a node and a server that it sends to.
+// nodeServer identifies a pair of a node and a server that the node sends to.
 type nodeServer struct {
 	node   servermodel.NodeID
 	server servermodel.ServerID
@@ -256,8 +256,8 @@
 	c.notifications[key][n.Name] = append(c.notifications[key][n.Name], n)
 }
 
-// ExecutionArrived checks rule 3: a node sends nothing to a server once the drain grace has passed after the notification that the
-// server drains or has ended. If the server is listed under several ids, this applies once each of them has been notified.
+// ExecutionArrived checks rule 3. When a node is notified that a server drains or has ended, the node may send to the server for the drain
+// grace and no longer. If the server is listed under several ids, the node may send to it as long as one of the ids permits this.
 func (c *Checker) ExecutionArrived(x *servermodel.Execution) {
 	if id, ok := c.operations.excludedID(x.Node, x.Server, x.FirstByte, c.drainGrace+c.slack); ok && !c.hasOtherID(x, id) {
 		c.report(ruleDrain, "request %s was sent to server %d, which node %d has to leave out", x.RequestID, x.Server, x.Node)
--- a/internal/testbed/invariants/operations.go
+++ b/internal/testbed/invariants/operations.go
@@ -57,8 +57,8 @@
 // StandbyCalls returns the number of calls to SetStandby.
 func (o *Operations) StandbyCalls() int { return o.standbyCalls }
 
-// SetStricterSettings records a signal that makes a node load stricter settings, under which some classes become non-idempotent, or load
-// the previous ones again.
+// SetStricterSettings records a signal that makes a node load other settings: if stricter is set, those under which some classes become
+// non-idempotent, otherwise the previous ones.
 func (o *Operations) SetStricterSettings(node servermodel.NodeID, stricter bool, at float64) {
 	o.stricterSettings = setSpan(o.stricterSettings, node, stricter, at, settingsReloadLimit)
 }
--- a/internal/testbed/processrunner/nodeprocess.go
+++ b/internal/testbed/processrunner/nodeprocess.go
@@ -110,7 +110,7 @@
 	return nil
 }
 
-// setCurrent records a process that was started. It becomes the serving process, unless another one is still up: then it is a successor.
+// setCurrent records a process that was started. The process becomes the serving one, or a successor if the serving process is still up.
 func (n *nodeRunner) setCurrent(p *nodeProcess) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/testbed/servermodel/workqueue.go
+++ b/internal/testbed/servermodel/workqueue.go
@@ -121,8 +121,8 @@
 	q.uncountedHandshakeWork += q.config.Handshake
 }
 
-// countOffered adds offered work and the handshakes since the last call. It returns the work offered within the overload window and
-// the part of it that nodes could have avoided sending.
+// countOffered adds the offered work of an execution and of the handshakes since the previous call of countOffered. It returns the work
+// offered within the overload window and the part of this work that nodes could have avoided sending.
 //
 // Each handshake counts once. Clients keep reconnecting to a paused server; counting all of its pending handshakes with every execution
 // would make it collapse.
--- a/internal/testbed/simulator/conn.go
+++ b/internal/testbed/simulator/conn.go
@@ -166,8 +166,8 @@
 	return completion
 }
 
-// duplicateArrival is the arrival of a late duplicate response. An attempt that is in flight on the connection by then accepts it as its
-// own response; a connection that is still cooling down has none.
+// duplicateArrival is the arrival of a late duplicate response. If an attempt is in flight on the connection by then, the node accepts the
+// duplicate as the response to that attempt. If none is, as while the connection cools down, the node detects the duplicate.
 type duplicateArrival struct {
 	attempt *attempt
 	conn    *conn
--- a/internal/testbed/simulator/stall.go
+++ b/internal/testbed/simulator/stall.go
@@ -59,8 +59,8 @@
 	return true
 }
 
-// chargeRequest starts the processing of a request that has arrived. If that takes time, it queues the request to arrive again afterwards and
-// returns true.
+// chargeRequest makes the processor busy for requestCost with a request that has arrived, queues the arrival to be repeated afterwards, and
+// returns true. It returns false if the request was charged before or requestCost is 0: then the caller processes the request now.
 func (c *cpuQueue) chargeRequest(a *clientAttempt) bool {
 	if c.requestCost == 0 || a.started {
 		return false
