--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -184,8 +184,8 @@
 	}
 }
 
-// setFaults injects faults into a share of executions, and replaces the faults injected before. The share is the step's value; without one it
-// is 1.
+// setFaults injects faults into a share of executions, and replaces the faults injected before. The share is the value of the step, or 1 if
+// the step has no value.
 func setFaults(faults func(share float64, s *Step) fakes.Faults) func(ServerControl, *Step) error {
 	return func(server ServerControl, s *Step) error {
 		server.SetFaults(faults(cmp.Or(s.Value, 1), s))
--- a/internal/testbed/experiment/expectations.go
+++ b/internal/testbed/experiment/expectations.go
@@ -13,8 +13,8 @@
 	Binds       bool    `json:"Binds"` // it counts for the run's program; see Expectation.BindsBaselines
 }
 
-// evaluateExpectations evaluates each expectation of the experiment. All of them bind the program under test; a baseline is bound only by
-// those with BindsBaselines.
+// evaluateExpectations evaluates each expectation of the experiment. All expectations bind the program under
+// test; only those with BindsBaselines also bind a baseline.
 func (r *Run) evaluateExpectations(isMain bool) []ExpectationResult {
 	var results []ExpectationResult
 	for _, e := range r.Experiment.Expectations {
--- a/internal/testbed/invariants/operations.go
+++ b/internal/testbed/invariants/operations.go
@@ -123,7 +123,8 @@
 	return slices.ContainsFunc(o.stricterSettings, func(s span) bool { return s.contains(node, at) })
 }
 
-// excludedID returns the id under which a node excludes a server at a time. The exclusion applies once grace has passed since the call.
+// excludedID returns the id under which a node excludes a server at a time. The exclusion applies once
+// grace has passed since the call that excluded the server.
 func (o *Operations) excludedID(node servermodel.NodeID, server servermodel.ServerID, at, grace float64) (id string, ok bool) {
 	for _, e := range o.exclusions {
 		if e.server == server && e.contains(node, at) && at > e.from+grace {
--- a/internal/testbed/servermodel/servermodel_test.go
+++ b/internal/testbed/servermodel/servermodel_test.go
@@ -97,7 +97,8 @@
 	}
 }
 
-// A server that is warming up has part of its capacity. It collapses if it is sent more than OverloadMultiple times that, and stays down.
+// A server that is warming up has part of its capacity. It collapses, and stays down, if the work sent to it exceeds
+// OverloadMultiple times that part.
 func TestColdServerCollapsesUnderOverload(t *testing.T) {
 	for _, c := range []struct {
 		interval float64 // ms between executions
@@ -170,7 +171,7 @@
 	}
 }
 
-// A pause delays running work by its length.
+// A pause of a server delays the running work by the length of the pause.
 func TestPause(t *testing.T) {
 	cluster, cache, _ := newTestCluster(cacheConfig)
 	cluster.Preload(cache.ID, "k")
--- a/internal/testbed/simulator/faultypolicy_test.go
+++ b/internal/testbed/simulator/faultypolicy_test.go
@@ -76,8 +76,8 @@
 	}
 }
 
-// The checker detects a node that sends requests to a server after a notification that it is draining. To provoke this, the test sends
-// the notification to the checker only.
+// The checker detects a node that sends requests to a server after a notification that the server drains. The test sends the notification
+// to the checker only, so that the node keeps sending.
 func TestSendingToDrainingServerIsDetected(t *testing.T) {
 	sim, err := newSimulation(parseExperiment(t, smallFleet), Options{})
 	if err != nil {
--- a/internal/testbed/simulator/simulator_test.go
+++ b/internal/testbed/simulator/simulator_test.go
@@ -80,9 +80,9 @@
 	return fmt.Sprintf("[[at]]\ntime = \"%dms\"\ndo = %q\n%s\n", int(1000*seconds), action, fields)
 }
 
-// faultSteps are faults of all kinds, some of them at the same time, except for late duplicate responses. Those occasionally break rule 1
+// faultSteps are faults of all kinds except late duplicate responses; some of the faults overlap. Late duplicates occasionally break rule 1
 // while all connections of a server are busy, a known risk of the pools (docs/ROADMAP.md, open points). TestLateDuplicatesAreDetected
-// covers them.
+// covers late duplicates.
 var faultSteps = stepTOML(0.5, "kill", "box = \"box-0\"\nfor = \"1s\"") + stepTOML(0.6, "drain", "box = \"box-1\"\nfor = \"1s\"") + stepTOML(0.8, "kill_node", "node = 1\nfor = \"1s\"") +
 	stepTOML(1, "cut", "zone = \"b\"\nfor = \"700ms\"") + stepTOML(1.2, "lost_answers", "share = 0.5\nvalue = 0.3\nfor = \"600ms\"") + stepTOML(2, "replace", "box = \"box-2\"") +
 	stepTOML(2.2, "resets", "share = 0.5\nvalue = 0.2\nfor = \"500ms\"") + stepTOML(2.4, "half_answers", "box = \"box-3\"\nvalue = 0.3\nfor = \"300ms\"") +
@@ -237,8 +237,8 @@
 	}
 }
 
-// SupportedExperiment rejects a feature that cannot be simulated with its name and, for a step, its line. Expectations on unsupported figures are
-// dropped and reported as skipped.
+// SupportedExperiment rejects a feature that cannot be simulated. The error names the feature and, for a step, the line of the step.
+// Expectations on unsupported figures are dropped and reported as skipped.
 func TestUnsupportedFeaturesAreRejected(t *testing.T) {
 	for text, want := range map[string]string{
 		smallFleet + stepTOML(1, "replace_node", "node = 0"):               "small.toml:41: at[0].do: replace_node cannot be simulated",
