--- a/internal/testbed/experiment/experiment.go
+++ b/internal/testbed/experiment/experiment.go
@@ -302,8 +302,8 @@
 	return err == nil && file.Fleet != nil, err
 }
 
-// WarmKeys calls store for each cache that is warm at the start, with the keys that it holds: the most popular ones that fit, the most
-// popular of them last.
+// WarmKeys calls store for each cache that is warm at the start, with the keys that the cache holds: the most popular keys that fit, in
+// order of increasing popularity.
 func (x *Experiment) WarmKeys(keys []string, store func(index int, keys []string)) {
 	if !x.Load.WarmCaches {
 		return
--- a/internal/testbed/experiment/result.go
+++ b/internal/testbed/experiment/result.go
@@ -14,7 +14,7 @@
 // perform worse than they do.
 const MaxLatenessMs = 20
 
-// latenessWindowMs is the time before and after a late response in which lateness of the bench itself excuses it, in ms.
+// latenessWindowMs is the time before and after a late response in which lateness of the bench itself excuses the response, in ms.
 const latenessWindowMs = 200
 
 // Run is the record of one run of an experiment. Times are Unix ms.
--- a/internal/testbed/experiment/sweep.go
+++ b/internal/testbed/experiment/sweep.go
@@ -9,7 +9,7 @@
 	"mintspring/internal/testbed/invariants"
 )
 
-// hysteresisMargin is the loss of service on the way down, as a share, beyond which it is not random variation.
+// hysteresisMargin is the greatest loss of service on the way down, as a share, that counts as random variation.
 const hysteresisMargin = 0.03
 
 // SaturationSweep returns an experiment that raises the rate in equal steps and lowers it by the same steps, without any fault. It compares
--- a/internal/testbed/simulator/clientattempt.go
+++ b/internal/testbed/simulator/clientattempt.go
@@ -15,7 +15,7 @@
 	sim            *Simulation
 	sequence       uint64
 	request        *experiment.GeneratedRequest
-	process        *process // the attempt was sent to it
+	process        *process // the process that the attempt was sent to
 	failedConnects int      // number of nodes that could not be reached
 	retryAfterMs   float64  // from the response
 
--- a/internal/testbed/simulator/process.go
+++ b/internal/testbed/simulator/process.go
@@ -157,7 +157,7 @@
 	p.runDueWork()
 }
 
-// applyEndpoints applies a full endpoint list or a change to it. Servers missing from a full list are gone.
+// applyEndpoints applies a full endpoint list or changes to the current list. Servers missing from a full list are gone.
 func (p *process) applyEndpoints(mode fleet.ListMode, entries []discovery.Entry) {
 	now := p.localNow()
 	endpoints := make([]fleet.Endpoint, 0, len(entries))
--- a/internal/testbed/simulator/ringowners.go
+++ b/internal/testbed/simulator/ringowners.go
@@ -59,7 +59,7 @@
 	return name
 }
 
-// movedKeyShare returns the share of keys whose owner differs from that at the start of the measurement.
+// movedKeyShare returns the share of keys whose owner differs from their owner at the start of the measurement.
 func (s *Simulation) movedKeyShare() float64 {
 	moved, compared := 0, 0
 	for i, names := range s.keyOwners() {
--- a/internal/testbed/simulator/server.go
+++ b/internal/testbed/simulator/server.go
@@ -126,7 +126,7 @@
 	s.conns = append(s.conns, c)
 }
 
-// removeConn removes a connection. The last connection moves to its index.
+// removeConn removes a connection. The last connection moves to the index of the removed one.
 func (s *server) removeConn(c *conn) {
 	last := len(s.conns) - 1
 	s.conns[c.index] = s.conns[last]
