--- a/internal/testbed/processrunner/loadgenerator.go
+++ b/internal/testbed/processrunner/loadgenerator.go
@@ -132,8 +132,8 @@
 	return attempt, answer
 }
 
-// sendOnce sends a command on one connection. It reports whether to send the command again on another connection: either it was not sent,
-// or the node closed an idle reused connection while the command was in transit.
+// sendOnce sends a command on one connection. sendAgain reports whether to send the command again on another connection, either because
+// the command was not sent or because the node closed an idle reused connection while the command was in transit.
 func (l *loadGenerator) sendOnce(r *experiment.GeneratedRequest, attempt *invariants.ClientAttempt, cmd *command, isFirstConnection bool) (answer response, sendAgain bool) {
 	node, c, err := l.clients.get(!isFirstConnection)
 	if err != nil { // the node is dead, the machine has no free port, or the clients have reached their connection limit
--- a/internal/testbed/processrunner/persistentclient.go
+++ b/internal/testbed/processrunner/persistentclient.go
@@ -80,7 +80,7 @@
 }
 
 // sendBatch sends one request or several pipelined ones, and records their attempts. In the configured share of batches the client
-// disconnects before it has all responses.
+// disconnects before all responses have arrived.
 func (p *persistentClient) sendBatch() {
 	batch, longestTimeoutMs := p.nextBatch()
 	pausesMs := float64(len(batch)-1) * float64(maxPipelinePause/time.Millisecond)
--- a/internal/testbed/servermodel/cluster.go
+++ b/internal/testbed/servermodel/cluster.go
@@ -83,8 +83,8 @@
 	c.reschedule(s)
 }
 
-// Start starts a server that was killed or has collapsed, or restarts one that is up. Its cache is empty. Unless warm is set, it starts
-// with only part of its capacity.
+// Start starts a server that was killed or has collapsed, or restarts one that is up. The started server has an empty cache and,
+// unless warm is set, only part of its capacity.
 func (c *Cluster) Start(now float64, id ServerID, warm bool) {
 	s := c.Servers[id]
 	if s.Up {
@@ -150,7 +150,7 @@
 	return completed
 }
 
-// expireAt returns a function that ends an execution at the given time because its deadline passed while it waited.
+// expireAt returns a function that ends an execution at the given time as Expired, for executions whose deadline passed in the queue.
 func (c *Cluster) expireAt(now float64) func(*Execution) {
 	return func(e *Execution) { c.finish(now, e, Expired) }
 }
--- a/internal/testbed/servermodel/server.go
+++ b/internal/testbed/servermodel/server.go
@@ -19,8 +19,9 @@
 	ErrorRate   float64 // share of executions that fail immediately
 	Connections int
 	Collapses   int // number of collapses so far
-	// AvoidableShare is the share of an overload that nodes could have avoided, for the collapse where it was largest. At a cache this is
-	// the work from nodes that had been notified of its start. At the origin it is the misses of caches that were warming up.
+	// AvoidableShare is the share of an overload that nodes could have avoided, for the collapse where this share was largest. At a cache,
+	// avoidable work is the work from nodes that had been notified of the cache's start; at the origin, the misses of caches that were
+	// warming up.
 	AvoidableShare float64
 
 	queue         workQueue
