--- a/internal/testbed/experiment/actions.go
+++ b/internal/testbed/experiment/actions.go
@@ -17,7 +17,7 @@
 	inverseValue float64 // Step.Value of the inverse
 	needsValue   bool    // Step.Value must be above 0
 
-	needsServer bool // it acts on a node with the server of the step as an argument
+	needsServer bool // the action acts on a node and takes the step's server as an argument
 
 	onServer func(ServerControl, *Step) error
 	onNode   func(NodeControl, *Step) error
@@ -184,8 +184,8 @@
 	}
 }
 
-// setFaults injects faults into a share of executions, and replaces the faults injected before. The share is the step's value; without one it
-// is 1.
+// setFaults injects faults into a share of executions, and replaces the faults injected before. The share is the value of the step, or 1 if
+// the step has no value.
 func setFaults(faults func(share float64, s *Step) fakes.Faults) func(ServerControl, *Step) error {
 	return func(server ServerControl, s *Step) error {
 		server.SetFaults(faults(cmp.Or(s.Value, 1), s))
--- a/internal/testbed/invariants/operations.go
+++ b/internal/testbed/invariants/operations.go
@@ -57,8 +57,8 @@
 // StandbyCalls returns the number of calls to SetStandby.
 func (o *Operations) StandbyCalls() int { return o.standbyCalls }
 
-// SetStricterSettings records a signal that makes a node load stricter settings, under which some classes become non-idempotent, or load
-// the previous ones again.
+// SetStricterSettings records a signal that makes a node load other settings: if stricter is set, those under which some classes become
+// non-idempotent, otherwise the previous ones.
 func (o *Operations) SetStricterSettings(node servermodel.NodeID, stricter bool, at float64) {
 	o.stricterSettings = setSpan(o.stricterSettings, node, stricter, at, settingsReloadLimit)
 }
@@ -123,7 +123,8 @@
 	return slices.ContainsFunc(o.stricterSettings, func(s span) bool { return s.contains(node, at) })
 }
 
-// excludedID returns the id under which a node excludes a server at a time. The exclusion applies once grace has passed since the call.
+// excludedID returns the id under which a node excludes a server at a time. The exclusion applies once
+// grace has passed since the call that excluded the server.
 func (o *Operations) excludedID(node servermodel.NodeID, server servermodel.ServerID, at, grace float64) (id string, ok bool) {
 	for _, e := range o.exclusions {
 		if e.server == server && e.contains(node, at) && at > e.from+grace {
