--- a/internal/cluster/consensus/core.go
+++ b/internal/cluster/consensus/core.go
@@ -53,10 +53,10 @@
 	leases            *lease.State
 	expiry            *lease.ExpiryTracker
 	confState         *pb.ConfState // voters and learners after the last applied change
-	membershipChanged bool          // whether it changed since the last snapshot
+	membershipChanged bool          // whether confState changed since the last snapshot
 	appliedIndex      uint64
 	snapshotIndex     uint64
-	initialSnapshot   *pb.Snapshot // first state of a new group; nil: no initial voter, or the data directory was not empty
+	initialSnapshot   *pb.Snapshot // first state of a new group; nil: this replica is not an initial voter, or its data directory was not empty
 
 	pendingRequests map[uint64]uint64 // request IDs of proposed commands that have no result yet, by sequence number
 	lastSequence    uint64
--- a/internal/cluster/counters/gossip.go
+++ b/internal/cluster/counters/gossip.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// appendInTurn adds up to limit counters of a node, starting behind the one that was sent last. Of this node itself it adds only labeled
-// ones.
+// appendInTurn adds up to limit counters of a node, starting behind the one that was sent last. If the node is this node itself, it adds only
+// labeled counters.
 func (s *Store) appendInTurn(now float64, m *wire.Message, id, limit int) {
 	n := &s.nodes[id]
 	for range n.order {
--- a/internal/cluster/gossip/exchange.go
+++ b/internal/cluster/gossip/exchange.go
@@ -38,7 +38,7 @@
 	return n.fill(now, out)
 }
 
-// pushEvidence updates the evidence. If some of it is new, it adds messages to random nodes, which fill completes with the evidence.
+// pushEvidence updates the evidence. If some of it is new, it adds messages to random nodes; fill later puts the evidence into them.
 func (n *Node) pushEvidence(now float64, out []*wire.Message) []*wire.Message {
 	n.outlierChanges = append(n.outlierChanges, n.outliers.Tick(now, n.membership.MemberCount())...)
 	if now < n.nextPushAt || !n.outliers.TakeNewEvidenceFlag() {
--- a/internal/cluster/lease/lease.go
+++ b/internal/cluster/lease/lease.go
@@ -16,7 +16,7 @@
 //
 //   - A client counts the TTL by its own clock from the moment at which it sent the request that was granted, and stops when the TTL has passed.
 //   - The leader expires a lease after the TTL and a margin, which it counts by its own clock from the moment at which it applied the last
-//     renewal. That moment is later than the client's.
+//     renewal. That moment is later than the moment at which the client sent the request.
 //   - A command to expire a lease carries the number of renewals that the leader has applied. It has no effect if another renewal is committed
 //     before it.
 //
--- a/internal/cluster/lease/model_test.go
+++ b/internal/cluster/lease/model_test.go
@@ -252,7 +252,7 @@
 
 func (m *model) deliver(msg message) {
 	if msg.isResult {
-		// A later incarnation receives it too: it has the same address, and may have a pending request with the same ID.
+		// A later incarnation of the contender receives the result too: it has the same address, and may have a pending request with the same ID.
 		m.mutableClient(msg.contender).HandleResult(msg.requestID, msg.result)
 		return
 	}
--- a/internal/cluster/lease/state.go
+++ b/internal/cluster/lease/state.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// leaseFor returns the lease that a command names. The first request to acquire it, or operators who write its progress, create it. It returns
-// nil for a lease that does not exist otherwise.
+// leaseFor returns the lease that a command names. If the lease does not exist, KindAcquire and KindOverrideProgress create it, and other commands
+// get nil. leaseFor also returns nil if there are too many leases already or the command has no TTL.
 func (s *State) leaseFor(c Command) *Lease {
 	if l := s.Leases[c.Name]; l != nil {
 		return l
@@ -134,7 +134,7 @@
 	return true
 }
 
-// isHeldUnder reports whether the sender of a command holds the lease and the command has its current token.
+// isHeldUnder reports whether the sender of a command holds the lease and the command has the lease's current token.
 func (l *Lease) isHeldUnder(c Command) bool {
 	return l.Held && l.Holder == c.Process && l.Token == c.Token
 }
--- a/internal/cluster/membership/config.go
+++ b/internal/cluster/membership/config.go
@@ -17,7 +17,7 @@
 	suspicionMultiplier              = 4 // shortest suspicion: this * log10(fleet size) probe intervals
 	maxSuspicionMultiplier           = 6 // longest suspicion: this * the shortest one
 	suspicionConfirmations           = 3 // confirmations by other nodes after which a suspicion has the shortest timeout
-	deathVerificationPeriods         = 4 // probe intervals in which this node probes a suspect itself before it declares it dead
+	deathVerificationPeriods         = 4 // probe intervals in which this node probes a suspect itself before declaring the suspect dead
 	deathVerificationProbesPerPeriod = 2 // probes of the suspect per probe interval during that time
 	maxHealthScore                   = 8 // limit of the health score of this node
 	retransmitMultiplier             = 4 // transmissions of an update: this * log10(fleet size)
--- a/internal/cluster/membership/membership_test.go
+++ b/internal/cluster/membership/membership_test.go
@@ -190,8 +190,9 @@
 	}
 }
 
-// When links are cut in one direction around a ring, nodes that can be reached through others are not declared dead, although each datagram
-// is also repeated at intervals of five seconds.
+// Each node's link to the next node of a ring is cut; all other links, including the one back, still work. No node may be declared dead,
+// because each can be reached through others. The links also deliver three late duplicates of each datagram, five seconds apart, which must
+// not cause a false death either.
 func TestOneWayLinks(t *testing.T) {
 	f := newFleet(t, 9, 2)
 	f.Links.Set(f.NodeIndexes(), f.NodeIndexes(), func(link *faultrelay.Link) { link.Duplicates, link.DuplicateDelayMs = 3, 5000 })
--- a/internal/cluster/membership/state.go
+++ b/internal/cluster/membership/state.go
@@ -53,7 +53,7 @@
 		return
 	}
 	m.suspectedBy[by] = true
-	if m.update.SuspectedBy != by { // gossip each suspecting node: other nodes count them to shorten the suspicion
+	if m.update.SuspectedBy != by { // gossip each suspecting node: other nodes count the suspecting nodes to shorten the suspicion
 		m.update.SuspectedBy = by
 		l.enqueue(m.update.Node, false)
 	}
@@ -63,7 +63,7 @@
 	l.shortenSuspicion(now, m, m.stateSince+max(shortest, timeout))
 }
 
-// shortenSuspicion lets a suspicion time out at deadAt if that is earlier, but leaves this node the time to probe the suspect itself. When
+// shortenSuspicion moves the timeout of a suspicion to deadAt if deadAt is earlier, but leaves this node the time to probe the suspect itself. When
 // two fifths of all datagrams are lost among hundreds of nodes, refutations spread more slowly than suspicions. Without that time, a node
 // that received a suspicion, or learned that another node's suspicion had timed out, declared live nodes dead, and the rest of the fleet
 // did the same.
--- a/internal/cluster/outlier/assess.go
+++ b/internal/cluster/outlier/assess.go
@@ -133,8 +133,8 @@
 	return assessment{change: change, failingSources: failing}
 }
 
-// limitBiasedServers removes the positive bias and the duplicating mark of servers beyond maxBiasedShare. The assessments are sorted, so that
-// the servers that the fewest sources report as failing lose theirs.
+// limitBiasedServers removes the positive bias and the duplicating mark of servers beyond maxBiasedShare. The assessments are sorted, so
+// that servers that few sources report as failing lose bias and mark before servers that many sources report.
 func (d *Detector) limitBiasedServers(all []assessment) []assessment {
 	remaining := d.shareOfServers(maxBiasedShare)
 	for i := range all {
--- a/internal/cluster/outlier/config.go
+++ b/internal/cluster/outlier/config.go
@@ -1,9 +1,9 @@
 // Package outlier lets the nodes of a fleet exchange evidence of failing servers, so that each needs less evidence of its own. Evidence from
 // other nodes acts as a bias on the failure rate that a node observes: it lowers the threshold at which the node's own failures eject a
-// server, or raises it if other nodes have received responses since. Alone it neither ejects nor readmits a server. It counts only if several
-// sources agree, it is limited to a share of the servers, both per source and in total, and it expires unless it is renewed. Hence nodes that
-// send false evidence, or that are partitioned and observe failures everywhere, can only change how strongly a node's own evidence counts, and
-// only for that share of the servers.
+// server, or raises that threshold if other nodes report that the server responds again. Evidence from other nodes alone neither ejects nor
+// readmits a server. It counts only if several sources agree, it is limited to a share of the servers, both per source and in total, and it
+// expires unless it is renewed. Hence nodes that send false evidence, or that are partitioned and observe failures everywhere, can only change
+// how strongly a node's own evidence counts, and only for that share of the servers.
 //
 // While other nodes report that a server fails, this node sends only its part of the trial requests, because it also learns the results of the
 // others' trials. As soon as one of them receives a response, this node sends trial requests as if it were alone.
--- a/internal/cluster/outlier/detector.go
+++ b/internal/cluster/outlier/detector.go
@@ -103,8 +103,8 @@
 	if !reportedFailing && e.failureRate >= failingThreshold && e.outcomes >= minOutcomes {
 		return wire.Failing, true
 	}
-	// A node that sends few trial requests because others send them has no published verdict any more, because it has expired. It must still publish
-	// its first response, or no node would learn of the recovery.
+	// While others send most of the trial requests, this node sends few, and its own published verdict expires. It must still publish its first
+	// response, or no node would learn of the recovery.
 	othersReportFailing := !e.published && s.bias > 0 && e.failureRate > healthyThreshold
 	recovered := e.failureRate < failingThreshold || e.successStreak >= recoveredStreak || s.trialIntervalMs > 0
 	return wire.Healthy, !failed && (reportedFailing || othersReportFailing) && recovered
--- a/internal/cluster/outlier/gossip.go
+++ b/internal/cluster/outlier/gossip.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// record stores evidence if it is newer than the stored evidence of its source. It queues it at the front, because requests fail at each node
-// until that node knows of the failing server.
+// record stores evidence if it is newer than the stored evidence of its source. New evidence goes to the front of the queue, because requests
+// fail at each node until that node knows of the failing server.
 func (d *Detector) record(id uint32, source cluster.NodeID, e sourceEvidence) {
 	s := d.server(id)
 	previous, known := s.evidence[source]
@@ -43,8 +43,8 @@
 	return hasNewEvidence
 }
 
-// AppendEvidence appends up to limit pieces of evidence from the front of the queue to a message. It queues each again at the back until it
-// has been passed on often enough for the number of nodes.
+// AppendEvidence appends up to limit pieces of evidence from the front of the queue to a message. Each piece returns to the
+// back of the queue until it has been sent as often as the number of nodes requires.
 func (d *Detector) AppendEvidence(now float64, m *wire.Message, limit, nodes int) {
 	maxTransmits := int(retransmitMultiplier * math.Ceil(math.Log2(float64(nodes+1))))
 	for range len(d.queue) {
--- a/internal/cluster/participant/participant.go
+++ b/internal/cluster/participant/participant.go
@@ -205,7 +205,7 @@
 }
 
 // trialBy returns the latest time at which this node sends its next trial request to a server that has failed here. The time is:
-//   - now, if the other nodes' reports of failures no longer prevail;
+//   - now, if the other nodes' evidence no longer lowers the threshold at which this node ejects the server;
 //   - soon, if another node has received a response. Hundreds of nodes learn of that response at once, so the time differs by node;
 //   - +Inf, if the other nodes report only failures. Their trial requests also show this node when the server recovers.
 func (p *Participant) trialBy(now float64, change outlier.Change) float64 {
--- a/internal/cluster/participant/participant_test.go
+++ b/internal/cluster/participant/participant_test.go
@@ -14,7 +14,7 @@
 	"mintspring/internal/slowstart"
 )
 
-// DecisionAdapter finds the methods of the decision module at run time; a renamed method would go unnoticed.
+// DecisionAdapter finds the methods of the decision module at run time; without this assertion a renamed method would go unnoticed.
 var _ decisionModule = (*decide.Node)(nil)
 
 // testHost is a Host that returns the demands and quotas set by a test, and records the calls of its Participant.
--- a/internal/cluster/quota/config.go
+++ b/internal/cluster/quota/config.go
@@ -13,7 +13,7 @@
 // At every moment the units that all processes may spend are at most the whole budget, provided that the rates of the clocks differ by no more
 // than the margin and no two processes run under one node id. A second process with the same id adds its floor and, after the duration of a lease,
 // its part of the quota owners' units. Within any window of w ms, the nodes spend at most b(w + bucketDepthMs) of a budget of b per ms, plus
-// one for each node that spends (Bucket).
+// one token for each node that spends (see Bucket).
 //
 // Some budgets have no fixed size: each node's quota follows from its own traffic (Ledger.SetTrafficQuota), such as the work that may be
 // sent to a server in slow start. They have neither floors nor quota owners. A node leases out the units that it does not need, but at most
@@ -42,7 +42,7 @@
 	retainedShare        = 0.1  // share of its units above the floor that a quota owner never leases out
 	retainedTrafficShare = 0.5  // share of a quota that follows from traffic that is never leased out
 	clockMargin          = 0.05 // share of the duration of a lease that the lender adds to it: covers clocks that run up to 2.4% fast or slow
-	headroom             = 0.15 // share of the demand that is added to it, because demand varies
+	headroom             = 0.15 // added to the demand, as a share of the demand, because demand varies
 
 	// Times as multiples of LeaseMs.
 	renewBefore        = 0.5       // time before its expiry from which a lease is renewed
--- a/internal/cluster/quota/ledger_test.go
+++ b/internal/cluster/quota/ledger_test.go
@@ -163,8 +163,8 @@
 	}
 }
 
-// Nodes with much traffic borrow from nodes with little. Isolated nodes may spend their own units, and after a restart a part of them, but
-// never none.
+// Nodes with much traffic borrow from nodes with little. Isolated nodes may spend their own units. An isolated
+// node that restarts may spend at least a part of its own units.
 func TestBusyNodesBorrow(t *testing.T) {
 	f := newFleet(9, 9, 9, 3)
 	usableEvenShares := 0.0
