--- a/internal/node/connpool/suspicion.go
+++ b/internal/node/connpool/suspicion.go
@@ -102,9 +102,9 @@
 	return false
 }
 
-// DuplicatesReported records that another node has received duplicate responses from the server, and reports whether the server becomes
+// RecordDuplicateReport records that another node has received duplicate responses from the server, and reports whether the server becomes
 // suspected.
-func (p *Policy) DuplicatesReported() (newlySuspected bool) {
+func (p *Policy) RecordDuplicateReport() (newlySuspected bool) {
 	if p.Suspected() {
 		return false
 	}
--- a/internal/node/connpool/unused.go
+++ b/internal/node/connpool/unused.go
@@ -150,10 +150,10 @@
 	return p.suspect(c)
 }
 
-// DuplicatesReported records that another node has received duplicate responses from the server. It has the same effect as
+// RecordDuplicateReport records that another node has received duplicate responses from the server. It has the same effect as
 // ReceivedUnsolicited.
-func (p *Pool[C, A]) DuplicatesReported() (suspected []C) {
-	if !p.Policy.DuplicatesReported() {
+func (p *Pool[C, A]) RecordDuplicateReport() (suspected []C) {
+	if !p.Policy.RecordDuplicateReport() {
 		return nil
 	}
 	return p.suspect(nil)
--- a/internal/node/upstream/endpoint.go
+++ b/internal/node/upstream/endpoint.go
@@ -148,7 +148,7 @@
 func (e *Endpoint) ReportedDuplicates() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.failOnSuspectedConns(e.pool.DuplicatesReported())
+	e.failOnSuspectedConns(e.pool.RecordDuplicateReport())
 }
 
 // recordUnsolicited records that bytes arrived on a connection without a request. Called with the mutex held.
--- a/internal/testbed/simulator/clustermember.go
+++ b/internal/testbed/simulator/clustermember.go
@@ -120,7 +120,7 @@
 // MarkDuplicating implements participant.Host.
 func (m *clusterMember) MarkDuplicating(_ float64, server fleet.ServerID) {
 	l := m.process.links[server]
-	l.failSuspectAttempts(l.pool.DuplicatesReported())
+	l.failSuspectAttempts(l.pool.RecordDuplicateReport())
 }
 
 // NodeCounters implements participant.Host.
