--- a/cmd/mintspring/listen.go
+++ b/cmd/mintspring/listen.go
@@ -25,7 +25,7 @@
 // firstInheritedFD is the first descriptor after standard input, output and error.
 const firstInheritedFD = 3
 
-// clientListener returns a listener on the socket that the platform holds. If it holds none, the process opens its own.
+// clientListener returns a listener on the socket that the platform holds. If the platform holds no socket, the process opens its own.
 func clientListener(addr string) (net.Listener, error) {
 	text := os.Getenv(socketFDEnv)
 	if text == "" {
@@ -54,7 +54,7 @@
 
 // sharedListener is a listening socket that other processes have inherited too. They share the open file, and with it the flag O_NONBLOCK
 // (fcntl(2)): the holder of the socket may clear the flag at any time, as Go does when it passes a file to a process. Neither a deadline
-// nor a close would then end a pending accept(2), and it would take a connection that its successor should accept.
+// nor a close would then end a pending accept(2), and the pending accept could take a connection that its successor should accept.
 type sharedListener struct{ *net.TCPListener }
 
 // Accept sets the socket to non-blocking mode and accepts the next connection.
--- a/cmd/mintspring/nodeprocess_test.go
+++ b/cmd/mintspring/nodeprocess_test.go
@@ -120,7 +120,7 @@
 	addr            string
 	dir             string
 	discovery       string
-	operator        string          // path of the operator's file; empty: none
+	operatorFile    string          // path of the operator's file; empty: none
 	faultPlan       string          // plan of failing system calls of processes that are started from now on; empty: none
 	extraGuarantees string          // more JSON fields of Guarantees, each after a comma
 	timeoutMs       int             // timeout of requests, in ms
@@ -185,8 +185,8 @@
 // writeOperatorFile writes the operator's file of the processes that are started from now on.
 func (n *testNode) writeOperatorFile(text string) {
 	n.t.Helper()
-	n.operator = filepath.Join(n.dir, "operator.toml")
-	writeFile(n.t, n.operator, text)
+	n.operatorFile = filepath.Join(n.dir, "operator.toml")
+	writeFile(n.t, n.operatorFile, text)
 }
 
 // nodeProcess is a process of a node.
@@ -228,7 +228,7 @@
 	file := filepath.Join(n.t.TempDir(), "config.json")
 	writeFile(n.t, file, text)
 	c := exec.Command(os.Args[0])
-	c.Env = append(os.Environ(), nodeEnv+"=1", "LB_CONFIG="+file, "LB_SOCKET_FD=3", "TMPDIR="+n.dir, operatorEnv+"="+n.operator, faultsEnv+"="+n.faultPlan)
+	c.Env = append(os.Environ(), nodeEnv+"=1", "LB_CONFIG="+file, "LB_SOCKET_FD=3", "TMPDIR="+n.dir, operatorEnv+"="+n.operatorFile, faultsEnv+"="+n.faultPlan)
 	c.ExtraFiles = []*os.File{n.socket}
 	log := &logrecorder.Recorder{}
 	c.Stderr = log
--- a/cmd/mintspring/reload.go
+++ b/cmd/mintspring/reload.go
@@ -27,8 +27,8 @@
 
 // reload reads both files again and returns the configuration that is active from now on. The settings, the address of the discovery
 // service and the log section take effect at once. Other changes take effect after a restart only, and their names are logged. If a file
-// cannot be used, nothing changes. The same holds for a configuration that lacks keys of the active one: it may have been truncated and
-// still be parseable.
+// cannot be used, nothing changes. Nothing changes either if the new configuration lacks keys of the active one: its file may have been
+// truncated and still be parseable.
 //
 // An error means that reading a file failed with a transient error. Nothing has changed then.
 func (a activeConfig) reload(files fileFlags, n reloadTarget, log *logrus.Logger) (activeConfig, error) {
--- a/cmd/mintspring/rollingrestart_test.go
+++ b/cmd/mintspring/rollingrestart_test.go
@@ -210,7 +210,7 @@
 	if err := storage.Create(f.consensusDir(n), storage.Identity{Group: "c", ReplicaNumber: uint64(i + 1)}); err != nil {
 		f.t.Fatal(err)
 	}
-	if _, err := operatorfile.Read(n.operator); err != nil {
+	if _, err := operatorfile.Read(n.operatorFile); err != nil {
 		f.t.Fatal(err)
 	}
 	p := n.start()
@@ -332,12 +332,12 @@
 	uninitialized := n.start()
 	uninitialized.log.WaitFor(f.t, "data directory is not initialized")
 	uninitialized.signalAndWait(syscall.SIGKILL, time.Second)
-	text, err := os.ReadFile(n.operator)
+	text, err := os.ReadFile(n.operatorFile)
 	if err != nil {
 		f.t.Fatal(err)
 	}
 	n.writeOperatorFile(string(text) + "generation = 1\n")
-	if err := (&consensusInitCmd{Operator: n.operator}).Run(); err != nil {
+	if err := (&consensusInitCmd{Operator: n.operatorFile}).Run(); err != nil {
 		f.t.Fatal(err)
 	}
 	f.processes[0] = n.start()
--- a/internal/hotkeys/hotkeys.go
+++ b/internal/hotkeys/hotkeys.go
@@ -21,7 +21,8 @@
 	sum     float32 // of all buckets
 }
 
-func (c *Counts) currentUnit() float32 {
+// currentIncrement returns the amount that one request currently adds to its bucket.
+func (c *Counts) currentIncrement() float32 {
 	if c.unit == 0 {
 		c.unit = 1
 	}
@@ -33,14 +34,14 @@
 
 // AddToBucket adds a count to a bucket.
 func (c *Counts) AddToBucket(bucket uint64, count float32) {
-	scaled := count * c.currentUnit()
+	scaled := count * c.currentIncrement()
 	c.buckets[bucket] += scaled
 	c.sum += scaled
 }
 
 // Decay multiplies all counts by decayFactor.
 func (c *Counts) Decay() {
-	c.unit = c.currentUnit() / decayFactor
+	c.unit = c.currentIncrement() / decayFactor
 	if c.unit <= maxUnit {
 		return
 	}
@@ -51,10 +52,12 @@
 }
 
 // Count returns the decayed count of a key.
-func (c *Counts) Count(key uint64) float64 { return float64(c.buckets[key%Buckets] / c.currentUnit()) }
+func (c *Counts) Count(key uint64) float64 {
+	return float64(c.buckets[key%Buckets] / c.currentIncrement())
+}
 
 // Sum returns the sum of the decayed counts of all keys.
-func (c *Counts) Sum() float64 { return float64(c.sum / c.currentUnit()) }
+func (c *Counts) Sum() float64 { return float64(c.sum / c.currentIncrement()) }
 
 // Top holds the names of the keys with the greatest counts. It cannot tell keys in the same bucket apart by their counts. The zero value is
 // ready for use.
--- a/internal/node/clients/closing.go
+++ b/internal/node/clients/closing.go
@@ -75,8 +75,7 @@
 	}
 }
 
-// requestDrain interrupts the reader, so that it closes the connection or hands it over to another process if the lifecycle asks for that
-// (tryDrain).
+// requestDrain interrupts a blocked read, so that the reader checks whether to close the connection or to hand it over (tryDrain).
 func (c *conn) requestDrain() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/clients/conn.go
+++ b/internal/node/clients/conn.go
@@ -188,8 +188,8 @@
 	return c.closeIfBetweenRequests()
 }
 
-// drainableSince reports whether the connection is between requests, and from when on it may be drained: one on which nothing has arrived
-// is spared for newConnGrace.
+// drainableSince reports whether the connection is between requests, and the time from which it may be drained. A connection on which nothing
+// has arrived may be drained only after a further newConnGrace.
 func (c *conn) drainableSince() (drainable bool, since float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -208,7 +208,7 @@
 	return c.state.phase == phaseClosed || c.state.finishingReply(now, maxCloseWaits*float64(closeWait/time.Millisecond))
 }
 
-// hasPending reports whether a command that was read has not been replied to.
+// hasPending reports whether the reply to any command is still queued or being written.
 func (c *conn) hasPending() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -222,7 +222,7 @@
 	return c.state.hasUnanswered()
 }
 
-// atLimit reports whether no more commands are processed until one is replied to.
+// atLimit reports whether the connection must reply to an earlier command before further commands are processed.
 func (c *conn) atLimit() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/node/clients/eviction.go
+++ b/internal/node/clients/eviction.go
@@ -60,8 +60,9 @@
 	return false
 }
 
-// EvictOldest closes the connection that has been in a state for longest, if for at least minAge ms, and reports whether it closed one.
-// The age of an incomplete connection counts from its accept, so bytes that trickle in do not make it younger.
+// EvictOldest closes the connection that has been in the given state for the longest time, provided that this time is at least minAge ms,
+// and reports whether it closed one. The age of an incomplete connection counts from its accept, so bytes that trickle in do not make it
+// younger.
 func (s *Server) EvictOldest(state ConnState, minAge float64) bool {
 	// The chosen connection may be in use again before it is closed. Then the next one is tried: giving up would reject new clients while
 	// unused connections are open.
@@ -79,7 +80,8 @@
 	}
 }
 
-// oldest returns the connection that has been in a state for longest, if for at least minAge ms; nil if there is none outside except.
+// oldest returns the connection that has been in the given state for the longest time, and for at least minAge ms. It skips the
+// connections in except, and returns nil if no other connection qualifies.
 func (s *Server) oldest(state ConnState, minAge float64, except []*conn) (oldest *conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/clients/reservation.go
+++ b/internal/node/clients/reservation.go
@@ -2,8 +2,8 @@
 
 import "mintspring/internal/node/memlimit"
 
-// reservation is memory reserved for a large command while it is read. It ends with its release, or when the reply takes the memory over.
-// Only the reader goroutine uses it. A nil reservation holds no memory.
+// reservation is memory reserved for a large command while it is read. It ends when release or transfer is called. Only the
+// reader goroutine uses it. A nil reservation holds no memory.
 type reservation struct {
 	budget *memlimit.Budget
 	size   int64 // bytes; 0: released or transferred
--- a/internal/node/clients/state.go
+++ b/internal/node/clients/state.go
@@ -84,7 +84,7 @@
 	return !s.hasPending() && s.midCommand && !s.readInProgress && s.phase != phaseClosed
 }
 
-// hasPending reports whether a command that was read has not been replied to.
+// hasPending reports whether the reply to any command is still queued or being written.
 func (s *sharedState) hasPending() bool { return len(s.replies) > 0 || s.writer == writerWriting }
 
 // hasUnanswered reports whether a request that was read has no response yet.
@@ -100,7 +100,7 @@
 	return s.writer == writerWriting && s.stream == nil && len(s.replies) == 0 && now-s.writeStarted < maxAge
 }
 
-// atLimit reports whether no more commands are processed until one is replied to.
+// atLimit reports whether the connection must reply to an earlier command before further commands are processed.
 func (s *sharedState) atLimit() bool {
 	return (len(s.replies) >= maxPipelined || s.buffered > maxConnBuffered) && s.phase != phaseClosed
 }
--- a/internal/node/connpool/policy.go
+++ b/internal/node/connpool/policy.go
@@ -170,7 +170,7 @@
 	p.peakInUse[0] = max(p.peakInUse[0], inUse)
 }
 
-// recordWait records that an attempt waited for a reused connection for so many ms.
+// recordWait records how long an attempt waited for a reused connection.
 func (p *Policy) recordWait(ms float64) { p.waitSinceDial += ms }
 
 // queueFull reports whether a new attempt is rejected, given the number of attempts that already wait.
--- a/internal/node/connpool/pool.go
+++ b/internal/node/connpool/pool.go
@@ -221,7 +221,7 @@
 
 // Release makes a connection without an attempt available to other attempts. A connection that has had a response cools down first: a
 // duplicate response or other unsolicited bytes that arrive during the cooldown close the connection. If the next attempt had
-// already been sent, they would be read as the response to that attempt. A connection that is no longer usable is closed.
+// already been sent, these bytes would be read as the response to that attempt. A connection that is no longer usable is closed.
 func (p *Pool[C, A]) Release(now float64, conn C) {
 	c := conn.PoolConn()
 	switch {
--- a/internal/node/connpool/suspicion.go
+++ b/internal/node/connpool/suspicion.go
@@ -26,7 +26,7 @@
 	maxLateness             float64 // ms, largest lateness of the samples
 }
 
-// begin records the first duplicate. Its lateness is only a lower bound: an attempt may have received the duplicate as its response, so
+// begin records the first duplicate. The measured lateness is only a lower bound: an attempt may have received the duplicate as its response, so
 // that the real response to the attempt was then counted as the duplicate.
 func (s *suspicion) begin(baseCooldown, lateness, idleTimeout float64) {
 	s.cooldown = capCooldown(max(initialCooldownFactor*baseCooldown, latenessFactor*lateness), idleTimeout)
--- a/internal/node/connpool/unused.go
+++ b/internal/node/connpool/unused.go
@@ -75,8 +75,8 @@
 	}
 }
 
-// OldestUnused returns since when the longest unused connection has been unused, preferring idle over cooling connections. found is false
-// if the pool has no unused connection.
+// OldestUnused returns the time since which the longest unused connection has been unused. It considers cooling connections only if none
+// is idle. found is false if the pool has no unused connection.
 func (p *Pool[C, A]) OldestUnused() (since float64, found bool) {
 	switch {
 	case len(p.idle) > 0:
@@ -87,7 +87,7 @@
 	return 0, false
 }
 
-// CloseOldestUnused closes the connection of which OldestUnused returns the time, and reports whether there was one.
+// CloseOldestUnused closes the unused connection that OldestUnused selects, and reports whether there was one.
 func (p *Pool[C, A]) CloseOldestUnused() bool {
 	found := p.unusedCount() > 0
 	p.closeOldest(min(1, p.unusedCount()))
--- a/internal/node/discovery/entry.go
+++ b/internal/node/discovery/entry.go
@@ -13,7 +13,7 @@
 // OriginFlavor is the flavor of the origin in the endpoint list.
 const OriginFlavor = "origin"
 
-// Phases of an endpoint that the node distinguishes. It sends no new attempts to an endpoint in any other phase.
+// Phases of an endpoint that the node distinguishes. The node sends no new attempts to an endpoint in any other phase.
 const (
 	PhaseInService  = "in_service"
 	PhaseTerminated = "terminated"
@@ -61,7 +61,8 @@
 	Complete bool              `json:"complete"` // Members is the complete list, not only the changed entries
 	Members  []json.RawMessage `json:"members"`  // entries, parsed by Merge
 
-	// ConfirmedAgo is the time from the last confirmation that the list was complete, before this update, to its arrival; negative: none.
+	// ConfirmedAgo is the time between the last earlier confirmation that the list was complete and the arrival of this update; negative:
+	// there was no earlier confirmation.
 	ConfirmedAgo time.Duration `json:"-"`
 }
 
--- a/internal/node/hotrestart/channel.go
+++ b/internal/node/hotrestart/channel.go
@@ -193,7 +193,7 @@
 
 // AnnounceReady tells the predecessor that this successor is serving. It returns once the predecessor has acknowledged that or is gone, or
 // after replyTimeout: older versions never acknowledge it. The caller must not report readiness to operators before AnnounceReady returns.
-// They may stop the predecessor at once, and a predecessor that does not know of the ready successor closes its client connections instead
+// Operators may stop the predecessor at once, and a predecessor that does not know of the ready successor closes its client connections instead
 // of handing them over.
 func (c *Channel) AnnounceReady() error {
 	if err := c.send(kindReady, nil, noFD); err != nil {
--- a/internal/node/hotrestart/dir.go
+++ b/internal/node/hotrestart/dir.go
@@ -37,8 +37,8 @@
 	listener    *net.UnixListener // nil until Listen
 }
 
-// Open creates the directory if it does not exist. It keeps the files of a process that has ended: its socket refuses connections, and
-// its exclusions are still in effect.
+// Open creates the directory if it does not exist. Open keeps the files that an ended process has left: the left socket refuses
+// connections, and the stored exclusions are still in effect.
 func Open(dir string) (*Dir, error) {
 	if err := os.MkdirAll(dir, 0o700); err != nil {
 		return nil, fmt.Errorf("opening the hot restart directory: %w", err)
