--- a/cmd/mintspring/reload_test.go
+++ b/cmd/mintspring/reload_test.go
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// TestReload checks that a file that cannot be used changes nothing, and that changes which take effect after a restart only are logged.
+// TestReload checks that an unusable file changes nothing, and that changes are logged if they take effect only after a restart.
 func TestReload(t *testing.T) {
 	active, err := loadConfig(t, validConfig)
 	if err != nil {
--- a/cmd/mintspring/systemfaults_test.go
+++ b/cmd/mintspring/systemfaults_test.go
@@ -16,8 +16,8 @@
 	}
 }
 
-// startAndAwaitFault starts a process with a plan of system calls that fail from one second after its start, and returns 100 ms after
-// that.
+// startAndAwaitFault starts a process with a plan of system calls that fail from one second after its start, and returns 100 ms after the
+// failures begin.
 func (n *testNode) startAndAwaitFault(plan string) *nodeProcess {
 	n.t.Helper()
 	n.faultPlan = plan
--- a/internal/node/clients/closing_test.go
+++ b/internal/node/clients/closing_test.go
@@ -15,7 +15,7 @@
 	"mintspring/internal/node/lifecycle"
 )
 
-// At shutdown connections are closed between requests only, and new ones are served until the end.
+// At shutdown connections are closed between requests only, and new connections are served until the end.
 func TestShutdownCompletesRequests(t *testing.T) {
 	h := newHarness(t)
 	busy, idle := h.dial(), h.dial()
@@ -82,7 +82,7 @@
 	})
 }
 
-// answerAll answers all requests until the test ends. It returns a function that reports whether a request with an ID has arrived.
+// answerAll answers all requests until the test ends. It returns a function that reports whether a request with the given ID has arrived.
 func (h *harness) answerAll() (arrived func(id string) bool) {
 	var mu sync.Mutex
 	ids, done := map[string]bool{}, make(chan struct{})
--- a/internal/node/clients/eviction.go
+++ b/internal/node/clients/eviction.go
@@ -125,8 +125,8 @@
 	return r.first >= minReuseSamples && float64(r.second) < minReuseFraction*float64(r.first)
 }
 
-// EvictAnswered closes the connection that has been idle longest, if for at least minAge ms, or for answeredGrace if clients hardly ever
-// send a second request. Clients that send one request on each connection and keep it open would otherwise keep out clients whose first
+// EvictAnswered closes the connection that has been idle for the longest time, provided that this time is at least minAge ms. If clients
+// hardly ever send a second request, answeredGrace replaces minAge. Clients that send one request on each connection and keep it open would otherwise keep out clients whose first
 // request is on its way.
 func (s *Server) EvictAnswered(minAge float64) bool {
 	if s.singleUse() {
--- a/internal/node/clients/limits_test.go
+++ b/internal/node/clients/limits_test.go
@@ -25,7 +25,7 @@
 	if x := h.nextRequest(); len(x.Value) != exchange.MaxBufferedValue {
 		t.Errorf("%d bytes of the largest value", len(x.Value))
 	}
-	// The command ends with the rejected value. The connection must not count as in the middle of a command after it.
+	// The command ends with the rejected value. After that value the connection must no longer count as in the middle of a command.
 	other := h.dial()
 	other.send(command("KV.SET", "k", "i", "c=put,d=5,k=1", strings.Repeat("v", 1<<20)))
 	other.expect("-ERR a part larger than any may be\r\n")
--- a/internal/node/clients/upload_test.go
+++ b/internal/node/clients/upload_test.go
@@ -134,8 +134,8 @@
 	c.expect("-ERR a part larger than any may be")
 }
 
-// A large write for which there is no memory is handed to the handler before its value. The value follows as it arrives and is read, the
-// last byte only with the end of the command. The time limit starts then.
+// A large write for which there is no memory is handed to the handler before its value. The value is forwarded as it arrives and is
+// read, but its last byte only once the end of the command has arrived. The time limit starts with the last byte.
 func TestStreamedLargeWrites(t *testing.T) {
 	h := newHarness(t, func(s *Server) { s.Memory = memlimit.New(1) })
 	value := strings.Repeat("0123456789abcdef", 30_000)
--- a/internal/node/hotrestart/channel_test.go
+++ b/internal/node/hotrestart/channel_test.go
@@ -128,8 +128,8 @@
 }
 
 // TestClientWithoutDescriptor: a client connection whose descriptor was lost in transit does not affect the connections sent after it. The kernel
-// ends a read after a message whose descriptor it could not install, but not after one that was sent without any. The next message is therefore
-// sent only after this one has been handled.
+// ends a read after a message whose descriptor it could not install, but not after one that was sent without any. The test
+// sends its message without a descriptor, and therefore waits until the successor has handled that message before it sends the next client.
 func TestClientWithoutDescriptor(t *testing.T) {
 	_, successor, predecessorEnd, _ := joinedPair(t, t.TempDir())
 	if err := predecessorEnd.send(kindClient, []byte{1}, noFD); err != nil {
